--- a/core/fleet/doubt.go
+++ b/core/fleet/doubt.go
@@ -31,7 +31,7 @@
 	if !n.layout.Divided() {
 		return false
 	}
-	maps.DeleteFunc(n.lost, func(_ string, since Time) bool { return now-since >= schedule.MissingMost })
+	maps.DeleteFunc(n.lost, func(_ string, since Time) bool { return now-since >= schedule.UnreachableTimeout })
 	// A VM without a seat isn't connected with all of its cell, and misses some always.
 	if misses && n.seated || len(n.lost) > 0 {
 		n.doubtUntil = now + doubtTime
--- a/core/fleet/gone.go
+++ b/core/fleet/gone.go
@@ -18,7 +18,7 @@
 func (n *Node) longUnheard(now Time) []string {
 	var list []string
 	for vm, since := range n.unheard {
-		if now-since >= schedule.MissingMost {
+		if now-since >= schedule.UnreachableTimeout {
 			list = append(list, vm)
 		}
 	}
--- a/core/fleet/jobs.go
+++ b/core/fleet/jobs.go
@@ -99,14 +99,14 @@
 		n.seeStored(now)
 	}
 	s.schedule.Submit(now, schedule.Submission{
-		Job:      c.Job,
-		Entry:    schedule.EntryID(from),
-		Due:      c.Due,
-		Patience: c.Patience,
-		Handed:   c.Handed,
-		Unknown:  c.Unknown,
-		Domain:   c.Domain,
-		Guest:    c.Shard != c.Home,
+		Job:                c.Job,
+		Entry:              schedule.EntryID(from),
+		RemainingObjective: c.Due,
+		RemainingTimeout:   c.Patience,
+		PriorSubmissions:   c.Handed,
+		PriorRunsTTL:       c.Unknown,
+		Domain:             c.Domain,
+		Foreign:            c.Shard != c.Home,
 	})
 }
 
--- a/core/fleet/members.go
+++ b/core/fleet/members.go
@@ -161,7 +161,7 @@
 // missesSome reports whether a VM of the cell isn't heard that may be alive.
 func (n *Node) missesSome(now Time) bool {
 	for _, since := range n.unheard {
-		if now-since < schedule.MissingMost {
+		if now-since < schedule.UnreachableTimeout {
 			return true
 		}
 	}
--- a/core/fleet/moved.go
+++ b/core/fleet/moved.go
@@ -33,7 +33,7 @@
 // alternate is the other shard in reach in which a stored job would wait least, and for how
 // long; -1 if there is none.
 func (n *Node) alternate(s *shard) (int, time.Duration) {
-	best, least := -1, schedule.NoRunners
+	best, least := -1, schedule.NoRunnersWait
 	for _, o := range n.shards {
 		if o == s || n.leaderOf(o.index) == "" {
 			continue
@@ -50,7 +50,7 @@
 }
 
 // handOn gives a job to the owner of another shard.
-func (n *Node) handOn(now Time, s *shard, c schedule.HandOn) {
+func (n *Node) handOn(now Time, s *shard, c schedule.MoveJob) {
 	c.From = s.index
 	m := JobMove{Shard: c.To, MovedJob: c.MovedJob}
 	switch to := n.leaderOf(c.To); to {
@@ -74,12 +74,12 @@
 func (n *Node) take(now Time, from leader.ID, m JobMove) {
 	if s := n.ownShard(m.Shard); s != nil {
 		n.seeStored(now)
-		s.schedule.Take(now, schedule.EntryID(from), m.MovedJob)
+		s.schedule.AcceptMovedJob(now, schedule.EntryID(from), m.MovedJob)
 	}
 }
 
 // tellTaken passes on that a job has arrived.
-func (n *Node) tellTaken(now Time, c schedule.Taken) {
+func (n *Node) tellTaken(now Time, c schedule.MoveAck) {
 	m := JobTaken{Shard: c.Shard, Job: c.Job}
 	if leader.ID(c.To) == n.Self() {
 		n.taken(now, m)
@@ -90,7 +90,7 @@
 
 func (n *Node) taken(now Time, m JobTaken) {
 	if s := n.ownShard(m.Shard); s != nil {
-		s.schedule.Arrived(now, m.Job)
+		s.schedule.MoveAcknowledged(now, m.Job)
 	}
 }
 
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -231,13 +231,13 @@
 	switch c := c.(type) {
 	case schedule.Save:
 		s.ledger.Save(c.At, c.Sequence, c.Record)
-	case schedule.Settled:
+	case schedule.OutcomeSaved:
 		n.settled(s, c)
 	case schedule.Answer:
 		n.verdict(c)
-	case schedule.HandOn:
+	case schedule.MoveJob:
 		n.handOn(c.At, s, c)
-	case schedule.Taken:
+	case schedule.MoveAck:
 		n.tellTaken(c.At, c)
 	case schedule.Decision:
 		n.notice(c.Event, decisionFields(c)...)
@@ -256,9 +256,9 @@
 	case ledger.Saved:
 		s.schedule.Saved(c.At, c.Records)
 	case ledger.Verified:
-		s.schedule.Verified(c.At, c.OwnedAt)
+		s.schedule.RowOwnershipVerified(c.At, c.OwnedAt)
 	case ledger.Lost:
-		s.schedule.CustodyLost(c.At)
+		s.schedule.RowOwnershipLost(c.At)
 		clear(s.questions)
 	default:
 		n.emit(StoreCall{Shard: s.index, Call: c})
@@ -286,7 +286,7 @@
 	n.member.ID, n.member.Number = string(id), number
 	n.member.VM = schedule.EntryID(id).VM()
 	for _, s := range n.own {
-		s.schedule.SetNumber(number)
+		s.schedule.SetProcessNumber(number)
 	}
 	n.membersChanged(now)
 }
@@ -321,18 +321,18 @@
 	n.wait = 0
 	doubt := n.doubts(now, misses)
 	for _, s := range n.own {
-		s.schedule.Heard(now, schedule.EntryID(n.Self()))
+		s.schedule.EntryAlive(now, schedule.EntryID(n.Self()))
 		s.ledger.Exclude(gone)
 		since, all := n.rivalsHeardSince(now, s, gone)
-		s.schedule.SetAllHeard(all, since)
-		s.schedule.SetMissing(misses)
-		s.schedule.SetDoubt(doubt)
+		s.schedule.SetAllReachable(all, since)
+		s.schedule.SetUnreachable(misses)
+		s.schedule.SetOtherCellUnreachable(doubt)
 		s.schedule.SetAlternate(n.alternate(s))
 		if all && s.schedule.Leading() {
 			s.ledger.Uncontested(now)
 		}
-		s.ledger.Tick(now, s.schedule.Keeps() || len(s.questions) > 0)
-		s.schedule.SetStoreTrouble(s.ledger.FailingFor(now))
+		s.ledger.Tick(now, s.schedule.DependsOnRowOwnership() || len(s.questions) > 0)
+		s.schedule.SetStoreFailingFor(s.ledger.FailingFor(now))
 		s.schedule.Tick(now)
 		if s.schedule.Leading() {
 			n.wait = max(n.wait, s.schedule.Wait())
--- a/core/fleet/peers.go
+++ b/core/fleet/peers.go
@@ -16,8 +16,8 @@
 	n.view.Heard(now, id, nil)
 	n.heartbeat(now, id)
 	for _, s := range n.own {
-		s.schedule.EntryReset(now, schedule.EntryID(id))
-		s.schedule.EntryBack(now, schedule.EntryID(id))
+		s.schedule.EntryDisconnected(now, schedule.EntryID(id))
+		s.schedule.EntryReachable(now, schedule.EntryID(id))
 	}
 	delete(n.lost, schedule.EntryID(id).VM())
 	delete(n.listSent, id)
@@ -31,7 +31,7 @@
 	delete(n.linked, id)
 	if !ended {
 		for _, s := range n.own {
-			s.schedule.EntryReset(now, schedule.EntryID(id))
+			s.schedule.EntryDisconnected(now, schedule.EntryID(id))
 		}
 		return
 	}
@@ -66,7 +66,7 @@
 		delete(n.linked, id)
 		n.emit(Disconnect{Peer: id})
 		for _, s := range n.own {
-			s.schedule.EntryReset(now, schedule.EntryID(id))
+			s.schedule.EntryDisconnected(now, schedule.EntryID(id))
 		}
 	}
 }
@@ -84,7 +84,7 @@
 func (n *Node) Receive(now Time, from leader.ID, m Message) {
 	n.checkPause(now)
 	for _, s := range n.own {
-		s.schedule.Heard(now, schedule.EntryID(from))
+		s.schedule.EntryAlive(now, schedule.EntryID(from))
 	}
 	if h, ok := m.(Heartbeat); ok {
 		n.heard(now, from, h)
@@ -111,7 +111,7 @@
 		n.Declared(now, m.Declaration, string(from))
 	case Progress:
 		if s := n.ownShard(m.Shard); s != nil {
-			s.schedule.Learn(now, m.Progress)
+			s.schedule.ApplyProgress(now, m.Progress)
 		}
 	case Layout:
 		n.Layout(now, m.Layout)
@@ -139,7 +139,7 @@
 	}
 	n.learnStored(now, h.StoredJobs)
 	for _, s := range n.own {
-		s.schedule.SeeTerm(h.Report.Term)
+		s.schedule.ObserveTerm(h.Report.Term)
 	}
 	if d := n.table.Current(); d != nil && h.DeclarationVersion < d.Version {
 		n.emit(Send{To: from, Message: Declaration{d}})
@@ -172,12 +172,12 @@
 		}
 		if before.Leader(s.index) == from {
 			// It led on the other side of a cut, and has yielded.
-			s.schedule.Reclaim(now)
+			s.schedule.TakeOverRunners(now)
 			continue
 		}
 		// It may have led for a moment without this process hearing of it, as
 		// two processes that start at the same time do.
-		s.schedule.Retake(now)
+		s.schedule.ReacquireRunners(now)
 	}
 }
 
--- a/core/fleet/queries.go
+++ b/core/fleet/queries.go
@@ -162,7 +162,7 @@
 }
 
 // settled answers those who wait for a job's end to be in the store.
-func (n *Node) settled(s *shard, c schedule.Settled) {
+func (n *Node) settled(s *shard, c schedule.OutcomeSaved) {
 	waiting := s.questions[c.Job]
 	delete(s.questions, c.Job)
 	for _, q := range waiting {
--- a/core/fleet/runners.go
+++ b/core/fleet/runners.go
@@ -164,7 +164,7 @@
 // started the jobs that this process is about to hand in again.
 func (n *Node) handOver(now Time, s *shard) {
 	if s.choice.Leader == n.Self() {
-		s.schedule.Suspect(now, n.lately(s))
+		s.schedule.AddUnlistedRunners(now, n.lately(s))
 		return
 	}
 	n.tellRunners(s)
@@ -188,7 +188,7 @@
 func (n *Node) suspect(now Time, list []workload.Runner) {
 	for _, s := range n.own {
 		if own := n.runnersOf(s, list); len(own) > 0 {
-			s.schedule.Suspect(now, own)
+			s.schedule.AddUnlistedRunners(now, own)
 		}
 	}
 }
--- a/core/fleet/shards.go
+++ b/core/fleet/shards.go
@@ -50,8 +50,8 @@
 func (n *Node) open(s *shard) {
 	s.schedule, s.ledger = schedule.New(n.cfg), ledger.New()
 	s.questions = make(map[workload.JobID][]question)
-	s.schedule.SetNumber(n.number)
-	s.schedule.SetNoStored(n.stored == NoStoredJobs)
+	s.schedule.SetProcessNumber(n.number)
+	s.schedule.SetNoStoredJobs(n.stored == NoStoredJobs)
 	s.schedule.SetEvacuated(0, n.evacuations.Domains)
 	n.own = append(n.own, s)
 }
@@ -112,7 +112,7 @@
 
 func (n *Node) setRunners(now Time) {
 	for _, s := range n.own {
-		s.schedule.SeeVersion(n.runners.Revision)
+		s.schedule.ObserveVersion(n.runners.Revision)
 		s.schedule.SetRunners(now, n.runnersOf(s, n.runners.Runners))
 	}
 }
@@ -182,7 +182,7 @@
 	if c.Reachable && c.Leader == n.Self() {
 		n.askForRunners()
 		if n.linked[before] {
-			s.schedule.Await(now, schedule.EntryID(before))
+			s.schedule.AwaitProgress(now, schedule.EntryID(before))
 		}
 		n.ledAt = now
 		s.schedule.Lead(now)
--- a/core/fleet/storedjobs.go
+++ b/core/fleet/storedjobs.go
@@ -41,7 +41,7 @@
 	n.stored = known
 	n.membersChanged(now)
 	for _, s := range n.own {
-		s.schedule.SetNoStored(known == NoStoredJobs)
+		s.schedule.SetNoStoredJobs(known == NoStoredJobs)
 		n.ownRows(now, s)
 	}
 }
--- a/core/fleet/world_test.go
+++ b/core/fleet/world_test.go
@@ -277,7 +277,7 @@
 
 // call carries an order to a runner and its answer back; lost says that the
 // caller hears nothing.
-func (w *world) call(n *fakeNode, id workload.RunnerID, timeout time.Duration, order func(*fakeRunner, func(schedule.CallOutcome, *schedule.HoldResult)), done func(schedule.CallOutcome, schedule.Reading, *schedule.HoldResult)) {
+func (w *world) call(n *fakeNode, id workload.RunnerID, timeout time.Duration, order func(*fakeRunner, func(schedule.CallOutcome, *schedule.HoldResult)), done func(schedule.CallOutcome, schedule.ClockReading, *schedule.HoldResult)) {
 	sent, life := w.now, n.life
 	var finished bool
 	finish := func(o schedule.CallOutcome, clock, born int64, h *schedule.HoldResult) {
@@ -285,7 +285,7 @@
 			return
 		}
 		finished = true
-		reading := schedule.Reading{Milliseconds: clock, At: w.now, SentAt: sent, Born: born}
+		reading := schedule.ClockReading{Milliseconds: clock, ReceivedAt: w.now, SentAt: sent, Born: born}
 		w.do(n, func() { done(o, reading, h) })
 	}
 	w.after(timeout, func() { finish(schedule.Unanswered, 0, 0, nil) })
@@ -328,24 +328,24 @@
 	case schedule.Start:
 		w.call(n, c.Runner, c.Timeout, func(r *fakeRunner, answer func(schedule.CallOutcome, *schedule.HoldResult)) {
 			answer(r.start(c), nil)
-		}, func(o schedule.CallOutcome, clock schedule.Reading, _ *schedule.HoldResult) {
+		}, func(o schedule.CallOutcome, clock schedule.ClockReading, _ *schedule.HoldResult) {
 			n.node.Started(w.now, shard, schedule.StartResult{Runner: c.Runner, Run: c.Run, Outcome: o, Clock: clock})
 		})
 	case schedule.Stop:
 		w.call(n, c.Runner, c.Timeout, func(r *fakeRunner, answer func(schedule.CallOutcome, *schedule.HoldResult)) {
 			answer(r.stop(c), nil)
-		}, func(o schedule.CallOutcome, clock schedule.Reading, _ *schedule.HoldResult) {
+		}, func(o schedule.CallOutcome, clock schedule.ClockReading, _ *schedule.HoldResult) {
 			n.node.Stopped(w.now, shard, schedule.StopResult{Runner: c.Runner, Run: c.Run, Outcome: o, Clock: clock})
 		})
 	case schedule.Hold:
 		w.call(n, c.Runner, c.Timeout, func(r *fakeRunner, answer func(schedule.CallOutcome, *schedule.HoldResult)) {
 			r.hold(c, func(h schedule.HoldResult) { answer(h.Outcome, &h) })
-		}, func(o schedule.CallOutcome, clock schedule.Reading, h *schedule.HoldResult) {
+		}, func(o schedule.CallOutcome, clock schedule.ClockReading, h *schedule.HoldResult) {
 			res := schedule.HoldResult{}
 			if h != nil {
 				res = *h
 			}
-			res.Runner, res.Token, res.Look, res.Presence, res.Outcome, res.Clock = c.Runner, c.Token, c.Look, c.Presence, o, clock
+			res.Runner, res.Token, res.ListOnly, res.ReachabilityOnly, res.Outcome, res.Clock = c.Runner, c.Token, c.ListOnly, c.ReachabilityOnly, o, clock
 			n.node.Held(w.now, shard, res)
 		})
 	}
--- a/core/schedule/accept.go
+++ b/core/schedule/accept.go
@@ -28,7 +28,7 @@
 	s.ctr.Submitted++
 	j := newJob(sub.Job, s.now)
 	j.entry = sub.Entry
-	j.setDue(s.now, sub.Due)
+	j.setDue(s.now, sub.RemainingObjective)
 	s.timed(j)
 	if !s.sure() {
 		s.answer(sub.Entry, id, workload.GaveUp, "another process may schedule")
@@ -38,7 +38,7 @@
 		s.refuse(Answer{Entry: sub.Entry, Job: id, Outcome: workload.NotRun, Reason: reason, RetryAfter: s.retryAfter(j)})
 		return
 	}
-	j.stored = &stored{epoch: s.custody.epoch, waiters: map[EntryID]Time{sub.Entry: s.now + sub.Patience}}
+	j.stored = &stored{epoch: s.custody.epoch, waiters: map[EntryID]Time{sub.Entry: s.now + sub.RemainingTimeout}}
 	s.jobs[id] = j
 	s.custody.open++
 	s.save(j)
@@ -64,7 +64,7 @@
 		s.answer(sub.Entry, j.work.ID, workload.Accepted, "known")
 		return
 	}
-	j.stored.waiters[sub.Entry] = s.now + sub.Patience
+	j.stored.waiters[sub.Entry] = s.now + sub.RemainingTimeout
 }
 
 // storedRefusal is the reason why a job isn't accepted; "" if it is. Nothing of
@@ -138,7 +138,7 @@
 func (s *Scheduler) expireEarly() {
 	for _, id := range sortedKeys(s.custody.early) {
 		rest := slices.DeleteFunc(s.custody.early[id], func(e earlySubmission) bool {
-			expired := s.now-e.at > min(limboWait, e.Patience)
+			expired := s.now-e.at > min(limboWait, e.RemainingTimeout)
 			if expired {
 				s.answer(e.Entry, id, workload.GaveUp, "the stored jobs couldn't be read")
 			}
--- a/core/schedule/admission.go
+++ b/core/schedule/admission.go
@@ -63,8 +63,8 @@
 	return "", false
 }
 
-// NoRunners is the wait that a scheduler tells of which reaches no runner.
-const NoRunners = time.Minute
+// NoRunnersWait is the wait that a scheduler tells of which reaches no runner.
+const NoRunnersWait = time.Minute
 
 // Wait is how long all that waits here would take the runners. Other entry VMs go
 // by it when their own scheduler has no room.
@@ -76,7 +76,7 @@
 		}
 	}
 	if capacity == 0 {
-		return NoRunners
+		return NoRunnersWait
 	}
 	for _, j := range s.queue {
 		work += s.waitingWork(j)
--- a/core/schedule/command.go
+++ b/core/schedule/command.go
@@ -48,9 +48,9 @@
 	LeaseEnd int64
 	// Wait is how long the runner may wait for an end.
 	Wait time.Duration
-	// Look marks one that is sent beside another, and Presence one that only asks
+	// ListOnly marks one that is sent beside another, and ReachabilityOnly one that only asks
 	// whether the runner is there.
-	Look, Presence bool
+	ListOnly, ReachabilityOnly bool
 	// Timeout is how long to wait for the answer, Wait included.
 	Timeout time.Duration
 }
@@ -96,39 +96,39 @@
 	Record   ledger.Record
 }
 
-// Settled says that what has come of a stored job is in the store. An id that
+// OutcomeSaved says that what has come of a stored job is in the store. An id that
 // was cancelled before its job came isn't known.
-type Settled struct {
+type OutcomeSaved struct {
 	Job   workload.JobID
 	State JobState
 }
 
-// HandOn gives a stored job to the owner of another shard. Arrived follows, or it is
+// MoveJob gives a stored job to the owner of another shard. MoveAcknowledged follows, or it is
 // given again.
-type HandOn struct {
+type MoveJob struct {
 	At Time
 	To int
 	MovedJob
 }
 
-// Taken says that a job of another shard is in the store here. It goes to the process
+// MoveAck says that a job of another shard is in the store here. It goes to the process
 // that gave it.
-type Taken struct {
+type MoveAck struct {
 	At    Time
 	To    EntryID
 	Shard int
 	Job   workload.JobID
 }
 
-func (Start) command()    {}
-func (Stop) command()     {}
-func (Hold) command()     {}
-func (Answer) command()   {}
-func (Decision) command() {}
-func (Save) command()     {}
-func (Settled) command()  {}
-func (HandOn) command()   {}
-func (Taken) command()    {}
+func (Start) command()        {}
+func (Stop) command()         {}
+func (Hold) command()         {}
+func (Answer) command()       {}
+func (Decision) command()     {}
+func (Save) command()         {}
+func (OutcomeSaved) command() {}
+func (MoveJob) command()      {}
+func (MoveAck) command()      {}
 
 // CallOutcome is what came of an order to a runner.
 type CallOutcome uint8
@@ -160,12 +160,12 @@
 // String is for logs.
 func (o CallOutcome) String() string { return outcomeNames[o] }
 
-// Reading is a runner's clock as read from an answer.
-type Reading struct {
+// ClockReading is a runner's clock as read from an answer.
+type ClockReading struct {
 	// Milliseconds is the clock; 0 if the answer had none.
 	Milliseconds int64
-	// At is when the answer came.
-	At Time
+	// ReceivedAt is when the answer came.
+	ReceivedAt Time
 	// SentAt is when the order was sent.
 	SentAt Time
 	// Born is when the runner's lifetime began, in milliseconds since 1970; 0 if the
@@ -178,7 +178,7 @@
 	Runner  workload.RunnerID
 	Run     workload.RunKey
 	Outcome CallOutcome
-	Clock   Reading
+	Clock   ClockReading
 }
 
 // StopResult reports on a Stop.
@@ -186,19 +186,19 @@
 	Runner  workload.RunnerID
 	Run     workload.RunKey
 	Outcome CallOutcome
-	Clock   Reading
+	Clock   ClockReading
 }
 
 // HoldResult reports on a Hold.
 type HoldResult struct {
-	Runner   workload.RunnerID
-	Token    uint64
-	Look     bool
-	Presence bool
-	Outcome  CallOutcome
-	Running  []workload.RunKey
+	Runner           workload.RunnerID
+	Token            uint64
+	ListOnly         bool
+	ReachabilityOnly bool
+	Outcome          CallOutcome
+	Running          []workload.RunKey
 	// Checkpoints are the newest ones of what runs, where there are any.
 	Checkpoints map[workload.RunKey]string
 	Ends        []workload.End
-	Clock       Reading
+	Clock       ClockReading
 }
--- a/core/schedule/custody.go
+++ b/core/schedule/custody.go
@@ -47,16 +47,16 @@
 	}
 }
 
-// SetNoStored says whether the deployment surely has no stored jobs.
-func (s *Scheduler) SetNoStored(none bool) { s.custody.none = none }
+// SetNoStoredJobs says whether the deployment surely has no stored jobs.
+func (s *Scheduler) SetNoStoredJobs(none bool) { s.custody.none = none }
 
-// SetStoreTrouble says how long all calls to the store have failed.
-func (s *Scheduler) SetStoreTrouble(d time.Duration) { s.custody.failingFor = d }
+// SetStoreFailingFor says how long all calls to the store have failed.
+func (s *Scheduler) SetStoreFailingFor(d time.Duration) { s.custody.failingFor = d }
 
-// Keeps reports whether something depends on the ownership of the shard's rows:
+// DependsOnRowOwnership reports whether something depends on the ownership of the shard's rows:
 // open jobs and those that go to another shard, ends that wait to be acknowledged, or what
 // callers are told.
-func (s *Scheduler) Keeps() bool {
+func (s *Scheduler) DependsOnRowOwnership() bool {
 	if s.custody.none {
 		return false
 	}
@@ -68,8 +68,8 @@
 	return s.custody.open+len(s.custody.moving) > 0 || len(s.custody.early) > 0 || s.custody.askedAt > 0 && s.now-s.custody.askedAt < needStore
 }
 
-// Verified notes that this process owned the shard's rows at a time.
-func (s *Scheduler) Verified(now, at Time) {
+// RowOwnershipVerified notes that this process owned the shard's rows at a time.
+func (s *Scheduler) RowOwnershipVerified(now, at Time) {
 	s.now = now
 	s.custody.verifiedAt = max(s.custody.verifiedAt, at)
 	s.settleRefusals()
@@ -106,18 +106,18 @@
 // caller asks for it here at once.
 func (s *Scheduler) proved(at Time) bool { return s.custody.loaded && s.custody.verifiedAt >= at }
 
-// SetAllHeard says whether this process hears all others of the deployment that could
+// SetAllReachable says whether this process hears all others of the deployment that could
 // take the shard's rows, and since when.
-func (s *Scheduler) SetAllHeard(all bool, since Time) { s.allHeard, s.allHeardSince = all, since }
+func (s *Scheduler) SetAllReachable(all bool, since Time) { s.allHeard, s.allHeardSince = all, since }
 
 // SetContested says whether another process is about to lead in place of this one.
 // It may take the shard's rows, and accept jobs, before this one hears that it does.
 func (s *Scheduler) SetContested(contested bool) { s.contested = contested }
 
-// CustodyLost drops all stored jobs: another process has taken them. It finds
+// RowOwnershipLost drops all stored jobs: another process has taken them. It finds
 // what runs on the runners that it reaches, and starts the rest again when that
 // must be over, so what runs here is stopped.
-func (s *Scheduler) CustodyLost(now Time) {
+func (s *Scheduler) RowOwnershipLost(now Time) {
 	s.now = now
 	s.emit(Decision{Event: "stored-jobs-lost", Token: s.custody.epoch, Reason: openJobs(s.custody.open)})
 	for _, j := range s.jobsInOrder() {
--- a/core/schedule/entries.go
+++ b/core/schedule/entries.go
@@ -68,18 +68,18 @@
 	s.dispatch()
 }
 
-// SetMissing says whether a VM isn't heard that may be alive.
-func (s *Scheduler) SetMissing(some bool) { s.misses = some }
+// SetUnreachable says whether a VM isn't heard that may be alive.
+func (s *Scheduler) SetUnreachable(some bool) { s.misses = some }
 
-// SetDoubt says whether a VM of another cell is missing, or was of late. Copies of its
+// SetOtherCellUnreachable says whether a VM of another cell is missing, or was of late. Copies of its
 // jobs may come here, of which only that cell's scheduler knows what was run.
-func (s *Scheduler) SetDoubt(doubt bool) { s.doubt = doubt }
+func (s *Scheduler) SetOtherCellUnreachable(doubt bool) { s.doubt = doubt }
 
-// EntryReset notes that the connection with an entry VM has ended. Once there is a new
+// EntryDisconnected notes that the connection with an entry VM has ended. Once there is a new
 // one it hands in again what it still waits for. What came before and hasn't begun is
 // dropped: a process that was frozen finds it in its buffers as it wakes, when it has
 // long been given to another scheduler, or its caller told that it wasn't run.
-func (s *Scheduler) EntryReset(now Time, entry EntryID) {
+func (s *Scheduler) EntryDisconnected(now Time, entry EntryID) {
 	s.now = now
 	s.dropEarly(entry)
 	for _, j := range s.jobsInOrder() {
@@ -90,11 +90,11 @@
 	}
 }
 
-// Heard notes a sign of life of an entry process.
-func (s *Scheduler) Heard(now Time, entry EntryID) { s.heard[entry] = now }
+// EntryAlive notes a sign of life of an entry process.
+func (s *Scheduler) EntryAlive(now Time, entry EntryID) { s.heard[entry] = now }
 
-// EntryBack notes that an entry VM is heard again, perhaps by a new process.
-func (s *Scheduler) EntryBack(now Time, entry EntryID) {
+// EntryReachable notes that an entry VM is heard again, perhaps by a new process.
+func (s *Scheduler) EntryReachable(now Time, entry EntryID) {
 	s.now = now
 	if _, ok := s.missing[entry.VM()]; ok {
 		delete(s.missing, entry.VM())
--- a/core/schedule/evacuation_test.go
+++ b/core/schedule/evacuation_test.go
@@ -73,7 +73,7 @@
 	b.s.SetEvacuated(b.now, []string{"a"})
 	b.now += ms
 	job := testJob(1, 400*ms)
-	b.s.Submit(b.now, Submission{Job: job, Entry: entryA, Due: job.Objective, Patience: 3 * time.Second, Handed: 1, Unknown: 1300 * ms})
+	b.s.Submit(b.now, Submission{Job: job, Entry: entryA, RemainingObjective: job.Objective, RemainingTimeout: 3 * time.Second, PriorSubmissions: 1, PriorRunsTTL: 1300 * ms})
 	b.tick(40 * ms)
 	b.g.Expect(take[Answer](b)).To(BeEmpty())
 	run := workload.RunKey{Task: workload.TaskName{Job: job.ID}, Number: 1}
--- a/core/schedule/harness_test.go
+++ b/core/schedule/harness_test.go
@@ -30,7 +30,7 @@
 
 func newBench(t *testing.T, runners ...workload.Runner) *bench {
 	b := &bench{t: t, g: NewWithT(t), s: New(DefaultConfig()), now: time.Second}
-	b.s.SetNumber(7)
+	b.s.SetProcessNumber(7)
 	b.s.SetRunners(b.now, runners)
 	return b
 }
@@ -49,9 +49,9 @@
 
 // own gives the scheduler the shard's rows, with records in them.
 func (b *bench) own(epoch uint64, records ...ledger.Record) {
-	b.s.SetAllHeard(true, b.now)
+	b.s.SetAllReachable(true, b.now)
 	b.s.Loaded(b.now, ledger.Loaded{Epoch: epoch, ClaimedAt: b.now, Records: records})
-	b.s.Verified(b.now, b.now)
+	b.s.RowOwnershipVerified(b.now, b.now)
 }
 
 func testRunner(id string) workload.Runner {
@@ -66,7 +66,7 @@
 	end := b.now + d
 	for b.now < end {
 		b.now = min(end, b.now+20*ms)
-		b.s.Heard(b.now, entryA)
+		b.s.EntryAlive(b.now, entryA)
 		b.s.Tick(b.now)
 		for _, h := range take[Hold](b) {
 			b.held(h)
@@ -79,7 +79,7 @@
 	end := b.now + d
 	for b.now < end {
 		b.now = min(end, b.now+20*ms)
-		b.s.Heard(b.now, entryA)
+		b.s.EntryAlive(b.now, entryA)
 		b.s.Tick(b.now)
 	}
 }
@@ -111,12 +111,12 @@
 	return found
 }
 
-func (b *bench) clock() Reading {
-	return Reading{Milliseconds: clockAtZero + b.now.Milliseconds(), At: b.now, SentAt: b.now}
+func (b *bench) clock() ClockReading {
+	return ClockReading{Milliseconds: clockAtZero + b.now.Milliseconds(), ReceivedAt: b.now, SentAt: b.now}
 }
 
 func (b *bench) held(h Hold, ends ...workload.End) {
-	b.s.Held(b.now, HoldResult{Runner: h.Runner, Token: h.Token, Look: h.Look, Presence: h.Presence, Outcome: Accepted, Ends: ends, Clock: b.clock()})
+	b.s.Held(b.now, HoldResult{Runner: h.Runner, Token: h.Token, ListOnly: h.ListOnly, ReachabilityOnly: h.ReachabilityOnly, Outcome: Accepted, Ends: ends, Clock: b.clock()})
 }
 
 func (b *bench) answerHold(h Hold, o CallOutcome, running ...workload.RunKey) {
@@ -124,7 +124,7 @@
 	if o == Unanswered {
 		clock.Milliseconds = 0
 	}
-	b.s.Held(b.now, HoldResult{Runner: h.Runner, Token: h.Token, Look: h.Look, Presence: h.Presence, Outcome: o, Running: running, Clock: clock})
+	b.s.Held(b.now, HoldResult{Runner: h.Runner, Token: h.Token, ListOnly: h.ListOnly, ReachabilityOnly: h.ReachabilityOnly, Outcome: o, Running: running, Clock: clock})
 }
 
 func (b *bench) started(c Start, o CallOutcome) {
@@ -147,7 +147,7 @@
 }
 
 func (b *bench) submit(j *workload.Job, patience time.Duration) {
-	b.s.Submit(b.now, Submission{Job: j, Entry: entryA, Due: j.Objective, Patience: patience})
+	b.s.Submit(b.now, Submission{Job: j, Entry: entryA, RemainingObjective: j.Objective, RemainingTimeout: patience})
 }
 
 // one takes the only command of a kind.
--- a/core/schedule/lifetime_test.go
+++ b/core/schedule/lifetime_test.go
@@ -15,8 +15,8 @@
 )
 
 // bornClock is a reading in a lifetime whose clock began at a time.
-func (b *bench) bornClock(born int64, since Time) Reading {
-	return Reading{Milliseconds: (b.now - since).Milliseconds() + 1, At: b.now, SentAt: b.now, Born: born}
+func (b *bench) bornClock(born int64, since Time) ClockReading {
+	return ClockReading{Milliseconds: (b.now - since).Milliseconds() + 1, ReceivedAt: b.now, SentAt: b.now, Born: born}
 }
 
 // answerAll answers the looks at a runner in a lifetime.
@@ -26,7 +26,7 @@
 			b.held(h)
 			continue
 		}
-		b.s.Held(b.now, HoldResult{Runner: id, Token: h.Token, Look: h.Look, Outcome: Accepted, Running: running, Clock: b.bornClock(born, since)})
+		b.s.Held(b.now, HoldResult{Runner: id, Token: h.Token, ListOnly: h.ListOnly, Outcome: Accepted, Running: running, Clock: b.bornClock(born, since)})
 	}
 }
 
--- a/core/schedule/listing.go
+++ b/core/schedule/listing.go
@@ -59,14 +59,14 @@
 	s.dispatch()
 }
 
-// Suspect adds runners on which another scheduler may have started jobs that
+// AddUnlistedRunners adds runners on which another scheduler may have started jobs that
 // are about to be handed in here.
 //
 // While a failure domain is cut off from the store its runners vanish from the
 // platform's list, yet the scheduler on that side uses them. When the cut heals
 // its jobs come here before the runners are listed again; without a look at
 // these the tasks would be started a second time.
-func (s *Scheduler) Suspect(now Time, list []workload.Runner) {
+func (s *Scheduler) AddUnlistedRunners(now Time, list []workload.Runner) {
 	s.now = now
 	for _, info := range list {
 		if r := s.runners[info.ID]; r != nil {
--- a/core/schedule/listing_test.go
+++ b/core/schedule/listing_test.go
@@ -50,7 +50,7 @@
 func TestRunnersThatAnswerAgainAreUsed(t *testing.T) {
 	b := leading(t, testRunner("stays"))
 	b.g.Expect(b.wideJob()).To(Equal(2))
-	b.s.Suspect(b.now, []workload.Runner{testRunner("cut")})
+	b.s.AddUnlistedRunners(b.now, []workload.Runner{testRunner("cut")})
 	b.wait(20 * ms)
 	b.g.Expect(b.s.runners["cut"].usable(b.now)).To(BeTrue())
 	b.wait(believedTime + 20*ms)
@@ -62,7 +62,7 @@
 	b := leading(t, testRunner("stays"))
 	cut := testRunner("cut")
 	cut.Draining = true
-	b.s.Suspect(b.now, []workload.Runner{cut})
+	b.s.AddUnlistedRunners(b.now, []workload.Runner{cut})
 	b.wait(20 * time.Millisecond)
 	b.g.Expect(b.s.runners["cut"].usable(b.now)).To(BeFalse())
 }
--- a/core/schedule/load_test.go
+++ b/core/schedule/load_test.go
@@ -204,7 +204,7 @@
 	b.g.Expect(done).To(BeFalse(), "it may be a stored one, which must never run")
 	saved := one[Save](b)
 	b.s.Saved(b.now, []ledger.SavedRecord{{Job: later.ID, Sequence: saved.Sequence}})
-	b.g.Expect(one[Settled](b).State.Known).To(BeFalse())
+	b.g.Expect(one[OutcomeSaved](b).State.Known).To(BeFalse())
 	b.submit(j, 2*time.Second)
 	b.submit(later, 2*time.Second)
 	b.g.Expect(take[Start](b)).To(BeEmpty())
@@ -224,7 +224,7 @@
 		c := one[Start](b)
 		sent := b.clock()
 		b.now += 45 * ms
-		sent.At = b.now
+		sent.ReceivedAt = b.now
 		b.s.Started(b.now, StartResult{Runner: c.Runner, Run: c.Run, Outcome: Accepted, Clock: sent})
 		b.end(c.Runner, seq+1, c.Run, workload.Done)
 	}
@@ -268,10 +268,10 @@
 // for a wait that isn't one.
 func TestJobsHeldBackAreNotInTheWay(t *testing.T) {
 	b := leading(t, testRunner("near"))
-	b.s.SetMissing(true)
-	b.s.Suspect(b.now, []workload.Runner{testRunner("far")})
+	b.s.SetUnreachable(true)
+	b.s.AddUnlistedRunners(b.now, []workload.Runner{testRunner("far")})
 	for range 30 {
-		b.s.Submit(b.now, Submission{Job: testJob(8, 60*ms), Entry: entryA, Due: 150 * ms, Patience: 1500 * ms, Handed: 1, Unknown: 1300 * ms})
+		b.s.Submit(b.now, Submission{Job: testJob(8, 60*ms), Entry: entryA, RemainingObjective: 150 * ms, RemainingTimeout: 1500 * ms, PriorSubmissions: 1, PriorRunsTTL: 1300 * ms})
 	}
 	b.tick(200 * ms)
 	b.g.Expect(take[Start](b)).To(BeEmpty())
@@ -291,11 +291,11 @@
 		runners = append(runners, r)
 	}
 	b := leading(t, runners...)
-	b.s.Submit(b.now, Submission{Job: testJob(2, 60*ms), Entry: entryA, Due: 150 * ms, Patience: 1500 * ms, Domain: "b"})
+	b.s.Submit(b.now, Submission{Job: testJob(2, 60*ms), Entry: entryA, RemainingObjective: 150 * ms, RemainingTimeout: 1500 * ms, Domain: "b"})
 	for _, c := range take[Start](b) {
 		b.g.Expect(c.Runner).To(BeEquivalentTo("r2"))
 	}
-	b.s.Submit(b.now, Submission{Job: testJob(2, 60*ms), Entry: entryA, Due: 150 * ms, Patience: 1500 * ms, Domain: "b"})
+	b.s.Submit(b.now, Submission{Job: testJob(2, 60*ms), Entry: entryA, RemainingObjective: 150 * ms, RemainingTimeout: 1500 * ms, Domain: "b"})
 	b.g.Expect(take[Start](b)).To(HaveLen(2))
 }
 
@@ -308,8 +308,8 @@
 	running := take[Start](b)
 	b.g.Expect(running).To(HaveLen(2))
 	old, young := testJob(1, 100*ms), testJob(1, 100*ms)
-	b.s.Submit(b.now, Submission{Job: old, Entry: entryA, Due: -600 * ms, Patience: 1000 * ms})
-	b.s.Submit(b.now, Submission{Job: young, Entry: entryA, Due: -50 * ms, Patience: 1500 * ms})
+	b.s.Submit(b.now, Submission{Job: old, Entry: entryA, RemainingObjective: -600 * ms, RemainingTimeout: 1000 * ms})
+	b.s.Submit(b.now, Submission{Job: young, Entry: entryA, RemainingObjective: -50 * ms, RemainingTimeout: 1500 * ms})
 	b.end("r1", 1, running[0].Run, workload.Done)
 	b.g.Expect(one[Start](b).Run.Task.Job).To(Equal(young.ID))
 	b.end("r1", 2, running[1].Run, workload.Done)
@@ -321,11 +321,11 @@
 // is known, and not when its time is over; another job has time enough, and waits.
 func TestHandedOverJobsWithoutHopeAreGivenUpAtOnce(t *testing.T) {
 	b := leading(t, testRunner("near"))
-	b.s.SetMissing(true)
-	b.s.Suspect(b.now, []workload.Runner{testRunner("far")})
+	b.s.SetUnreachable(true)
+	b.s.AddUnlistedRunners(b.now, []workload.Runner{testRunner("far")})
 	hopeless, waits := testJob(1, 200*ms), testJob(1, 200*ms)
-	b.s.Submit(b.now, Submission{Job: hopeless, Entry: entryA, Due: 100 * ms, Patience: 1350 * ms, Handed: 1, Unknown: 1300 * ms})
-	b.s.Submit(b.now, Submission{Job: waits, Entry: entryA, Due: 100 * ms, Patience: 2500 * ms, Handed: 1, Unknown: 1300 * ms})
+	b.s.Submit(b.now, Submission{Job: hopeless, Entry: entryA, RemainingObjective: 100 * ms, RemainingTimeout: 1350 * ms, PriorSubmissions: 1, PriorRunsTTL: 1300 * ms})
+	b.s.Submit(b.now, Submission{Job: waits, Entry: entryA, RemainingObjective: 100 * ms, RemainingTimeout: 2500 * ms, PriorSubmissions: 1, PriorRunsTTL: 1300 * ms})
 	b.tick(100 * ms)
 	b.g.Expect(take[Answer](b)).To(BeEmpty(), "the runner may yet tell")
 	b.tick(100 * ms)
--- a/core/schedule/move.go
+++ b/core/schedule/move.go
@@ -79,7 +79,7 @@
 	for _, id := range sortedKeys(s.custody.moving) {
 		if m := s.custody.moving[id]; s.now >= m.giveAt {
 			m.giveAt = s.now + moveRetry
-			s.emit(HandOn{At: s.now, To: m.record.To, MovedJob: s.movedJob(m)})
+			s.emit(MoveJob{At: s.now, To: m.record.To, MovedJob: s.movedJob(m)})
 		}
 	}
 }
@@ -121,7 +121,7 @@
 	if s.alternate < 0 {
 		return false
 	}
-	return s.alternateWait == 0 || s.alternateWait < NoRunners && s.capacity(j.work.Service) == 0
+	return s.alternateWait == 0 || s.alternateWait < NoRunnersWait && s.capacity(j.work.Service) == 0
 }
 
 // moveAway ends a job here, for another shard to do it.
@@ -179,8 +179,8 @@
 	}
 }
 
-// Arrived notes that a job is in the rows of the shard that it was given to.
-func (s *Scheduler) Arrived(now Time, id workload.JobID) {
+// MoveAcknowledged notes that a job is in the rows of the shard that it was given to.
+func (s *Scheduler) MoveAcknowledged(now Time, id workload.JobID) {
 	s.now = now
 	m := s.custody.moving[id]
 	if m == nil {
@@ -206,8 +206,8 @@
 	return k.move.record.To, k.move.arrived, true
 }
 
-// Take takes a job of another shard. One that can't be taken now is given again.
-func (s *Scheduler) Take(now Time, from EntryID, m MovedJob) {
+// AcceptMovedJob takes a job of another shard. One that can't be taken now is given again.
+func (s *Scheduler) AcceptMovedJob(now Time, from EntryID, m MovedJob) {
 	s.now = now
 	id := m.Job.ID
 	s.custody.askedAt = now
@@ -216,7 +216,7 @@
 	}
 	if k, ok := s.custody.kept[id]; ok && !k.returns(m) {
 		if k.saving == 0 {
-			s.emit(Taken{At: s.now, To: from, Shard: m.From, Job: id})
+			s.emit(MoveAck{At: s.now, To: from, Shard: m.From, Job: id})
 		}
 		return
 	}
@@ -266,7 +266,7 @@
 // tellTaken tells those that have given a job that it is in the store here.
 func (s *Scheduler) tellTaken(j *job) {
 	for _, g := range j.stored.senders {
-		s.emit(Taken{At: s.now, To: g.entry, Shard: g.shard, Job: j.work.ID})
+		s.emit(MoveAck{At: s.now, To: g.entry, Shard: g.shard, Job: j.work.ID})
 	}
 	j.stored.senders = nil
 }
--- a/core/schedule/overload_test.go
+++ b/core/schedule/overload_test.go
@@ -30,7 +30,7 @@
 	due, sequence := make(map[workload.JobID]Time), make(map[workload.RunnerID]uint64)
 	inTime, asked, credit := 0, 0, 0.0
 	for end := b.now + 6*time.Second; b.now < end; b.now += step {
-		b.s.Heard(b.now, entryA)
+		b.s.EntryAlive(b.now, entryA)
 		b.s.Tick(b.now)
 		var rest []running
 		for _, r := range runs {
--- a/core/schedule/ownership.go
+++ b/core/schedule/ownership.go
@@ -84,7 +84,7 @@
 		return
 	}
 	r.looking = true
-	s.emit(Hold{Runner: r.info.ID, Address: r.info.Address, Token: r.token, Acknowledged: r.cursor(s.now), Look: true, Timeout: s.callTimeout()})
+	s.emit(Hold{Runner: r.info.ID, Address: r.info.Address, Token: r.token, Acknowledged: r.cursor(s.now), ListOnly: true, Timeout: s.callTimeout()})
 }
 
 func (s *Scheduler) nextHold(r *runner) {
@@ -153,20 +153,20 @@
 	r.refusals++
 }
 
-// Reclaim takes the runners back from a scheduler that has yielded to this one,
+// TakeOverRunners takes the runners back from a scheduler that has yielded to this one,
 // and looks which others it had.
-func (s *Scheduler) Reclaim(now Time) {
+func (s *Scheduler) TakeOverRunners(now Time) {
 	s.now = now
 	s.unsureUntil = now + unsureWindow
-	s.Retake(now)
+	s.ReacquireRunners(now)
 	for _, r := range s.list {
 		s.look(r)
 	}
 }
 
-// Retake takes back the runners that were left to another scheduler, since it
+// ReacquireRunners takes back the runners that were left to another scheduler, since it
 // turns out that nobody else leads.
-func (s *Scheduler) Retake(now Time) {
+func (s *Scheduler) ReacquireRunners(now Time) {
 	s.now = now
 	for _, r := range s.list {
 		if r.token == 0 && s.leading && !s.yielding {
--- a/core/schedule/progress.go
+++ b/core/schedule/progress.go
@@ -10,10 +10,10 @@
 // end only until it is acknowledged, so what had ended before would be run again.
 type Progress struct {
 	// Epoch is the ownership of the shard's rows, 0 if the scheduler had none;
-	// and Unknown how much longer runs may be alive that owners before it have
+	// and PriorRunsTTL how much longer runs may be alive that owners before it have
 	// started and that it didn't see.
-	Epoch   uint64
-	Unknown time.Duration
+	Epoch        uint64
+	PriorRunsTTL time.Duration
 	// Done are the tasks that have ended well of jobs that haven't ended.
 	Done []workload.TaskName
 	// Ended are jobs that have ended of late.
@@ -41,7 +41,7 @@
 
 // Progress returns what the next scheduler should know.
 func (s *Scheduler) Progress(now Time) Progress {
-	p := Progress{Epoch: s.custody.epoch, Unknown: max(0, s.custody.knownFrom-now)}
+	p := Progress{Epoch: s.custody.epoch, PriorRunsTTL: max(0, s.custody.knownFrom-now)}
 	for _, j := range s.jobsInOrder() {
 		j.each(func(t *taskState) {
 			if t.phase == done {
@@ -60,17 +60,17 @@
 	return p
 }
 
-// Await holds back jobs that another scheduler had until its Progress comes, or the
+// AwaitProgress holds back jobs that another scheduler had until its Progress comes, or the
 // process is lost.
-func (s *Scheduler) Await(now Time, from EntryID) {
+func (s *Scheduler) AwaitProgress(now Time, from EntryID) {
 	s.awaited = from
 	s.awaitUntil = now + progressWait
 }
 
 func (s *Scheduler) awaitNoLonger() { s.awaited, s.awaitUntil = "", 0 }
 
-// Learn takes the Progress of the scheduler before.
-func (s *Scheduler) Learn(now Time, p Progress) {
+// ApplyProgress takes the Progress of the scheduler before.
+func (s *Scheduler) ApplyProgress(now Time, p Progress) {
 	s.now = now
 	s.awaitNoLonger()
 	s.handedOver(p)
@@ -96,7 +96,7 @@
 	if !s.custody.loaded || p.Epoch == 0 || p.Epoch+1 != s.custody.epoch {
 		return
 	}
-	s.custody.knownFrom = min(s.custody.knownFrom, s.now+p.Unknown)
+	s.custody.knownFrom = min(s.custody.knownFrom, s.now+p.PriorRunsTTL)
 	for _, j := range s.jobs {
 		if j.stored != nil {
 			j.knownFrom = min(j.knownFrom, s.custody.knownFrom)
--- a/core/schedule/reach.go
+++ b/core/schedule/reach.go
@@ -55,7 +55,7 @@
 	}
 	r.holding = true
 	r.heldAt = s.now
-	s.emit(Hold{Runner: r.info.ID, Address: r.info.Address, Token: presenceToken, Presence: true, Timeout: s.callTimeout()})
+	s.emit(Hold{Runner: r.info.ID, Address: r.info.Address, Token: presenceToken, ReachabilityOnly: true, Timeout: s.callTimeout()})
 }
 
 // present takes what came of it.
--- a/core/schedule/reach_test.go
+++ b/core/schedule/reach_test.go
@@ -11,7 +11,7 @@
 // entry VMs of its failure domain.
 func cutOff(t *testing.T) *bench {
 	b := leading(t, testRunner("near"), testRunner("far"))
-	b.s.SetMissing(true)
+	b.s.SetUnreachable(true)
 	b.silentFor("far", 2*time.Second)
 	return b
 }
@@ -40,7 +40,7 @@
 				b.held(h)
 				continue
 			}
-			b.g.Expect(h.Presence).To(BeTrue())
+			b.g.Expect(h.ReachabilityOnly).To(BeTrue())
 			b.g.Expect(h.Token).To(BeZero())
 			b.answerHold(h, Fenced)
 			return
@@ -69,7 +69,7 @@
 // Once all other VMs are heard nobody else can lead, and it is taken at once.
 func TestRunnersAreTakenWhenAllAreHeard(t *testing.T) {
 	b := cutOff(t)
-	b.s.SetMissing(false)
+	b.s.SetUnreachable(false)
 	b.wait(600 * ms)
 	b.g.Expect(b.s.runners["far"].usable(b.now)).To(BeTrue())
 }
--- a/core/schedule/records.go
+++ b/core/schedule/records.go
@@ -71,7 +71,7 @@
 		if k, ok := s.custody.kept[rec.Job]; ok && rec.Sequence >= k.saving {
 			k.saving = 0
 			s.custody.kept[rec.Job] = k
-			s.emit(Settled{Job: rec.Job, State: k.jobState()})
+			s.emit(OutcomeSaved{Job: rec.Job, State: k.jobState()})
 		}
 	}
 	s.acknowledgeAll()
@@ -103,7 +103,7 @@
 		s.keepMove(j.movingRecord(), s.now-j.arrived)
 	}
 	delete(s.jobs, j.work.ID)
-	s.emit(Settled{Job: j.work.ID, State: s.custody.kept[j.work.ID].jobState()})
+	s.emit(OutcomeSaved{Job: j.work.ID, State: s.custody.kept[j.work.ID].jobState()})
 }
 
 func (s *Scheduler) keep(id workload.JobID, state ledger.State, restarted bool) {
--- a/core/schedule/restore.go
+++ b/core/schedule/restore.go
@@ -86,7 +86,7 @@
 // there may be others, in a failure domain that is cut off from the store.
 func (s *Scheduler) knownFrom(claimedAt Time) Time {
 	if p := s.custody.before; p != nil && p.Epoch > 0 && p.Epoch+1 == s.custody.epoch {
-		return s.now + p.Unknown
+		return s.now + p.PriorRunsTTL
 	}
 	return claimedAt + storedUnknown
 }
--- a/core/schedule/restore_test.go
+++ b/core/schedule/restore_test.go
@@ -56,7 +56,7 @@
 	b.s.Lead(b.now)
 	b.held(one[Hold](b))
 	b.own(3, openRecord(j, 2))
-	b.s.Learn(b.now, Progress{Epoch: 2})
+	b.s.ApplyProgress(b.now, Progress{Epoch: 2})
 	for _, h := range take[Hold](b) {
 		b.held(h)
 	}
@@ -71,7 +71,7 @@
 	b.s.Lead(b.now)
 	b.held(one[Hold](b))
 	b.own(4, openRecord(j, 2))
-	b.s.Learn(b.now, Progress{Epoch: 2})
+	b.s.ApplyProgress(b.now, Progress{Epoch: 2})
 	b.wait(storedUnknown / 2)
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 }
@@ -84,7 +84,7 @@
 	j := storedJob(1, 2*time.Second)
 	b.accepted(j)
 	b.started(one[Start](b), Accepted)
-	b.s.SetAllHeard(false, b.now)
+	b.s.SetAllReachable(false, b.now)
 	b.tick(custodyAge + 40*ms)
 	b.g.Expect(one[Stop](b).Run).To(Equal(runOf(j, 0, 1)))
 	b.g.Expect(b.s.State("00000000000000ff", b.now).Unsure).To(BeTrue())
@@ -94,9 +94,9 @@
 	_, done := b.s.Cancel(b.now, other.ID)
 	b.g.Expect(done).To(BeTrue())
 	b.g.Expect(take[Save](b)).To(BeEmpty())
-	b.s.SetAllHeard(true, b.now)
+	b.s.SetAllReachable(true, b.now)
 	b.g.Expect(b.s.sure()).To(BeFalse(), "those that are heard again may have taken the jobs meanwhile")
-	b.s.Verified(b.now, b.now)
+	b.s.RowOwnershipVerified(b.now, b.now)
 	b.g.Expect(b.s.sure()).To(BeTrue())
 }
 
@@ -110,7 +110,7 @@
 	b.end("r1", 1, runOf(j, 0, 1), workload.Done)
 	b.submit(waits, 2*time.Second)
 	take[Save](b)
-	b.s.CustodyLost(b.now)
+	b.s.RowOwnershipLost(b.now)
 	b.g.Expect(one[Answer](b).Outcome).To(Equal(workload.GaveUp))
 	b.tick(300 * ms)
 	for _, h := range take[Hold](b) {
@@ -154,7 +154,7 @@
 	b.s.SetContested(true)
 	b.s.runners[first.Runner].doubt(b.now)
 	for range 50 {
-		b.s.Verified(b.now, b.now)
+		b.s.RowOwnershipVerified(b.now, b.now)
 		b.tick(20 * ms)
 	}
 	b.g.Expect(take[Start](b)).To(BeEmpty())
@@ -172,7 +172,7 @@
 	b.s.runners[first.Runner].doubt(b.now)
 	b.tick(time.Second)
 	b.g.Expect(take[Start](b)).To(BeEmpty())
-	b.s.SetStoreTrouble(storeTrouble + ms)
+	b.s.SetStoreFailingFor(storeTrouble + ms)
 	b.tick(20 * ms)
 	b.g.Expect(one[Start](b).Runner).NotTo(Equal(first.Runner))
 }
@@ -208,23 +208,23 @@
 		b.s.Lead(b.now)
 		b.held(one[Hold](b), workload.End{Sequence: 1, Run: runOf(j, 0, 1), Kind: workload.Done})
 		if retired {
-			b.s.Learn(b.now, Progress{Epoch: 1})
+			b.s.ApplyProgress(b.now, Progress{Epoch: 1})
 		}
 		claimed := b.now
 		b.own(2, openRecord(j, 1))
 		saves := take[Save](b)
 		b.saved(saves[len(saves)-1])
 		if retired {
-			b.g.Expect(one[Settled](b).State.Outcome).To(Equal(workload.Completed))
+			b.g.Expect(one[OutcomeSaved](b).State.Outcome).To(Equal(workload.Completed))
 			continue
 		}
 		for b.now < claimed+custodyAge {
-			b.g.Expect(take[Settled](b)).To(BeEmpty())
+			b.g.Expect(take[OutcomeSaved](b)).To(BeEmpty())
 			b.g.Expect(b.s.State(j.ID, b.now).Ended).To(BeFalse())
 			b.wait(20 * ms)
 		}
 		b.wait(ownerSlack + 20*ms)
-		b.g.Expect(one[Settled](b).State.Outcome).To(Equal(workload.Completed))
+		b.g.Expect(one[OutcomeSaved](b).State.Outcome).To(Equal(workload.Completed))
 	}
 }
 
--- a/core/schedule/results.go
+++ b/core/schedule/results.go
@@ -24,7 +24,7 @@
 	if r == nil || r.gone || !s.leading {
 		return
 	}
-	if res.Presence {
+	if res.ReachabilityOnly {
 		s.present(r, res)
 		return
 	}
@@ -35,7 +35,7 @@
 		s.dispatch()
 		return
 	}
-	if res.Look {
+	if res.ListOnly {
 		r.looking = false
 	} else {
 		r.holding = false
@@ -385,7 +385,7 @@
 	switch res.Outcome {
 	case Accepted:
 		if u != nil {
-			s.noteStopped(u, res.Clock.At)
+			s.noteStopped(u, res.Clock.ReceivedAt)
 		}
 	case Fenced:
 		s.lose(r)
--- a/core/schedule/runner.go
+++ b/core/schedule/runner.go
@@ -129,12 +129,12 @@
 // sawClock takes a reading. A reading is never ahead of the runner's clock:
 // the answer was written before it came. So lease ends computed from it are
 // never later than meant.
-func (r *runner) sawClock(c Reading) {
-	if c.Milliseconds == 0 || c.At < r.clockAt {
+func (r *runner) sawClock(c ClockReading) {
+	if c.Milliseconds == 0 || c.ReceivedAt < r.clockAt {
 		return
 	}
 	r.clock = c.Milliseconds
-	r.clockAt = c.At
+	r.clockAt = c.ReceivedAt
 }
 
 // leaseEnd is the end of a lease from now on, on the runner's clock; 0 if that
--- a/core/schedule/safety_test.go
+++ b/core/schedule/safety_test.go
@@ -47,7 +47,7 @@
 	b.stopped(stop, Accepted)
 	b.g.Expect(take[Start](b)).To(BeEmpty(), "what is stopped may still run for a moment")
 	look := one[Hold](b)
-	b.g.Expect(look.Look).To(BeTrue())
+	b.g.Expect(look.ListOnly).To(BeTrue())
 	b.now += 2 * ms
 	b.held(look)
 	elsewhere := one[Start](b)
@@ -128,7 +128,7 @@
 	b.silence(entryFresh + 20*ms)
 	b.end("r1", 1, running[0].Run, workload.Done)
 	b.g.Expect(take[Start](b)).To(BeEmpty())
-	b.s.Heard(b.now, entryA)
+	b.s.EntryAlive(b.now, entryA)
 	b.silence(20 * ms)
 	b.g.Expect(one[Start](b).Run.Task.Job).To(Equal(waits.ID))
 }
@@ -162,7 +162,7 @@
 	}
 	b.submit(testJob(1, 50*ms), 2*time.Second)
 	b.g.Expect(take[Start](b)).To(BeEmpty(), "a start would renew the lease of all that runs there")
-	b.s.Submit(b.now, Submission{Job: j, Entry: entryA, Due: time.Second, Patience: 2 * time.Second, Handed: 1, Unknown: time.Second})
+	b.s.Submit(b.now, Submission{Job: j, Entry: entryA, RemainingObjective: time.Second, RemainingTimeout: 2 * time.Second, PriorSubmissions: 1, PriorRunsTTL: time.Second})
 	b.g.Expect(take[Stop](b)).To(BeEmpty())
 	for _, c := range take[Start](b) {
 		b.g.Expect(c.Run.Task.Job).NotTo(Equal(j.ID))
@@ -212,7 +212,7 @@
 		}
 	}
 	handed := b.now
-	b.s.Submit(b.now, Submission{Job: testJob(1, 50*ms), Entry: entryA, Due: time.Second, Patience: 3 * time.Second, Handed: 1, Unknown: 1300 * ms})
+	b.s.Submit(b.now, Submission{Job: testJob(1, 50*ms), Entry: entryA, RemainingObjective: time.Second, RemainingTimeout: 3 * time.Second, PriorSubmissions: 1, PriorRunsTTL: 1300 * ms})
 	for range 100 {
 		b.tick(20 * ms)
 		for _, h := range take[Hold](b) {
@@ -236,7 +236,7 @@
 func TestListsFromBeforeTheJob(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	b.now += ms
-	b.s.Submit(b.now, Submission{Job: testJob(1, 50*ms), Entry: entryA, Due: time.Second, Patience: 3 * time.Second, Handed: 1, Unknown: 1300 * ms})
+	b.s.Submit(b.now, Submission{Job: testJob(1, 50*ms), Entry: entryA, RemainingObjective: time.Second, RemainingTimeout: 3 * time.Second, PriorSubmissions: 1, PriorRunsTTL: 1300 * ms})
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 	looks := take[Hold](b)
 	b.g.Expect(looks).To(HaveLen(2))
@@ -283,7 +283,7 @@
 	b.answerHold(one[Hold](b), Fenced)
 	b.tick(100 * ms)
 	b.g.Expect(take[Hold](b)).To(BeEmpty())
-	b.s.Retake(b.now)
+	b.s.ReacquireRunners(b.now)
 	b.g.Expect(one[Hold](b).Token).To(BeNumerically(">", 0))
 }
 
@@ -292,7 +292,7 @@
 // take them from the leader, and all callers would wait.
 func TestHandInWithoutTheLead(t *testing.T) {
 	b := newBench(t, testRunner("r1"))
-	b.s.Submit(b.now, Submission{Job: testJob(1, 50*ms), Entry: entryA, Due: time.Second, Patience: 3 * time.Second, Handed: 1, Unknown: 1300 * ms})
+	b.s.Submit(b.now, Submission{Job: testJob(1, 50*ms), Entry: entryA, RemainingObjective: time.Second, RemainingTimeout: 3 * time.Second, PriorSubmissions: 1, PriorRunsTTL: 1300 * ms})
 	b.tick(200 * ms)
 	b.g.Expect(take[Hold](b)).To(BeEmpty())
 }
@@ -361,7 +361,7 @@
 		}
 		b.answerHold(h, Accepted, again, other)
 	}
-	b.s.Submit(b.now, Submission{Job: j, Entry: entryA, Due: time.Second, Patience: 2 * time.Second, Handed: 2, Unknown: time.Second})
+	b.s.Submit(b.now, Submission{Job: j, Entry: entryA, RemainingObjective: time.Second, RemainingTimeout: 2 * time.Second, PriorSubmissions: 2, PriorRunsTTL: time.Second})
 	b.s.lose(b.s.runners["r2"])
 	b.g.Expect(b.s.jobs[j.ID].open).To(Equal([]int{1}))
 	b.g.Expect(b.s.jobs[j.ID].waiting).To(Equal(1))
@@ -379,7 +379,7 @@
 	} {
 		b := leading(t, testRunner("r1"))
 		j := testJob(1, 500*ms)
-		b.s.Submit(b.now, Submission{Job: j, Entry: entryA, Due: j.Objective, Patience: 2 * time.Second, Guest: true})
+		b.s.Submit(b.now, Submission{Job: j, Entry: entryA, RemainingObjective: j.Objective, RemainingTimeout: 2 * time.Second, Foreign: true})
 		b.collect()
 		b.started(one[Start](b), Accepted)
 		gone(b, j)
@@ -400,6 +400,6 @@
 	b.submit(j, 500*ms)
 	b.g.Expect(one[Answer](b).Outcome).To(Equal(workload.NotRun))
 	b.s.EntryLost(b.now, entryA, false)
-	b.s.Submit(b.now, Submission{Job: j, Entry: "front-2#2", Due: j.Objective, Patience: 500 * ms})
+	b.s.Submit(b.now, Submission{Job: j, Entry: "front-2#2", RemainingObjective: j.Objective, RemainingTimeout: 500 * ms})
 	b.g.Expect(one[Answer](b).Outcome).To(Equal(workload.GaveUp))
 }
--- a/core/schedule/schedule.go
+++ b/core/schedule/schedule.go
@@ -42,8 +42,8 @@
 
 // Config is the limits of a scheduler.
 type Config struct {
-	// Number tells this process's fencing tokens from those of all others.
-	Number uint64
+	// ProcessNumber tells this process's fencing tokens from those of all others.
+	ProcessNumber uint64
 	// Lease is how long a run lives without a renewal, and so the time until
 	// the work of a runner that fell silent is started elsewhere.
 	//
@@ -132,9 +132,9 @@
 	// unsureWindow is how long after another scheduler was in charge a job may
 	// come that it had: callers wait up to 2.7 s.
 	unsureWindow = 4 * time.Second
-	// MissingMost is how long a silent process is thought to be alive behind a
+	// UnreachableTimeout is how long a silent process is thought to be alive behind a
 	// cut; VMs that are lost for good don't come back.
-	MissingMost = 30 * time.Second
+	UnreachableTimeout = 30 * time.Second
 	// entryFresh is how lately an entry VM must have been heard for its tasks to
 	// be started, in heartbeats two: it misses a scheduler after three, counted from
 	// one heartbeat earlier at most. Those that have lapsed wait for entryWait then, in which it is heard again or counts as lost. After a cut a run
@@ -251,7 +251,7 @@
 func New(cfg Config) *Scheduler {
 	return &Scheduler{
 		cfg:       cfg,
-		term:      cfg.Number,
+		term:      cfg.ProcessNumber,
 		runners:   make(map[workload.RunnerID]*runner),
 		jobs:      make(map[workload.JobID]*job),
 		offered:   make(map[string]*offeredLoad),
@@ -270,16 +270,16 @@
 // Term is the highest term seen; tokens of a higher term win.
 func (s *Scheduler) Term() uint64 { return s.term }
 
-// SeeTerm notes the term of another scheduler.
-func (s *Scheduler) SeeTerm(term uint64) { s.term = max(s.term, term) }
+// ObserveTerm notes the term of another scheduler.
+func (s *Scheduler) ObserveTerm(term uint64) { s.term = max(s.term, term) }
 
-// SeeVersion notes a version of a row of the store that was given out of late. The
+// ObserveVersion notes a version of a row of the store that was given out of late. The
 // numbers of processes, where terms begin, are such versions.
-func (s *Scheduler) SeeVersion(version uint64) { s.version = max(s.version, version) }
+func (s *Scheduler) ObserveVersion(version uint64) { s.version = max(s.version, version) }
 
-// SetNumber sets the number that a process learns when it registers.
-func (s *Scheduler) SetNumber(n uint64) {
-	s.cfg.Number = n
+// SetProcessNumber sets the number that a process learns when it registers.
+func (s *Scheduler) SetProcessNumber(n uint64) {
+	s.cfg.ProcessNumber = n
 	s.term = max(s.term, n)
 }
 
@@ -290,7 +290,7 @@
 func (s *Scheduler) Counters() Counters { return s.ctr }
 
 func (s *Scheduler) token() uint64 {
-	return s.term<<numberBits | s.cfg.Number&(1<<numberBits-1)
+	return s.term<<numberBits | s.cfg.ProcessNumber&(1<<numberBits-1)
 }
 
 // Ready returns the commands since the last call.
--- a/core/schedule/simulation_test.go
+++ b/core/schedule/simulation_test.go
@@ -122,8 +122,8 @@
 	}
 	for _, list := range lists {
 		sch := New(DefaultConfig())
-		sch.SetNumber(7)
-		sch.SetNoStored(true)
+		sch.SetProcessNumber(7)
+		sch.SetNoStoredJobs(true)
 		sch.SetRunners(s.now, list)
 		sch.Lead(s.now)
 		s.shards = append(s.shards, sch)
@@ -163,7 +163,7 @@
 		if s.now >= nextTick {
 			nextTick += 20 * ms
 			for _, sch := range s.shards {
-				sch.Heard(s.now, entryA)
+				sch.EntryAlive(s.now, entryA)
 				sch.Tick(s.now)
 			}
 		}
@@ -195,12 +195,12 @@
 		j.tasks = append(j.tasks, time.Duration(float64(work)*s.spread(taskSpread)))
 	}
 	s.jobs[w.ID] = j
-	sub := Submission{Job: w, Entry: entryA, Due: w.Objective, Patience: patienceBase + lateFactor*j.objective, Domain: s.domains[s.rng.IntN(len(s.domains))]}
+	sub := Submission{Job: w, Entry: entryA, RemainingObjective: w.Objective, RemainingTimeout: patienceBase + lateFactor*j.objective, Domain: s.domains[s.rng.IntN(len(s.domains))]}
 	s.shards[s.route(w)].Submit(s.now, sub)
 }
 
-func (s *simulation) clock() Reading {
-	return Reading{Milliseconds: clockAtZero + s.now.Milliseconds(), At: s.now, SentAt: s.now}
+func (s *simulation) clock() ClockReading {
+	return ClockReading{Milliseconds: clockAtZero + s.now.Milliseconds(), ReceivedAt: s.now, SentAt: s.now}
 }
 
 func (s *simulation) carryOut(sch *Scheduler) {
@@ -216,7 +216,7 @@
 				})
 			case Hold:
 				if c.Wait == 0 {
-					sch.Held(s.now, HoldResult{Runner: c.Runner, Token: c.Token, Look: c.Look, Presence: c.Presence, Outcome: Accepted, Clock: s.clock(), Running: s.running(sch, c.Runner)})
+					sch.Held(s.now, HoldResult{Runner: c.Runner, Token: c.Token, ListOnly: c.ListOnly, ReachabilityOnly: c.ReachabilityOnly, Outcome: Accepted, Clock: s.clock(), Running: s.running(sch, c.Runner)})
 				}
 			case Answer:
 				s.answer(c)
--- a/core/schedule/stored.go
+++ b/core/schedule/stored.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// cancelStored ends a stored job for its caller. done is false if a Settled
+// cancelStored ends a stored job for its caller. done is false if an OutcomeSaved
 // follows when the store has it.
 func (s *Scheduler) cancelStored(id workload.JobID) (state JobState, done bool) {
 	if !s.sure() {
--- a/core/schedule/stored_test.go
+++ b/core/schedule/stored_test.go
@@ -103,9 +103,9 @@
 	save := one[Save](b)
 	b.g.Expect(save.Record.State).To(Equal(ledger.Completed))
 	b.g.Expect(b.s.State(j.ID, b.now)).To(Equal(JobState{Known: true, Begun: true, Ending: true, Running: true}))
-	b.g.Expect(take[Settled](b)).To(BeEmpty())
+	b.g.Expect(take[OutcomeSaved](b)).To(BeEmpty())
 	b.saved(save)
-	b.g.Expect(one[Settled](b).State.Outcome).To(Equal(workload.Completed))
+	b.g.Expect(one[OutcomeSaved](b).State.Outcome).To(Equal(workload.Completed))
 	b.g.Expect(b.s.State(j.ID, b.now)).To(Equal(JobState{Known: true, Ended: true, Outcome: workload.Completed}))
 }
 
@@ -122,7 +122,7 @@
 	save := one[Save](b)
 	b.g.Expect(save.Record.State).To(Equal(ledger.Cancelled))
 	b.saved(save)
-	b.g.Expect(one[Settled](b).State.Outcome).To(Equal(workload.Cancelled))
+	b.g.Expect(one[OutcomeSaved](b).State.Outcome).To(Equal(workload.Cancelled))
 	state, done := b.s.Cancel(b.now, j.ID)
 	b.g.Expect(done).To(BeTrue())
 	b.g.Expect(state.Known).To(BeTrue())
@@ -135,7 +135,7 @@
 	j := storedJob(1, 100*ms)
 	b.s.Cancel(b.now, j.ID)
 	b.saved(one[Save](b))
-	b.g.Expect(one[Settled](b).State.Known).To(BeFalse())
+	b.g.Expect(one[OutcomeSaved](b).State.Known).To(BeFalse())
 	b.g.Expect(b.s.State(j.ID, b.now).Known).To(BeFalse())
 	b.submit(j, 2*time.Second)
 	b.g.Expect(one[Answer](b).Outcome).To(Equal(workload.Accepted))
@@ -151,7 +151,7 @@
 	waits, late := storedJob(1, 100*ms), storedJob(1, 100*ms)
 	b.submit(waits, 500*ms)
 	save := one[Save](b)
-	b.s.SetStoreTrouble(storeTrouble + ms)
+	b.s.SetStoreFailingFor(storeTrouble + ms)
 	b.submit(late, 2*time.Second)
 	refused := one[Answer](b)
 	b.g.Expect(refused.Outcome).To(Equal(workload.NotRun))
@@ -191,7 +191,7 @@
 	b.s.Cancel(b.now, j.ID)
 	b.saved(take[Save](b)...)
 	b.now += b.s.cfg.Retention + keptExtra
-	b.s.Verified(b.now, b.now)
+	b.s.RowOwnershipVerified(b.now, b.now)
 	b.s.Tick(b.now)
 	b.g.Expect(one[Save](b).Record.State).To(Equal(ledger.Forgotten))
 	b.g.Expect(b.s.State(j.ID, b.now).Known).To(BeFalse())
@@ -295,12 +295,12 @@
 func TestAJobIsNotDeniedWhileAnotherIsAboutToLead(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	asked := b.now
-	b.s.Verified(asked, asked)
+	b.s.RowOwnershipVerified(asked, asked)
 	b.g.Expect(b.s.State("00000000000000ff", asked).Unsure).To(BeFalse())
 	b.g.Expect(b.s.State("00000000000000ff", asked+ms).Unsure).To(BeTrue(), "all are heard, which proves nothing")
 	b.s.SetContested(true)
 	b.g.Expect(b.s.State("00000000000000ff", asked+ms).Unsure).To(BeTrue())
-	b.s.Verified(asked+10*ms, asked+5*ms)
+	b.s.RowOwnershipVerified(asked+10*ms, asked+5*ms)
 	b.g.Expect(b.s.State("00000000000000ff", asked+ms).Unsure).To(BeFalse(), "the store has proved it since")
 }
 
@@ -311,7 +311,7 @@
 	b := newBench(t, testRunner("r1"))
 	b.submit(storedJob(1, 100*ms), 2*time.Second)
 	b.submit(testJob(1, 100*ms), 2*time.Second)
-	b.s.EntryReset(b.now, entryA)
+	b.s.EntryDisconnected(b.now, entryA)
 	b.s.Lead(b.now)
 	b.own(1)
 	b.held(take[Hold](b)[0])
--- a/core/schedule/submit.go
+++ b/core/schedule/submit.go
@@ -10,20 +10,20 @@
 type Submission struct {
 	Job   *workload.Job
 	Entry EntryID
-	// Due and Patience are the rest of the latency objective and of the time
+	// RemainingObjective and RemainingTimeout are the rest of the latency objective and of the time
 	// that the caller waits.
-	Due      time.Duration
-	Patience time.Duration
-	// Handed counts how often the entry VM handed the job in before, to this
+	RemainingObjective time.Duration
+	RemainingTimeout   time.Duration
+	// PriorSubmissions counts how often the entry VM handed the job in before, to this
 	// scheduler or others.
-	Handed int
-	// Unknown is how much longer runs may be alive that an earlier scheduler
+	PriorSubmissions int
+	// PriorRunsTTL is how much longer runs may be alive that an earlier scheduler
 	// has started.
-	Unknown time.Duration
+	PriorRunsTTL time.Duration
 	// Domain is the failure domain of the entry VM; "" if it isn't known.
 	Domain string
-	// Guest: the job belongs to another shard, to which copies of it go.
-	Guest bool
+	// Foreign: the job belongs to another shard, to which copies of it go.
+	Foreign bool
 }
 
 // lateFactor times its objective is when a job's answer is worth nothing any
@@ -55,20 +55,20 @@
 		j.entry = sub.Entry
 		j.abandonedAt = 0
 		j.withdrawn = false
-		j.deadline = max(j.deadline, now+sub.Patience)
+		j.deadline = max(j.deadline, now+sub.RemainingTimeout)
 		s.handedBefore(j, sub)
 		s.dispatch()
 		return
 	}
 	s.ctr.Submitted++
 	j := newJob(sub.Job, now)
-	j.entry, j.domain, j.guest = sub.Entry, sub.Domain, sub.Guest
-	j.deadline = now + sub.Patience
+	j.entry, j.domain, j.guest = sub.Entry, sub.Domain, sub.Foreign
+	j.deadline = now + sub.RemainingTimeout
 	// What isn't done when its caller has left is worth nothing, however long
 	// its objective.
-	j.due = min(now+sub.Due, j.deadline)
+	j.due = min(now+sub.RemainingObjective, j.deadline)
 	// The objective counts from the caller's first send; a part of it may be over.
-	j.useless = min(now+sub.Due+(lateFactor-1)*sub.Job.Objective, j.deadline)
+	j.useless = min(now+sub.RemainingObjective+(lateFactor-1)*sub.Job.Objective, j.deadline)
 	s.handedBefore(j, sub)
 	if _, ok := s.ran[id]; ok {
 		j.started = true
@@ -91,15 +91,15 @@
 
 // handedBefore notes what other schedulers may have started of a job.
 func (s *Scheduler) handedBefore(j *job, sub Submission) {
-	if sub.Handed <= j.handed {
+	if sub.PriorSubmissions <= j.handed {
 		return
 	}
-	j.handed = sub.Handed
+	j.handed = sub.PriorSubmissions
 	j.started = true
-	j.knownFrom = s.now + sub.Unknown
+	j.knownFrom = s.now + sub.PriorRunsTTL
 	j.listsSince = s.now
 	s.listsWanted = s.now
-	j.each(func(t *taskState) { t.lastNumber = max(t.lastNumber, sub.Handed*runsPerHand) })
+	j.each(func(t *taskState) { t.lastNumber = max(t.lastNumber, sub.PriorSubmissions*runsPerHand) })
 	s.lookAtAll(j.work.Service)
 }
 
@@ -268,7 +268,7 @@
 
 // Cancel ends a job for its caller, and tells what has come of it. A job
 // that comes later under the id doesn't run. done is false if that is yet to be
-// written to the store; a Settled follows then.
+// written to the store; an OutcomeSaved follows then.
 func (s *Scheduler) Cancel(now Time, id workload.JobID) (state JobState, done bool) {
 	s.now = now
 	if j := s.jobs[id]; j != nil && j.stored == nil {
--- a/core/schedule/tick.go
+++ b/core/schedule/tick.go
@@ -156,7 +156,7 @@
 	}
 	s.expiredAt = s.now
 	dropBefore(s.cancelled, s.now-resultRetention)
-	dropBefore(s.missing, s.now-MissingMost)
+	dropBefore(s.missing, s.now-UnreachableTimeout)
 	dropBefore(s.ran, s.now-ranRetention)
 	dropBefore(s.unstored, s.now-ranRetention)
 	dropBefore(s.found, s.now-s.cfg.Resend-limboWait)
--- a/entry/calls.go
+++ b/entry/calls.go
@@ -43,21 +43,21 @@
 	clock := p.reading(sent, a.CallAnswer)
 	p.post(func(now Time) {
 		p.node.Held(now, shard, schedule.HoldResult{
-			Runner:      c.Runner,
-			Token:       c.Token,
-			Look:        c.Look,
-			Presence:    c.Presence,
-			Outcome:     a.Outcome,
-			Running:     a.Running,
-			Checkpoints: a.Checkpoints,
-			Ends:        a.Ends,
-			Clock:       clock,
+			Runner:           c.Runner,
+			Token:            c.Token,
+			ListOnly:         c.ListOnly,
+			ReachabilityOnly: c.ReachabilityOnly,
+			Outcome:          a.Outcome,
+			Running:          a.Running,
+			Checkpoints:      a.Checkpoints,
+			Ends:             a.Ends,
+			Clock:            clock,
 		})
 	})
 }
 
-func (p *Process) reading(sent time.Time, a CallAnswer) schedule.Reading {
-	return schedule.Reading{Milliseconds: a.Clock, At: p.clock.now(), SentAt: p.clock.at(sent), Born: a.Born}
+func (p *Process) reading(sent time.Time, a CallAnswer) schedule.ClockReading {
+	return schedule.ClockReading{Milliseconds: a.Clock, ReceivedAt: p.clock.now(), SentAt: p.clock.at(sent), Born: a.Born}
 }
 
 func (p *Process) callDone(kind string, sent time.Time, a CallAnswer) {
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -450,7 +450,7 @@
 }
 
 func progressMessage(p fleet.Progress) *pb.FleetMessage {
-	m := &pb.Progress{Shard: uint32(p.Shard), Epoch: p.Epoch, UnknownMs: p.Unknown.Milliseconds()}
+	m := &pb.Progress{Shard: uint32(p.Shard), Epoch: p.Epoch, UnknownMs: p.PriorRunsTTL.Milliseconds()}
 	for _, t := range p.Done {
 		m.Done = append(m.Done, t.String())
 	}
@@ -463,7 +463,7 @@
 // progressOf leaves out names that can't be read: their tasks may run again.
 func progressOf(m *pb.Progress) fleet.Progress {
 	p := fleet.Progress{Shard: int(m.GetShard())}
-	p.Epoch, p.Unknown = m.GetEpoch(), milliseconds(m.GetUnknownMs())
+	p.Epoch, p.PriorRunsTTL = m.GetEpoch(), milliseconds(m.GetUnknownMs())
 	for _, name := range m.GetDone() {
 		if t, err := workload.ParseTaskName(name); err == nil {
 			p.Done = append(p.Done, t)
