--- a/core/schedule/accept.go
+++ b/core/schedule/accept.go
@@ -12,12 +12,12 @@
 // submitStored takes a stored job, or another copy of one.
 func (s *Scheduler) submitStored(sub Submission) {
 	id := sub.Job.ID
-	s.custody.askedAt = s.now
-	if !s.custody.loaded {
+	s.rows.lastRequestAt = s.now
+	if !s.rows.loaded {
 		s.submitEarly(sub)
 		return
 	}
-	if k, ok := s.custody.kept[id]; ok {
+	if k, ok := s.rows.retained[id]; ok {
 		s.submitEnded(sub, k)
 		return
 	}
@@ -29,8 +29,8 @@
 	j := newJob(sub.Job, s.now)
 	j.entry = sub.Entry
 	j.setDue(s.now, sub.RemainingObjective)
-	s.timed(j)
-	if !s.sure() {
+	s.updateDue(j)
+	if !s.ownsRows() {
 		s.answer(sub.Entry, id, workload.GaveUp, "another process may schedule")
 		return
 	}
@@ -38,23 +38,23 @@
 		s.refuse(Answer{Entry: sub.Entry, Job: id, Outcome: workload.NotRun, Reason: reason, RetryAfter: s.retryAfter(j)})
 		return
 	}
-	j.stored = &stored{epoch: s.custody.epoch, waiters: map[EntryID]Time{sub.Entry: s.now + sub.RemainingTimeout}}
+	j.stored = &stored{epoch: s.rows.epoch, waiters: map[EntryID]Time{sub.Entry: s.now + sub.RemainingTimeout}}
 	s.jobs[id] = j
-	s.custody.open++
+	s.rows.open++
 	s.save(j)
 }
 
 // submitEnded takes another copy of a job that has ended.
-func (s *Scheduler) submitEnded(sub Submission, k kept) {
+func (s *Scheduler) submitEnded(sub Submission, k retained) {
 	id := sub.Job.ID
-	if k.saving > 0 || !s.sure() {
+	if k.saving > 0 || !s.ownsRows() {
 		s.answer(sub.Entry, id, workload.GaveUp, "the job's end is being written")
 		return
 	}
 	s.answer(sub.Entry, id, workload.Accepted, "known")
 	if k.state == ledger.CancelledEarly {
 		// From now on its caller may ask for it.
-		s.keepAndSave(id, ledger.Cancelled)
+		s.retainAndSave(id, ledger.Cancelled)
 	}
 }
 
@@ -70,7 +70,7 @@
 // storedRefusal is the reason why a job isn't accepted; "" if it is. Nothing of
 // it has been written, so a refusal is true.
 func (s *Scheduler) storedRefusal(j *job) string {
-	if s.custody.failingFor > storeTrouble {
+	if s.rows.failingFor > storeFailureThreshold {
 		return "the store doesn't answer"
 	}
 	reason, _ := s.refusal(j)
@@ -86,18 +86,18 @@
 // refuse tells a caller that its job isn't accepted. If another process may have
 // accepted a copy of it, the ownership is proved first.
 func (s *Scheduler) refuse(a Answer) {
-	s.custody.refusals = append(s.custody.refusals, refusal{answer: a, since: s.now})
-	s.settleRefusals()
+	s.rows.refusals = append(s.rows.refusals, refusal{answer: a, since: s.now})
+	s.resolveRefusals()
 }
 
-// settleRefusals gives the refusals that are certain, and those that can't be.
-func (s *Scheduler) settleRefusals() {
-	s.custody.refusals = slices.DeleteFunc(s.custody.refusals, func(r refusal) bool {
+// resolveRefusals gives the refusals that are certain, and those that can't be.
+func (s *Scheduler) resolveRefusals() {
+	s.rows.refusals = slices.DeleteFunc(s.rows.refusals, func(r refusal) bool {
 		r.answer.At = s.now
 		switch {
-		case s.certain(r.since):
+		case s.knowsAllAccepted(r.since):
 			s.count(workload.NotRun)
-		case s.now-r.since > refusalWait:
+		case s.now-r.since > refusalTimeout:
 			r.answer.Outcome = workload.GaveUp
 			s.count(workload.GaveUp)
 		default:
@@ -117,35 +117,35 @@
 // submitEarly keeps a submission until it can be told whether the job is known.
 func (s *Scheduler) submitEarly(sub Submission) {
 	id := sub.Job.ID
-	if s.leading && s.custody.failingFor > storeTrouble {
+	if s.leading && s.rows.failingFor > storeFailureThreshold {
 		s.answer(sub.Entry, id, workload.GaveUp, "the store doesn't answer")
 		return
 	}
-	s.custody.early[id] = append(s.custody.early[id], earlySubmission{Submission: sub, at: s.now})
+	s.rows.early[id] = append(s.rows.early[id], earlySubmission{Submission: sub, at: s.now})
 }
 
 // dropEarly forgets the submissions of an entry process that has ended or is silent.
 func (s *Scheduler) dropEarly(entry EntryID) {
-	for _, id := range sortedKeys(s.custody.early) {
-		s.custody.early[id] = slices.DeleteFunc(s.custody.early[id], func(e earlySubmission) bool { return e.Entry == entry })
-		if len(s.custody.early[id]) == 0 {
-			delete(s.custody.early, id)
+	for _, id := range sortedKeys(s.rows.early) {
+		s.rows.early[id] = slices.DeleteFunc(s.rows.early[id], func(e earlySubmission) bool { return e.Entry == entry })
+		if len(s.rows.early[id]) == 0 {
+			delete(s.rows.early, id)
 		}
 	}
 }
 
 // expireEarly answers callers to whom nothing can be said.
 func (s *Scheduler) expireEarly() {
-	for _, id := range sortedKeys(s.custody.early) {
-		rest := slices.DeleteFunc(s.custody.early[id], func(e earlySubmission) bool {
-			expired := s.now-e.at > min(limboWait, e.RemainingTimeout)
+	for _, id := range sortedKeys(s.rows.early) {
+		rest := slices.DeleteFunc(s.rows.early[id], func(e earlySubmission) bool {
+			expired := s.now-e.at > min(leadershipTimeout, e.RemainingTimeout)
 			if expired {
 				s.answer(e.Entry, id, workload.GaveUp, "the stored jobs couldn't be read")
 			}
 			return expired
 		})
-		if s.custody.early[id] = rest; len(rest) == 0 {
-			delete(s.custody.early, id)
+		if s.rows.early[id] = rest; len(rest) == 0 {
+			delete(s.rows.early, id)
 		}
 	}
 }
@@ -155,13 +155,13 @@
 func (s *Scheduler) submitCopies(list []earlySubmission) {
 	id := list[0].Job.ID
 	s.submitStored(list[0].Submission)
-	_, known := s.custody.kept[id]
+	_, known := s.rows.retained[id]
 	known = known || s.jobs[id] != nil
 	for _, e := range list[1:] {
 		if known {
 			s.submitStored(e.Submission)
 			continue
 		}
-		s.refuse(Answer{Entry: e.Entry, Job: id, Outcome: workload.NotRun, Reason: "a copy was refused", RetryAfter: retryLeast})
+		s.refuse(Answer{Entry: e.Entry, Job: id, Outcome: workload.NotRun, Reason: "a copy was refused", RetryAfter: minRetryAfter})
 	}
 }
--- a/core/schedule/acknowledge.go
+++ b/core/schedule/acknowledge.go
@@ -38,15 +38,15 @@
 	return false
 }
 
-// note takes an end, and what must happen before it is acknowledged.
-func (s *Scheduler) note(r *runner, e workload.End) {
+// noteEnd takes an end, and what must happen before it is acknowledged.
+func (s *Scheduler) noteEnd(r *runner, e workload.End) {
 	l := listedEnd{end: e}
-	l.afterLapse = s.startedElsewhere(e)
+	l.afterLapse = s.mayHaveRestarted(e)
 	if l.afterLapse {
-		r.withheldUntil = max(r.withheldUntil, r.aliveUntil)
+		r.noLeaseUntil = max(r.noLeaseUntil, r.aliveUntil)
 	}
 	l.unknown, l.unknownSince = s.unknown(e.Run.Task.Job), s.now
-	if j := s.ended(r, e); j != nil && j.stored != nil && e.Kind <= workload.Failed {
+	if j := s.applyEnd(r, e); j != nil && j.stored != nil && e.Kind <= workload.Failed {
 		l.job, l.sequence = j.work.ID, j.stored.saving
 	}
 	r.ends = append(r.ends, l)
@@ -55,21 +55,21 @@
 // unknown reports whether a job may be a stored one that another process has
 // accepted.
 func (s *Scheduler) unknown(id workload.JobID) bool {
-	if s.custody.none || s.jobs[id] != nil {
+	if s.rows.noStoredJobs || s.jobs[id] != nil {
 		return false
 	}
-	if _, ok := s.custody.kept[id]; ok {
+	if _, ok := s.rows.retained[id]; ok {
 		return false
 	}
 	_, unstored := s.unstored[id]
 	return !unstored
 }
 
-// startedElsewhere reports whether the task of a run that ended well may have
+// mayHaveRestarted reports whether the task of a run that ended well may have
 // been started again since: here, as is known; by the scheduler that had started the
 // run, as the store knows; or by one between that and this one.
-func (s *Scheduler) startedElsewhere(e workload.End) bool {
-	k, ended := s.custody.kept[e.Run.Task.Job]
+func (s *Scheduler) mayHaveRestarted(e workload.End) bool {
+	k, ended := s.rows.retained[e.Run.Task.Job]
 	if ended && k.move != nil {
 		// What it says doesn't come to the shard that has the job.
 		return e.Kind <= workload.Failed
@@ -88,14 +88,14 @@
 	if t == nil {
 		return false
 	}
-	hand := e.Run.Number / runsPerHand
-	return t.startedAs > e.Run.Number || hand < j.handed-1 || hand < j.handed && j.stored.unseenBefore
+	hand := e.Run.Number / runsPerScheduler
+	return t.lastStarted > e.Run.Number || hand < j.priorSchedulers-1 || hand < j.priorSchedulers && j.stored.unseenByPredecessor
 }
 
-// settleEnds looks again at ends whose jobs may be stored ones, now that these
+// recheckEnds looks again at ends whose jobs may be stored ones, now that these
 // are known.
-func (s *Scheduler) settleEnds() {
-	for _, r := range s.list {
+func (s *Scheduler) recheckEnds() {
+	for _, r := range s.runnerList {
 		ends := r.ends
 		r.ends = nil
 		for _, l := range ends {
@@ -103,15 +103,15 @@
 				r.ends = append(r.ends, l)
 				continue
 			}
-			s.note(r, l.end)
+			s.noteEnd(r, l.end)
 		}
 	}
 	s.acknowledgeAll()
 }
 
-// unsettleEnds marks ends that aren't in the store as ones that may be those of
+// markEndsUnknown marks ends that aren't in the store as ones that may be those of
 // stored jobs, whose records have to be read again.
-func (r *runner) unsettleEnds() {
+func (r *runner) markEndsUnknown() {
 	for i := range r.ends {
 		if r.ends[i].sequence > 0 {
 			r.ends[i].unknown, r.ends[i].unknownSince = true, never
@@ -122,7 +122,7 @@
 // acknowledge moves the cursor over all ends that may be forgotten.
 func (s *Scheduler) acknowledge(r *runner) {
 	n := 0
-	for n < len(r.ends) && s.forgettable(r, r.ends[n]) {
+	for n < len(r.ends) && s.canAcknowledge(r, r.ends[n]) {
 		r.acknowledged = r.ends[n].end.Sequence
 		n++
 	}
@@ -132,29 +132,29 @@
 // acknowledgeAll moves all cursors. A runner that need list nothing again is
 // asked at once to wait for the next end.
 func (s *Scheduler) acknowledgeAll() {
-	for _, r := range s.list {
+	for _, r := range s.runnerList {
 		if len(r.ends) == 0 {
 			continue
 		}
 		s.acknowledge(r)
-		if len(r.ends) == 0 && r.owned && len(r.runs) > 0 && !r.strange() {
+		if len(r.ends) == 0 && r.owned && len(r.runs) > 0 && !r.hasForeignOrphans() {
 			s.hold(r)
 		}
 	}
 }
 
-// ownersQuietFrom is when an owner before, that may not know yet that the shard was
+// priorOwnerInactiveAt is when an owner before, that may not know yet that the shard was
 // taken from it, starts nothing any more: it doubts its ownership custodyAge after it was
 // last proved. Until then it could start a task again whose end were acknowledged here.
-func (s *Scheduler) ownersQuietFrom() Time {
-	return s.custody.knownFrom - (storedUnknown - custodyAge - ownerSlack)
+func (s *Scheduler) priorOwnerInactiveAt() Time {
+	return s.rows.priorRunsOverAt - (maxPriorRunLife - maxProofAge - priorOwnerSlack)
 }
 
-func (s *Scheduler) forgettable(r *runner, l listedEnd) bool {
-	if l.unknown && !(s.custody.loaded && s.custody.verifiedAt >= l.unknownSince) || l.afterLapse && s.now <= r.withheldUntil {
+func (s *Scheduler) canAcknowledge(r *runner, l listedEnd) bool {
+	if l.unknown && !(s.rows.loaded && s.rows.verifiedAt >= l.unknownSince) || l.afterLapse && s.now <= r.noLeaseUntil {
 		return false
 	}
-	if l.sequence > 0 && s.now < s.ownersQuietFrom() {
+	if l.sequence > 0 && s.now < s.priorOwnerInactiveAt() {
 		return false
 	}
 	j := s.jobs[l.job]
--- a/core/schedule/admission.go
+++ b/core/schedule/admission.go
@@ -13,19 +13,19 @@
 // and its work isn't in the way of those that can be served.
 
 const (
-	// packing is the share of all processors that is counted with: tasks are large
+	// usableShare is the share of all processors that is counted with: tasks are large
 	// against a runner, so a part of each stays empty.
-	packing = 0.8
-	// leastChance is the chance of being done in time below which a job is
+	usableShare = 0.8
+	// minCompletionProbability is the chance of being done in time below which a job is
 	// refused: four callers in five would wait for nothing, and the work would
 	// be in the way of others.
-	leastChance = 0.2
-	// listsTime is how long runners take to list what they run, connections to them
+	minCompletionProbability = 0.2
+	// listTimeout is how long runners take to list what they run, connections to them
 	// being opened first; one that hasn't by then can't be reached.
-	listsTime = 150 * time.Millisecond
-	// retryLeast and retryMost bound when a refused caller may come back.
-	retryLeast = time.Second
-	retryMost  = 10 * time.Second
+	listTimeout = 150 * time.Millisecond
+	// minRetryAfter and retryMost bound when a refused caller may come back.
+	minRetryAfter = time.Second
+	maxRetryAfter = 10 * time.Second
 )
 
 // refusal is the reason why a job can't be served in time; "" if it can. Then
@@ -40,10 +40,10 @@
 	if !s.leading {
 		return "", false
 	}
-	if s.closed(j.work.Service) {
+	if s.allEvacuated(j.work.Service) {
 		return evacuatedReason, false
 	}
-	if s.now-s.since < settleTime {
+	if s.now-s.leadingSince < warmUpTime {
 		return "", false
 	}
 	capacity := s.capacity(j.work.Service)
@@ -57,7 +57,7 @@
 	if reason := s.overcommitted(j, capacity); reason != "" {
 		return reason, false
 	}
-	if wait > 0 && s.now+wait+j.remaining > j.useless {
+	if wait > 0 && s.now+wait+j.remaining > j.worthlessAt {
 		return fmt.Sprintf("wait of %v expected", wait.Round(time.Millisecond)), false
 	}
 	return "", false
@@ -70,7 +70,7 @@
 // by it when their own scheduler has no room.
 func (s *Scheduler) Wait() time.Duration {
 	capacity, work := 0, time.Duration(0)
-	for _, r := range s.list {
+	for _, r := range s.runnerList {
 		if r.usable(s.now) {
 			capacity += r.info.Capacity.MilliCPU
 		}
@@ -81,15 +81,15 @@
 	for _, j := range s.queue {
 		work += s.waitingWork(j)
 	}
-	return work / time.Duration(max(1, int(float64(capacity)*packing)))
+	return work / time.Duration(max(1, int(float64(capacity)*usableShare)))
 }
 
-// mostBacklog is the longest that all stored jobs of a service that wait may take
+// maxBacklog is the longest that all stored jobs of a service that wait may take
 // together, those that are late already included. They can't be dropped, so
 // without a bound a burst would pile up work that nobody waits for any more. A
 // second of it is made up for in the lulls of ten seconds at nine tenths of the
 // full load.
-const mostBacklog = time.Second
+const maxBacklog = time.Second
 
 // overcommitted is the reason why no more can be accepted; "" if it can.
 func (s *Scheduler) overcommitted(j *job, capacity int) string {
@@ -97,7 +97,7 @@
 		return ""
 	}
 	work := s.queuedWork(j.work.Service, func(q *job) bool { return q.stored != nil })
-	if backlog := work / time.Duration(capacity); backlog > mostBacklog {
+	if backlog := work / time.Duration(capacity); backlog > maxBacklog {
 		return fmt.Sprintf("accepted work for %v waits", backlog.Round(time.Millisecond))
 	}
 	return ""
@@ -109,15 +109,15 @@
 // started is over.
 func (s *Scheduler) hopeless(j *job) bool {
 	begin := s.now
-	if s.now-j.listsSince > listsTime && s.heldBack(j) {
-		begin = max(begin, j.knownFrom)
+	if s.now-j.listsNeededSince > listTimeout && s.heldBack(j) {
+		begin = max(begin, j.priorRunsOverAt)
 	}
-	return chance(j.remaining, s.fastestPace(j.work.Service), j.deadline-begin) < leastChance
+	return completionProbability(j.remaining, s.fastestPace(j.work.Service), j.deadline-begin) < minCompletionProbability
 }
 
 func (s *Scheduler) fastestPace(service string) float64 {
 	fastest := math.Inf(1)
-	for _, r := range s.list {
+	for _, r := range s.runnerList {
 		if r.info.Service == service && r.usable(s.now) {
 			fastest = min(fastest, r.health.pace())
 		}
@@ -131,12 +131,12 @@
 // capacity is the processors of a service that can be in use, in thousandths.
 func (s *Scheduler) capacity(service string) int {
 	n := 0
-	for _, r := range s.list {
+	for _, r := range s.runnerList {
 		if r.info.Service == service && r.usable(s.now) {
 			n += r.info.Capacity.MilliCPU
 		}
 	}
-	return int(float64(n) * packing)
+	return int(float64(n) * usableShare)
 }
 
 // backlog is the work that waits ahead of a job, in time x thousandths of a
@@ -165,7 +165,7 @@
 func (s *Scheduler) waitingWork(j *job) time.Duration {
 	var sum time.Duration
 	for i := range j.steps {
-		if !s.begun(j, i) {
+		if !s.occurrenceDue(j, i) {
 			break
 		}
 		step, n := j.stepAt(i), 0
@@ -182,7 +182,7 @@
 func (s *Scheduler) fitsSomewhere(j *job) bool {
 	for _, step := range j.work.Steps {
 		fits := false
-		for _, r := range s.list {
+		for _, r := range s.runnerList {
 			if r.info.Service == j.work.Service && r.info.HasLabel(step.Requires) && step.Need.Fits(r.info.Capacity) {
 				fits = true
 				break
@@ -198,12 +198,12 @@
 // retryAfter spreads refused callers over the time that the backlog takes: if
 // all came back at the same moment they would be refused again.
 func (s *Scheduler) retryAfter(j *job) time.Duration {
-	wait := retryLeast
+	wait := minRetryAfter
 	if capacity := s.capacity(j.work.Service); capacity > 0 {
 		wait += s.backlog(j) / time.Duration(capacity)
 	}
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(j.work.ID))
 	spread := time.Duration(h.Sum32()%1000) * time.Millisecond
-	return min(wait+spread*wait/time.Second, retryMost)
+	return min(wait+spread*wait/time.Second, maxRetryAfter)
 }
--- a/core/schedule/chance.go
+++ b/core/schedule/completion.go
@@ -10,20 +10,20 @@
 	// over estimate. Measured on ten thousand tasks of a calm day: 0.48 over
 	// all runners, 0.43 on one kind of them.
 	estimateSpread = 0.45
-	// leastPace keeps a runner that has done little from looking infinitely
+	// minPace keeps a runner that has done little from looking infinitely
 	// fast.
-	leastPace = 0.1
+	minPace = 0.1
 )
 
-// chance is the probability that a task with an estimate is done within a time
+// completionProbability is the probability that a task with an estimate is done within a time
 // on a runner of a pace.
-func chance(estimate time.Duration, pace float64, within time.Duration) float64 {
+func completionProbability(estimate time.Duration, pace float64, within time.Duration) float64 {
 	if within <= 0 {
 		return 0
 	}
 	if estimate <= 0 {
 		return 1
 	}
-	z := math.Log(float64(within)/(float64(estimate)*max(pace, leastPace))) / estimateSpread
+	z := math.Log(float64(within)/(float64(estimate)*max(pace, minPace))) / estimateSpread
 	return 0.5 * math.Erfc(-z/math.Sqrt2)
 }
--- a/core/schedule/dump.go
+++ b/core/schedule/dump.go
@@ -38,7 +38,7 @@
 	for _, id := range s.waitingIDs() {
 		d.Waiting = append(d.Waiting, string(id))
 	}
-	for _, r := range s.list {
+	for _, r := range s.runnerList {
 		d.Runners = append(d.Runners, r.dump(now))
 	}
 	return d
@@ -49,7 +49,7 @@
 		ID:        string(r.info.ID),
 		Owned:     r.owned,
 		Token:     r.token,
-		InDoubt:   r.inDoubt,
+		InDoubt:   r.unresponsive,
 		Draining:  r.info.Draining,
 		Evacuated: r.evacuated,
 		Unlisted:  r.unlisted,
@@ -61,10 +61,10 @@
 		Strikes:   r.health.strikes,
 		FreeCPU:   r.free().MilliCPU,
 		Acked:     r.acknowledged,
-		Holding:   r.holding,
+		Holding:   r.holdInFlight,
 		Address:   r.info.Address,
 	}
-	for _, u := range r.inOrder() {
+	for _, u := range r.sortedRuns() {
 		d.Runs = append(d.Runs, u.key.String())
 	}
 	return d
--- a/core/schedule/entries.go
+++ b/core/schedule/entries.go
@@ -27,7 +27,7 @@
 	if j == nil || j.entry != entry || j.stored != nil {
 		return
 	}
-	if j.guest {
+	if j.foreign {
 		s.forget(j)
 		s.dispatch()
 		return
@@ -46,19 +46,19 @@
 // here; so they are stopped at once.
 func (s *Scheduler) EntryLost(now Time, entry EntryID, ended bool) {
 	s.now = now
-	delete(s.heard, entry)
-	if entry == s.awaited {
-		s.awaitNoLonger()
+	delete(s.lastHeard, entry)
+	if entry == s.progressFrom {
+		s.stopAwaiting()
 	}
 	if !ended {
-		s.missing[entry.VM()] = now
+		s.unreachable[entry.VM()] = now
 	}
 	s.dropEarly(entry)
-	for _, j := range s.jobsInOrder() {
+	for _, j := range s.sortedJobs() {
 		if j.entry != entry || j.stored != nil {
 			continue
 		}
-		if ended && j.started && !j.guest {
+		if ended && j.started && !j.foreign {
 			j.abandonedAt = now + abandonedGrace
 			continue
 		}
@@ -69,11 +69,13 @@
 }
 
 // SetUnreachable says whether a VM isn't heard that may be alive.
-func (s *Scheduler) SetUnreachable(some bool) { s.misses = some }
+func (s *Scheduler) SetUnreachable(some bool) { s.anyUnreachable = some }
 
 // SetOtherCellUnreachable says whether a VM of another cell is missing, or was of late. Copies of its
 // jobs may come here, of which only that cell's scheduler knows what was run.
-func (s *Scheduler) SetOtherCellUnreachable(doubt bool) { s.doubt = doubt }
+func (s *Scheduler) SetOtherCellUnreachable(otherCellUnreachable bool) {
+	s.otherCellUnreachable = otherCellUnreachable
+}
 
 // EntryDisconnected notes that the connection with an entry VM has ended. Once there is a new
 // one it hands in again what it still waits for. What came before and hasn't begun is
@@ -82,7 +84,7 @@
 func (s *Scheduler) EntryDisconnected(now Time, entry EntryID) {
 	s.now = now
 	s.dropEarly(entry)
-	for _, j := range s.jobsInOrder() {
+	for _, j := range s.sortedJobs() {
 		if j.entry == entry && j.stored == nil && !j.started {
 			s.emit(Decision{Event: "job-dropped", Job: j.work.ID, Reason: "connection lost"})
 			s.forget(j)
@@ -91,13 +93,13 @@
 }
 
 // EntryAlive notes a sign of life of an entry process.
-func (s *Scheduler) EntryAlive(now Time, entry EntryID) { s.heard[entry] = now }
+func (s *Scheduler) EntryAlive(now Time, entry EntryID) { s.lastHeard[entry] = now }
 
 // EntryReachable notes that an entry VM is heard again, perhaps by a new process.
 func (s *Scheduler) EntryReachable(now Time, entry EntryID) {
 	s.now = now
-	if _, ok := s.missing[entry.VM()]; ok {
-		delete(s.missing, entry.VM())
-		s.unsureUntil = max(s.unsureUntil, now+unsureWindow)
+	if _, ok := s.unreachable[entry.VM()]; ok {
+		delete(s.unreachable, entry.VM())
+		s.uncertainUntil = max(s.uncertainUntil, now+takeoverWindow)
 	}
 }
--- a/core/schedule/evacuation.go
+++ b/core/schedule/evacuation.go
@@ -13,7 +13,7 @@
 func (s *Scheduler) SetEvacuated(now Time, domains []string) {
 	s.now = now
 	s.evacuated = domains
-	for _, r := range s.list {
+	for _, r := range s.runnerList {
 		r.evacuated = s.evacuates(r.info.Domain)
 	}
 	s.refuseEvacuated()
@@ -22,13 +22,13 @@
 
 func (s *Scheduler) evacuates(domain string) bool { return slices.Contains(s.evacuated, domain) }
 
-// closed reports whether all runners of a service are in evacuated domains.
-func (s *Scheduler) closed(service string) bool {
+// allEvacuated reports whether all runners of a service are in evacuated domains.
+func (s *Scheduler) allEvacuated(service string) bool {
 	if len(s.evacuated) == 0 {
 		return false
 	}
 	some := false
-	for _, r := range s.list {
+	for _, r := range s.runnerList {
 		if r.info.Service != service || r.gone {
 			continue
 		}
@@ -49,12 +49,12 @@
 	if len(s.evacuated) == 0 || !s.leading {
 		return
 	}
-	closed := make(map[string]bool)
+	allEvacuated := make(map[string]bool)
 	for _, service := range s.queuedServices() {
-		closed[service] = s.closed(service)
+		allEvacuated[service] = s.allEvacuated(service)
 	}
-	for _, j := range s.jobsInOrder() {
-		if j.stored == nil && closed[j.work.Service] && j.idle() && !s.heldBack(j) {
+	for _, j := range s.sortedJobs() {
+		if j.stored == nil && allEvacuated[j.work.Service] && j.idle() && !s.heldBack(j) {
 			j.noRoom = !j.started
 			s.finish(j, workload.NotRun, evacuatedReason)
 		}
--- a/core/schedule/evacuation_test.go
+++ b/core/schedule/evacuation_test.go
@@ -35,7 +35,7 @@
 }
 
 // Guards against a new runner of an evacuated domain that gets tasks.
-func TestANewRunnerOfAnEvacuatedDomain(t *testing.T) {
+func TestNewRunnerOfAnEvacuatedDomainGetsNoTasks(t *testing.T) {
 	b := leading(t, runnerIn("r1", "a"))
 	b.s.SetEvacuated(b.now, []string{"b"})
 	b.s.SetRunners(b.now, []workload.Runner{runnerIn("r1", "a"), runnerIn("r2", "b")})
@@ -68,7 +68,7 @@
 
 // Guards against a job that goes on under a new leader being given up, since the runs that
 // it finds aren't listed yet and all domains are evacuated.
-func TestAJobThatWasHandedOverOutlivesTheEvacuation(t *testing.T) {
+func TestHandedOverJobSurvivesTheEvacuation(t *testing.T) {
 	b := leading(t, runnerIn("r1", "a"))
 	b.s.SetEvacuated(b.now, []string{"a"})
 	b.now += ms
--- a/core/schedule/harness_test.go
+++ b/core/schedule/harness_test.go
@@ -19,8 +19,8 @@
 	clockAtZero = 1_000_000
 )
 
-// bench drives a scheduler by hand: each order is answered by the test.
-type bench struct {
+// harness drives a scheduler by hand: each order is answered by the test.
+type harness struct {
 	t   *testing.T
 	g   *WithT
 	s   *Scheduler
@@ -28,27 +28,27 @@
 	out []Command
 }
 
-func newBench(t *testing.T, runners ...workload.Runner) *bench {
-	b := &bench{t: t, g: NewWithT(t), s: New(DefaultConfig()), now: time.Second}
+func newHarness(t *testing.T, runners ...workload.Runner) *harness {
+	b := &harness{t: t, g: NewWithT(t), s: New(DefaultConfig()), now: time.Second}
 	b.s.SetProcessNumber(7)
 	b.s.SetRunners(b.now, runners)
 	return b
 }
 
 // leading returns a bench whose scheduler has owned its runners for a while.
-func leading(t *testing.T, runners ...workload.Runner) *bench {
-	b := newBench(t, runners...)
+func leading(t *testing.T, runners ...workload.Runner) *harness {
+	b := newHarness(t, runners...)
 	b.s.Lead(b.now)
-	b.own(1)
+	b.ownRows(1)
 	for _, h := range take[Hold](b) {
 		b.held(h)
 	}
-	b.wait(unsureWindow + settleTime)
+	b.wait(takeoverWindow + warmUpTime)
 	return b
 }
 
-// own gives the scheduler the shard's rows, with records in them.
-func (b *bench) own(epoch uint64, records ...ledger.Record) {
+// ownRows gives the scheduler the shard's rows, with records in them.
+func (b *harness) ownRows(epoch uint64, records ...ledger.Record) {
 	b.s.SetAllReachable(true, b.now)
 	b.s.Loaded(b.now, ledger.Loaded{Epoch: epoch, ClaimedAt: b.now, Records: records})
 	b.s.RowOwnershipVerified(b.now, b.now)
@@ -62,7 +62,7 @@
 }
 
 // wait lets time pass and answers looks at idle runners on the way.
-func (b *bench) wait(d time.Duration) {
+func (b *harness) wait(d time.Duration) {
 	end := b.now + d
 	for b.now < end {
 		b.now = min(end, b.now+20*ms)
@@ -75,7 +75,7 @@
 }
 
 // tick lets time pass and answers nothing.
-func (b *bench) tick(d time.Duration) {
+func (b *harness) tick(d time.Duration) {
 	end := b.now + d
 	for b.now < end {
 		b.now = min(end, b.now+20*ms)
@@ -84,8 +84,8 @@
 	}
 }
 
-// silence lets time pass without a sign of life from the entry VM.
-func (b *bench) silence(d time.Duration) {
+// waitWithoutEntry lets time pass without a sign of life from the entry VM.
+func (b *harness) waitWithoutEntry(d time.Duration) {
 	end := b.now + d
 	for b.now < end {
 		b.now = min(end, b.now+20*ms)
@@ -93,10 +93,10 @@
 	}
 }
 
-func (b *bench) collect() { b.out = append(b.out, b.s.Ready()...) }
+func (b *harness) collect() { b.out = append(b.out, b.s.Ready()...) }
 
 // take removes the commands of a kind from those not looked at yet.
-func take[C Command](b *bench) []C {
+func take[C Command](b *harness) []C {
 	b.collect()
 	var found []C
 	var rest []Command
@@ -111,15 +111,15 @@
 	return found
 }
 
-func (b *bench) clock() ClockReading {
+func (b *harness) clock() ClockReading {
 	return ClockReading{Milliseconds: clockAtZero + b.now.Milliseconds(), ReceivedAt: b.now, SentAt: b.now}
 }
 
-func (b *bench) held(h Hold, ends ...workload.End) {
+func (b *harness) held(h Hold, ends ...workload.End) {
 	b.s.Held(b.now, HoldResult{Runner: h.Runner, Token: h.Token, ListOnly: h.ListOnly, ReachabilityOnly: h.ReachabilityOnly, Outcome: Accepted, Ends: ends, Clock: b.clock()})
 }
 
-func (b *bench) answerHold(h Hold, o CallOutcome, running ...workload.RunKey) {
+func (b *harness) answerHold(h Hold, o CallOutcome, running ...workload.RunKey) {
 	clock := b.clock()
 	if o == Unanswered {
 		clock.Milliseconds = 0
@@ -127,11 +127,11 @@
 	b.s.Held(b.now, HoldResult{Runner: h.Runner, Token: h.Token, ListOnly: h.ListOnly, ReachabilityOnly: h.ReachabilityOnly, Outcome: o, Running: running, Clock: clock})
 }
 
-func (b *bench) started(c Start, o CallOutcome) {
+func (b *harness) started(c Start, o CallOutcome) {
 	b.s.Started(b.now, StartResult{Runner: c.Runner, Run: c.Run, Outcome: o, Clock: b.clock()})
 }
 
-func (b *bench) stopped(c Stop, o CallOutcome) {
+func (b *harness) stopped(c Stop, o CallOutcome) {
 	b.s.Stopped(b.now, StopResult{Runner: c.Runner, Run: c.Run, Outcome: o, Clock: b.clock()})
 }
 
@@ -146,19 +146,19 @@
 	}
 }
 
-func (b *bench) submit(j *workload.Job, patience time.Duration) {
+func (b *harness) submit(j *workload.Job, patience time.Duration) {
 	b.s.Submit(b.now, Submission{Job: j, Entry: entryA, RemainingObjective: j.Objective, RemainingTimeout: patience})
 }
 
 // one takes the only command of a kind.
-func one[C Command](b *bench) C {
+func one[C Command](b *harness) C {
 	b.t.Helper()
 	list := take[C](b)
 	b.g.Expect(list).To(HaveLen(1))
 	return list[0]
 }
 
-func (b *bench) end(r workload.RunnerID, seq uint64, k workload.RunKey, kind workload.EndKind) {
+func (b *harness) end(r workload.RunnerID, seq uint64, k workload.RunKey, kind workload.EndKind) {
 	run := b.s.runners[r]
 	b.s.Held(b.now, HoldResult{
 		Runner: r, Token: run.token, Outcome: Accepted, Clock: b.clock(),
--- a/core/schedule/job.go
+++ b/core/schedule/job.go
@@ -24,9 +24,9 @@
 	phase taskPhase
 	// lastNumber is the number of the latest run, and startedAs that of the
 	// latest one that is known to have been started.
-	lastNumber int
-	startedAs  int
-	run        *run
+	lastNumber  int
+	lastStarted int
+	run         *run
 	// unseen: a run of it went out of sight before its end was listed.
 	unseen bool
 	// checkpoint is the newest one that a runner has told; "" if none.
@@ -46,21 +46,21 @@
 	entry EntryID
 	// domain is that of the entry VM.
 	domain string
-	// guest: it belongs to another shard.
-	guest   bool
+	// foreign: it belongs to another shard.
+	foreign bool
 	arrived Time
 	// due is the end of the latency objective, deadline that of the caller's
 	// patience.
 	due      Time
 	deadline Time
-	// useless is when the answer is worth nothing any more.
-	useless Time
+	// worthlessAt is when the answer is worth nothing any more.
+	worthlessAt Time
 	// steps are the tasks of each step of each occurrence, see stepIndex.
 	steps [][]*taskState
 	// open is the number of tasks of each step that aren't done.
 	open []int
-	// longest is the longest run of each step of those that have ended well.
-	longest []time.Duration
+	// longestRuns is the longestRuns run of each step of those that have ended well.
+	longestRuns []time.Duration
 	// waiting is the number of tasks that wait.
 	waiting int
 	queued  bool
@@ -70,16 +70,16 @@
 	firstRun  Time
 	runs      int
 	remaining time.Duration
-	// knownFrom is when what an earlier scheduler may have started can't be
+	// priorRunsOverAt is when what an earlier scheduler may have started can't be
 	// alive any more, on runners that didn't answer.
-	knownFrom Time
-	// handed counts the schedulers before, listsSince is when the job came from
+	priorRunsOverAt Time
+	// priorSchedulers counts the schedulers before, listsSince is when the job came from
 	// the last of them.
-	handed     int
-	listsSince Time
-	// stillSince is since when nothing of a stored job runs though something is due; 0
+	priorSchedulers  int
+	listsNeededSince Time
+	// stalledSince is since when nothing of a stored job runs though something is due; 0
 	// if something does.
-	stillSince Time
+	stalledSince Time
 	// withdrawn jobs are another scheduler's now.
 	withdrawn bool
 	// abandonedAt is when the job's runs are stopped since its entry process
@@ -98,7 +98,7 @@
 
 func newJob(w *workload.Job, now Time) *job {
 	steps := len(w.Steps) * w.Occurrences()
-	j := &job{work: w, arrived: now, open: make([]int, steps), longest: make([]time.Duration, steps)}
+	j := &job{work: w, arrived: now, open: make([]int, steps), longestRuns: make([]time.Duration, steps)}
 	j.steps = make([][]*taskState, steps)
 	for i := range j.steps {
 		tasks := j.stepAt(i).Tasks
@@ -154,16 +154,16 @@
 	}
 }
 
-// ran notes how long the run took that did a task.
-func (j *job) ran(n workload.TaskName, elapsed time.Duration) {
+// recordRunTime notes how long the run took that did a task.
+func (j *job) recordRunTime(n workload.TaskName, elapsed time.Duration) {
 	i := j.stepIndex(n)
-	j.longest[i] = max(j.longest[i], elapsed)
+	j.longestRuns[i] = max(j.longestRuns[i], elapsed)
 }
 
 // longestWork is the time that the longest run of each step took, summed.
 func (j *job) longestWork() time.Duration {
 	var sum time.Duration
-	for _, d := range j.longest {
+	for _, d := range j.longestRuns {
 		sum += d
 	}
 	return sum
@@ -172,7 +172,7 @@
 // idle reports whether nothing of the job runs, as far as is known.
 func (j *job) idle() bool {
 	idle := true
-	j.each(func(t *taskState) { idle = idle && t.phase != running })
+	j.eachTask(func(t *taskState) { idle = idle && t.phase != running })
 	return idle
 }
 
@@ -188,7 +188,7 @@
 	return true
 }
 
-func (j *job) each(f func(*taskState)) {
+func (j *job) eachTask(f func(*taskState)) {
 	for _, step := range j.steps {
 		for _, t := range step {
 			f(t)
--- a/core/schedule/lifetime.go
+++ b/core/schedule/lifetime.go
@@ -6,10 +6,10 @@
 // ran there has ended unseen, and its clock, its ends and the tokens that it obeys start
 // anew. Its answers tell when its lifetime began.
 
-// sameLife reports whether an answer is of the lifetime of a runner that is known. One of
+// checkIncarnation reports whether an answer is of the lifetime of a runner that is known. One of
 // a later lifetime begins that, and one of an earlier comes late; neither says anything
 // else that can be used.
-func (s *Scheduler) sameLife(r *runner, born int64) bool {
+func (s *Scheduler) checkIncarnation(r *runner, born int64) bool {
 	switch {
 	case born == 0 || born == r.born:
 		return true
@@ -17,44 +17,44 @@
 		r.born = born
 		return true
 	case born > r.born:
-		s.beginLife(r, born)
+		s.beginIncarnation(r, born)
 	}
 	return false
 }
 
-// confirmTime is how long runners mostly take to confirm a start; a run lasts longer.
-const confirmTime = 5 * time.Millisecond
+// startConfirmTime is how long runners mostly take to confirm a start; a run lasts longer.
+const startConfirmTime = 5 * time.Millisecond
 
-// cursor is the sequence up to which the runner is told to forget ends. While a start
+// ackCursor is the sequence up to which the runner is told to forget ends. While a start
 // stays unconfirmed for long it is told to forget none: it may have started again, carried
 // the start out, and numbered the end of that run like one that was noted before.
-func (r *runner) cursor(now Time) uint64 {
+func (r *runner) ackCursor(now Time) uint64 {
 	for _, u := range r.runs {
-		if !u.confirmed && now-u.started >= confirmTime {
+		if !u.confirmed && now-u.started >= startConfirmTime {
 			return 0
 		}
 	}
 	return r.acknowledged
 }
 
-// beginLife takes a runner that has started again. A start that it hasn't confirmed, or
+// beginIncarnation takes a runner that has started again. A start that it hasn't confirmed, or
 // one of two orders for it, may come after its new beginning: the task waits until the
 // runner lists what runs, or a lease must have ended. Orders of before that are carried
 // out still later have a lower token.
-func (s *Scheduler) beginLife(r *runner, born int64) {
+func (s *Scheduler) beginIncarnation(r *runner, born int64) {
 	s.emit(Decision{Event: "runner-restarted", Runner: r.info.ID, Token: r.token, Age: s.now - r.clockAt})
-	runs := r.inOrder()
+	runs := r.sortedRuns()
 	held := r.token != 0
 	r.release()
 	r.born = born
-	r.clock, r.clockAt, r.aliveUntil, r.withheldUntil = 0, 0, 0, 0
+	r.clock, r.clockAt, r.aliveUntil, r.noLeaseUntil = 0, 0, 0, 0
 	r.health = newHealth()
 	for _, u := range runs {
 		if u.task == nil {
 			continue
 		}
-		if !u.confirmed || u.tries > 1 {
-			u.task.notBefore = s.now + longestLife(leaseLimit)
+		if !u.confirmed || u.startAttempts > 1 {
+			u.task.notBefore = s.now + maxRunLife(maxLease)
 		}
 		s.requeue(u.task)
 	}
--- a/core/schedule/listing.go
+++ b/core/schedule/listing.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// believedTime is how long a runner is used that isn't listed and answers
+	// unlistedGrace is how long a runner is used that isn't listed and answers
 	// after a long silence, as when a failure domain was cut off, from the store
 	// too: the entry is back within two seconds, if the runner is there to stay.
 	// In that time a quarter of the runners would be missing.
-	believedTime = 2500 * time.Millisecond
+	unlistedGrace = 2500 * time.Millisecond
 	// longSilence is how long that is: less than an entry takes to lapse.
 	longSilence = time.Second
 	// lapsedCheck is how often a runner whose entry has lapsed is looked at while
@@ -20,21 +20,21 @@
 	lapsedCheck = 200 * time.Millisecond
 )
 
-// answersAgain notes that a runner has answered after a silence.
-func (s *Scheduler) answersAgain(r *runner, silence time.Duration) {
+// noteAnswerAfterSilence notes that a runner has answered after a silence.
+func (s *Scheduler) noteAnswerAfterSilence(r *runner, silence time.Duration) {
 	if r.unlisted && !r.info.Draining && silence > longSilence {
-		r.believedUntil = s.now + believedTime
+		r.assumedPresentUntil = s.now + unlistedGrace
 	}
 }
 
-// known reports whether the runner is there, by the list or by its answers.
-func (r *runner) known(now Time) bool { return !r.unlisted || now < r.believedUntil }
+// present reports whether the runner is there, by the list or by its answers.
+func (r *runner) present(now Time) bool { return !r.unlisted || now < r.assumedPresentUntil }
 
 // SetRunners replaces the list of runners.
-func (s *Scheduler) SetRunners(now Time, list []workload.Runner) {
+func (s *Scheduler) SetRunners(now Time, runnerList []workload.Runner) {
 	s.now = now
-	listed := make(map[workload.RunnerID]bool, len(list))
-	for _, info := range list {
+	listed := make(map[workload.RunnerID]bool, len(runnerList))
+	for _, info := range runnerList {
 		listed[info.ID] = true
 		r := s.runners[info.ID]
 		if r == nil {
@@ -42,16 +42,16 @@
 			continue
 		}
 		lapsed := info.Lapsed && !r.info.Lapsed
-		r.unlisted, r.believedUntil, r.info = false, 0, info
+		r.unlisted, r.assumedPresentUntil, r.info = false, 0, info
 		if lapsed {
-			s.look(r)
+			s.requestList(r)
 		}
-		s.sameLife(r, info.Born)
+		s.checkIncarnation(r, info.Born)
 	}
-	for _, r := range s.list {
+	for _, r := range s.runnerList {
 		if !listed[r.info.ID] && !r.unlisted {
 			r.unlisted = true
-			r.suspectUntil = now + s.cfg.Resend
+			r.retainUntil = now + s.cfg.Resend
 		}
 	}
 	s.forgetRunners()
@@ -70,12 +70,12 @@
 	s.now = now
 	for _, info := range list {
 		if r := s.runners[info.ID]; r != nil {
-			r.suspectUntil = now + s.cfg.Resend
+			r.retainUntil = now + s.cfg.Resend
 			continue
 		}
 		r := newRunner(info, now)
 		r.unlisted = true
-		r.suspectUntil = now + s.cfg.Resend
+		r.retainUntil = now + s.cfg.Resend
 		s.addRunner(r)
 	}
 	s.sortRunners()
@@ -85,25 +85,25 @@
 func (s *Scheduler) addRunner(r *runner) {
 	r.evacuated = s.evacuates(r.info.Domain)
 	s.runners[r.info.ID] = r
-	s.list = append(s.list, r)
+	s.runnerList = append(s.runnerList, r)
 	if s.leading {
 		s.acquire(r)
 	}
 }
 
 func (s *Scheduler) sortRunners() {
-	slices.SortFunc(s.list, func(a, b *runner) int { return workload.CompareRunners(a.info, b.info) })
+	slices.SortFunc(s.runnerList, func(a, b *runner) int { return workload.CompareRunners(a.info, b.info) })
 }
 
 // forgetRunners drops runners that aren't listed and have nothing running.
 func (s *Scheduler) forgetRunners() {
-	kept := s.list[:0]
-	for _, r := range s.list {
-		if r.unlisted && len(r.runs) == 0 && s.now >= max(r.suspectUntil, r.believedUntil) {
+	kept := s.runnerList[:0]
+	for _, r := range s.runnerList {
+		if r.unlisted && len(r.runs) == 0 && s.now >= max(r.retainUntil, r.assumedPresentUntil) {
 			delete(s.runners, r.info.ID)
 			continue
 		}
 		kept = append(kept, r)
 	}
-	s.list = kept
+	s.runnerList = kept
 }
--- a/core/schedule/listing_test.go
+++ b/core/schedule/listing_test.go
@@ -9,9 +9,9 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// lapses returns a bench that owns two runners; the entry of the second then
-// lapses.
-func lapses(t *testing.T) *bench {
+// lapsedHarness returns a bench that owns two runners; the entry of the second then
+// lapsedHarness.
+func lapsedHarness(t *testing.T) *harness {
 	stays, lapsed := testRunner("stays"), testRunner("lapsed")
 	b := leading(t, stays, lapsed)
 	lapsed.Lapsed = true
@@ -21,7 +21,7 @@
 
 // wideJob hands in a job that fits on two runners and not on one, and returns the
 // number of its tasks that are started.
-func (b *bench) wideJob() int {
+func (b *harness) wideJob() int {
 	b.submit(testJob(4, 100*ms), 1500*ms)
 	return len(take[Start](b))
 }
@@ -30,7 +30,7 @@
 // meanwhile. The runners are sound and answer: jobs are started on them, and none
 // is refused for want of room.
 func TestLapsedRunnersThatAnswerAreUsed(t *testing.T) {
-	b := lapses(t)
+	b := lapsedHarness(t)
 	b.g.Expect(one[Hold](b).Runner).To(BeEquivalentTo("lapsed"), "it is looked at, at once")
 	b.g.Expect(b.wideJob()).To(Equal(4))
 }
@@ -38,7 +38,7 @@
 // A runner has crashed while the store was away. It doesn't answer, and once that
 // is seen nothing is started there.
 func TestLapsedRunnersThatAreSilentAreNotUsed(t *testing.T) {
-	b := lapses(t)
+	b := lapsedHarness(t)
 	b.answerHold(one[Hold](b), Unanswered)
 	b.g.Expect(b.wideJob()).To(Equal(2))
 }
@@ -53,7 +53,7 @@
 	b.s.AddUnlistedRunners(b.now, []workload.Runner{testRunner("cut")})
 	b.wait(20 * ms)
 	b.g.Expect(b.s.runners["cut"].usable(b.now)).To(BeTrue())
-	b.wait(believedTime + 20*ms)
+	b.wait(unlistedGrace + 20*ms)
 	b.g.Expect(b.s.runners["cut"].usable(b.now)).To(BeFalse())
 }
 
@@ -69,21 +69,21 @@
 
 // Guards against counts of runs without a task that drift from what a runner runs: it
 // would get no lease any more, or one while another scheduler counts on its lapse.
-func TestRunsWithoutATaskAreCounted(t *testing.T) {
+func TestOrphansAreCounted(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	check := func() {
-		for _, r := range b.s.list {
-			loose, strangers := 0, 0
+		for _, r := range b.s.runnerList {
+			orphanCount, foreignOrphanCount := 0, 0
 			for _, u := range r.runs {
 				if u.task == nil {
-					loose++
+					orphanCount++
 				}
-				if u.task == nil && u.found {
-					strangers++
+				if u.task == nil && u.startedElsewhere {
+					foreignOrphanCount++
 				}
 			}
-			b.g.ExpectWithOffset(1, r.loose).To(Equal(loose))
-			b.g.ExpectWithOffset(1, r.strangers).To(Equal(strangers))
+			b.g.ExpectWithOffset(1, r.orphanCount).To(Equal(orphanCount))
+			b.g.ExpectWithOffset(1, r.foreignOrphanCount).To(Equal(foreignOrphanCount))
 		}
 	}
 	job := testJob(2, 300*ms)
@@ -91,16 +91,16 @@
 	token := b.s.runners["r1"].token
 	b.s.Held(b.now, HoldResult{Runner: "r1", Token: token, Outcome: Accepted, Running: []workload.RunKey{foreign}, Clock: b.clock()})
 	check()
-	b.g.Expect(b.s.runners["r1"].strange()).To(BeTrue())
+	b.g.Expect(b.s.runners["r1"].hasForeignOrphans()).To(BeTrue())
 	b.submit(job, 3*time.Second)
 	check()
-	b.g.Expect(b.s.runners["r1"].strange()).To(BeFalse(), "its job has come")
+	b.g.Expect(b.s.runners["r1"].hasForeignOrphans()).To(BeFalse(), "its job has come")
 	for _, c := range take[Start](b) {
 		b.started(c, Accepted)
 	}
 	b.s.Abandon(b.now, entryA, job.ID)
 	check()
-	b.g.Expect(b.s.runners["r1"].strange()).To(BeTrue())
+	b.g.Expect(b.s.runners["r1"].hasForeignOrphans()).To(BeTrue())
 	b.end("r1", 1, foreign, workload.Stopped)
 	check()
 	b.s.Retire(b.now)
--- a/core/schedule/load_test.go
+++ b/core/schedule/load_test.go
@@ -121,7 +121,7 @@
 	b.g.Expect(fails["r1"]).To(BeNumerically("<=", strikesToClose))
 }
 
-func TestPoison(t *testing.T) {
+func TestJobThatFailsEverywhereClosesNoRunner(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	seq := map[workload.RunnerID]uint64{}
 	for range 4 {
@@ -144,13 +144,13 @@
 
 // A runner says that it drains, or leaves the list. It gets nothing new.
 func TestLeavingRunner(t *testing.T) {
-	for name, leave := range map[string]func(*bench){
-		"draining": func(b *bench) {
+	for name, leave := range map[string]func(*harness){
+		"draining": func(b *harness) {
 			r := testRunner("r1")
 			r.Draining = true
 			b.s.SetRunners(b.now, []workload.Runner{r, testRunner("r2")})
 		},
-		"unlisted": func(b *bench) { b.s.SetRunners(b.now, []workload.Runner{testRunner("r2")}) },
+		"unlisted": func(b *harness) { b.s.SetRunners(b.now, []workload.Runner{testRunner("r2")}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := leading(t, testRunner("r1"), testRunner("r2"))
@@ -165,7 +165,7 @@
 
 // Steps wait for those that they depend on, and tasks for the label, the rack
 // and the spread that they ask for.
-func TestTermsOfSteps(t *testing.T) {
+func TestStepConstraints(t *testing.T) {
 	gpu := testRunner("r2")
 	gpu.Labels = []string{"b", "r2"}
 	gpu.Rack = "r2"
@@ -229,18 +229,18 @@
 		b.end(c.Runner, seq+1, c.Run, workload.Done)
 	}
 	b.g.Expect(b.s.callTimeout()).To(BeNumerically(">", 150*ms))
-	b.g.Expect(b.s.callTimeout()).To(BeNumerically("<=", timeoutMost))
+	b.g.Expect(b.s.callTimeout()).To(BeNumerically("<=", maxTimeout))
 }
 
 // All processes were killed and start again. The runners have obeyed a scheduler
 // whose term is far above that of the new one, and refuse it. It goes above with
 // the first refusal for all of them, in a few rounds; callers wait meanwhile.
-func TestRunnersOfAForgottenSchedulerAreTakenInFewRounds(t *testing.T) {
+func TestUnknownHigherTermIsExceededInFewRounds(t *testing.T) {
 	var runners []workload.Runner
 	for i := range 48 {
 		runners = append(runners, testRunner(fmt.Sprintf("r%02d", i)))
 	}
-	b := newBench(t, runners...)
+	b := newHarness(t, runners...)
 	b.s.Lead(b.now)
 	const forgotten = uint64(1500) << numberBits
 	rounds := 0
@@ -266,7 +266,7 @@
 // one before had. They are held back until what that one has started must be over.
 // New jobs aren't behind them: the runners have room, and no caller is turned away
 // for a wait that isn't one.
-func TestJobsHeldBackAreNotInTheWay(t *testing.T) {
+func TestHeldBackJobsDontDelayOthers(t *testing.T) {
 	b := leading(t, testRunner("near"))
 	b.s.SetUnreachable(true)
 	b.s.AddUnlistedRunners(b.now, []workload.Runner{testRunner("far")})
@@ -319,7 +319,7 @@
 // A failure domain is cut off, and a job is handed over that its new scheduler may
 // begin only when the caller is about to leave. The caller is told as soon as that
 // is known, and not when its time is over; another job has time enough, and waits.
-func TestHandedOverJobsWithoutHopeAreGivenUpAtOnce(t *testing.T) {
+func TestHopelessHandedOverJobsAreGivenUpAtOnce(t *testing.T) {
 	b := leading(t, testRunner("near"))
 	b.s.SetUnreachable(true)
 	b.s.AddUnlistedRunners(b.now, []workload.Runner{testRunner("far")})
--- a/core/schedule/move.go
+++ b/core/schedule/move.go
@@ -23,13 +23,13 @@
 	// answer, or asked for by a new owner, are back sooner, and the backlog that is
 	// accepted takes a second.
 	moveAfter = 1500 * time.Millisecond
-	// movesMost bounds what is moved in one tick, since the other shard tells only with
+	// maxMovesPerTick bounds what is moved in one tick, since the other shard tells only with
 	// its next heartbeat how much waits there by then.
-	movesMost = 1
-	// moveRetry is how often a job is given that hasn't arrived.
-	moveRetry = 300 * time.Millisecond
-	// moveKept is how long it is known where a job went: longer than any is asked for.
-	moveKept = time.Hour
+	maxMovesPerTick = 1
+	// moveRetryInterval is how often a job is given that hasn't arrived.
+	moveRetryInterval = 300 * time.Millisecond
+	// moveRetention is how long it is known where a job went: longer than any is asked for.
+	moveRetention = time.Hour
 )
 
 // move is a job on its way to another shard, or there.
@@ -39,8 +39,8 @@
 	// age is that of the job at the time since.
 	age   time.Duration
 	since Time
-	// giveAt is when the job is given next.
-	giveAt Time
+	// nextSendAt is when the job is given next.
+	nextSendAt Time
 }
 
 // MovedJob is an accepted job that comes from another shard.
@@ -72,68 +72,68 @@
 
 // tickMoves gives away what can't be done here.
 func (s *Scheduler) tickMoves() {
-	if !s.custody.loaded || !s.sure() {
+	if !s.rows.loaded || !s.ownsRows() {
 		return
 	}
-	s.moveStranded()
-	for _, id := range sortedKeys(s.custody.moving) {
-		if m := s.custody.moving[id]; s.now >= m.giveAt {
-			m.giveAt = s.now + moveRetry
+	s.moveStalled()
+	for _, id := range sortedKeys(s.rows.moving) {
+		if m := s.rows.moving[id]; s.now >= m.nextSendAt {
+			m.nextSendAt = s.now + moveRetryInterval
 			s.emit(MoveJob{At: s.now, To: m.record.To, MovedJob: s.movedJob(m)})
 		}
 	}
 }
 
-// moveStranded moves jobs that have waited for long while another shard has room.
-func (s *Scheduler) moveStranded() {
+// moveStalled moves jobs that have waited for long while another shard has room.
+func (s *Scheduler) moveStalled() {
 	moved := 0
 	for _, j := range slices.Clone(s.queue) {
 		if j.stored == nil {
 			continue
 		}
-		if !s.standsStill(j) {
-			j.stillSince = 0
+		if !s.stalled(j) {
+			j.stalledSince = 0
 			continue
 		}
-		if j.stillSince == 0 {
-			j.stillSince = s.now
+		if j.stalledSince == 0 {
+			j.stalledSince = s.now
 		}
-		if moved < movesMost && s.now-j.stillSince >= moveAfter && s.roomElsewhere(j) {
+		if moved < maxMovesPerTick && s.now-j.stalledSince >= moveAfter && s.soonerElsewhere(j) {
 			moved++
-			s.moveAway(j)
+			s.beginMove(j)
 		}
 	}
 }
 
-// standsStill reports whether tasks of a job are due, and nothing of it can be alive.
-func (s *Scheduler) standsStill(j *job) bool {
-	if s.now < j.knownFrom || s.waitingWork(j) == 0 {
+// stalled reports whether tasks of a job are due, and nothing of it can be alive.
+func (s *Scheduler) stalled(j *job) bool {
+	if s.now < j.priorRunsOverAt || s.waitingWork(j) == 0 {
 		return false
 	}
 	over := true
-	j.each(func(t *taskState) { over = over && t.phase != running && t.notBefore <= s.now })
+	j.eachTask(func(t *taskState) { over = over && t.phase != running && t.notBefore <= s.now })
 	return over
 }
 
-// roomElsewhere reports whether a job would begin sooner in another shard: nothing
+// soonerElsewhere reports whether a job would begin sooner in another shard: nothing
 // waits there, or there are no runners for it here.
-func (s *Scheduler) roomElsewhere(j *job) bool {
+func (s *Scheduler) soonerElsewhere(j *job) bool {
 	if s.alternate < 0 {
 		return false
 	}
 	return s.alternateWait == 0 || s.alternateWait < NoRunnersWait && s.capacity(j.work.Service) == 0
 }
 
-// moveAway ends a job here, for another shard to do it.
-func (s *Scheduler) moveAway(j *job) {
+// beginMove ends a job here, for another shard to do it.
+func (s *Scheduler) beginMove(j *job) {
 	j.ended, j.restarted = true, true
 	j.stored.state, j.stored.to = ledger.Moving, s.alternate
-	j.stored.hand = int(s.custody.epoch-j.stored.epoch) + 1
-	s.custody.open--
+	j.stored.hand = int(s.rows.epoch-j.stored.epoch) + 1
+	s.rows.open--
 	s.dequeue(j)
 	s.save(j)
 	s.emit(Decision{
-		Event: "stored-job-moving", Job: j.work.ID, Age: s.now - j.stillSince,
+		Event: "stored-job-moving", Job: j.work.ID, Age: s.now - j.stalledSince,
 		Reason: fmt.Sprintf("to shard %d, where it waits %v; %d thousandths of a core here", s.alternate, s.alternateWait, s.capacity(j.work.Service)),
 	})
 }
@@ -145,25 +145,25 @@
 	return r
 }
 
-// keepMove keeps where a job goes or has gone; its outcome is kept already.
-func (s *Scheduler) keepMove(r ledger.Record, age time.Duration) {
+// retainMove keeps where a job goes or has gone; its outcome is kept already.
+func (s *Scheduler) retainMove(r ledger.Record, age time.Duration) {
 	m := &move{record: r, arrived: r.State == ledger.Moved, age: age, since: s.now}
-	k := s.custody.kept[r.Job]
+	k := s.rows.retained[r.Job]
 	k.move, k.restarted = m, true
-	s.custody.kept[r.Job] = k
+	s.rows.retained[r.Job] = k
 	if !m.arrived {
-		s.custody.moving[r.Job] = m
+		s.rows.moving[r.Job] = m
 	}
 }
 
-// keepsMove reports whether it is still to be known where a job went.
-func (s *Scheduler) keepsMove(id workload.JobID) bool {
-	k := s.custody.kept[id]
-	if k.move == nil || k.move.arrived && s.now-k.move.since >= moveKept {
+// retainsMove reports whether it is still to be known where a job went.
+func (s *Scheduler) retainsMove(id workload.JobID) bool {
+	k := s.rows.retained[id]
+	if k.move == nil || k.move.arrived && s.now-k.move.since >= moveRetention {
 		return false
 	}
 	k.at = s.now
-	s.custody.kept[id] = k
+	s.rows.retained[id] = k
 	return true
 }
 
@@ -182,24 +182,24 @@
 // MoveAcknowledged notes that a job is in the rows of the shard that it was given to.
 func (s *Scheduler) MoveAcknowledged(now Time, id workload.JobID) {
 	s.now = now
-	m := s.custody.moving[id]
+	m := s.rows.moving[id]
 	if m == nil {
 		return
 	}
-	delete(s.custody.moving, id)
+	delete(s.rows.moving, id)
 	m.arrived = true
 	m.record.Done, m.record.Failures, m.record.Work = nil, nil, nil
 	m.record.State = ledger.Moved
-	k := s.custody.kept[id]
+	k := s.rows.retained[id]
 	k.state = ledger.Moved
 	k.saving = s.saveRecord(m.record)
-	s.custody.kept[id] = k
+	s.rows.retained[id] = k
 	s.emit(Decision{Event: "stored-job-moved", Job: id, Reason: fmt.Sprintf("to shard %d", m.record.To), Age: now - m.since})
 }
 
 // MovedTo is the shard to which a job goes, and whether it has arrived there.
 func (s *Scheduler) MovedTo(id workload.JobID) (shard int, arrived, moved bool) {
-	k, ok := s.custody.kept[id]
+	k, ok := s.rows.retained[id]
 	if !ok || k.move == nil {
 		return 0, false, false
 	}
@@ -210,11 +210,11 @@
 func (s *Scheduler) AcceptMovedJob(now Time, from EntryID, m MovedJob) {
 	s.now = now
 	id := m.Job.ID
-	s.custody.askedAt = now
-	if !s.leading || !s.custody.loaded || !s.sure() {
+	s.rows.lastRequestAt = now
+	if !s.leading || !s.rows.loaded || !s.ownsRows() {
 		return
 	}
-	if k, ok := s.custody.kept[id]; ok && !k.returns(m) {
+	if k, ok := s.rows.retained[id]; ok && !k.returns(m) {
 		if k.saving == 0 {
 			s.emit(MoveAck{At: s.now, To: from, Shard: m.From, Job: id})
 		}
@@ -226,26 +226,26 @@
 		}
 		j.stored.senders = append(j.stored.senders, sender{entry: from, shard: m.From})
 		if j.stored.accepted {
-			s.tellTaken(j)
+			s.acknowledgeMove(j)
 		}
 		return
 	}
-	s.takeIn(from, m)
+	s.acceptMoved(from, m)
 }
 
 // returns reports whether a job comes back that has gone from here: it has had more
 // owners since. Else it is the same move once more, whose answer was lost.
-func (k kept) returns(m MovedJob) bool { return k.move != nil && m.Hand > k.move.record.Hand }
+func (k retained) returns(m MovedJob) bool { return k.move != nil && m.Hand > k.move.record.Hand }
 
-// takeIn goes on with a job of another shard, and has it saved first.
-func (s *Scheduler) takeIn(from EntryID, m MovedJob) {
+// acceptMoved goes on with a job of another shard, and has it saved first.
+func (s *Scheduler) acceptMoved(from EntryID, m MovedJob) {
 	id := m.Job.ID
-	s.dropKept(id)
+	s.dropRetained(id)
 	j := s.restored(ledger.Record{
-		Job: id, Work: m.Job, Age: m.Age, Epoch: s.custody.epoch - uint64(m.Hand),
+		Job: id, Work: m.Job, Age: m.Age, Epoch: s.rows.epoch - uint64(m.Hand),
 		Done: m.Done, Failures: m.Failures, Unseen: m.Unseen, Restarted: true,
 	})
-	j.knownFrom = s.now
+	j.priorRunsOverAt = s.now
 	j.stored.accepted = false
 	j.stored.senders = []sender{{entry: from, shard: m.From}}
 	s.attach(j)
@@ -253,18 +253,18 @@
 	s.emit(Decision{Event: "stored-job-taken", Job: id, Reason: fmt.Sprintf("from shard %d", m.From), Age: m.Age})
 }
 
-// dropKept forgets that a job has gone, since it is back.
-func (s *Scheduler) dropKept(id workload.JobID) {
-	if _, ok := s.custody.kept[id]; !ok {
+// dropRetained forgets that a job has gone, since it is back.
+func (s *Scheduler) dropRetained(id workload.JobID) {
+	if _, ok := s.rows.retained[id]; !ok {
 		return
 	}
-	delete(s.custody.kept, id)
-	delete(s.custody.moving, id)
-	s.custody.keptOrder = slices.DeleteFunc(s.custody.keptOrder, func(o workload.JobID) bool { return o == id })
+	delete(s.rows.retained, id)
+	delete(s.rows.moving, id)
+	s.rows.retainedOrder = slices.DeleteFunc(s.rows.retainedOrder, func(o workload.JobID) bool { return o == id })
 }
 
-// tellTaken tells those that have given a job that it is in the store here.
-func (s *Scheduler) tellTaken(j *job) {
+// acknowledgeMove tells those that have given a job that it is in the store here.
+func (s *Scheduler) acknowledgeMove(j *job) {
 	for _, g := range j.stored.senders {
 		s.emit(MoveAck{At: s.now, To: g.entry, Shard: g.shard, Job: j.work.ID})
 	}
--- a/core/schedule/move_test.go
+++ b/core/schedule/move_test.go
@@ -10,9 +10,9 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// stranded returns a bench whose only runner has left with a job half done, and the
+// stalledHarness returns a bench whose only runner has left with a job half done, and the
 // record that the job moves to shard 3.
-func stranded(t *testing.T) (*bench, *workload.Job, Save) {
+func stalledHarness(t *testing.T) (*harness, *workload.Job, Save) {
 	b := leading(t, testRunner("r1"))
 	b.s.SetAlternate(3, time.Second)
 	j := storedJob(2, 200*ms)
@@ -23,8 +23,8 @@
 	b.end("r1", 1, runOf(j, 0, 1), workload.Done)
 	b.saved(take[Save](b)...)
 	b.s.SetRunners(b.now, nil)
-	b.s.runners["r1"].doubt(b.now)
-	b.tick(longestLife(b.s.cfg.Lease) + moveAfter)
+	b.s.runners["r1"].markUnresponsive(b.now)
+	b.tick(maxRunLife(b.s.cfg.Lease) + moveAfter)
 	b.saved(take[Save](b)...)
 	b.tick(100 * ms)
 	saves := take[Save](b)
@@ -34,8 +34,8 @@
 
 // Guards against accepted jobs that stand still for as long as their shard has no
 // runners, while others have room.
-func TestStrandedJobMovesToAnotherShard(t *testing.T) {
-	b, j, save := stranded(t)
+func TestStalledJobMovesToAnotherShard(t *testing.T) {
+	b, j, save := stalledHarness(t)
 	b.g.Expect(save.Record.State).To(Equal(ledger.Moving))
 	b.g.Expect(save.Record.To).To(Equal(3))
 	b.g.Expect(take[MoveJob](b)).To(BeEmpty(), "the store doesn't know yet that nobody starts it here")
@@ -48,10 +48,10 @@
 	b.g.Expect(given.Done[0].Has(1)).To(BeFalse())
 	b.g.Expect(given.Unseen).To(BeTrue())
 	b.g.Expect(b.s.State(j.ID, b.now).Known).To(BeTrue())
-	b.tick(moveRetry)
+	b.tick(moveRetryInterval)
 	b.g.Expect(take[MoveJob](b)).To(HaveLen(1), "again, until it has arrived")
 	b.s.MoveAcknowledged(b.now, j.ID)
-	b.tick(2 * moveRetry)
+	b.tick(2 * moveRetryInterval)
 	b.g.Expect(take[MoveJob](b)).To(BeEmpty())
 	b.g.Expect(one[Save](b).Record.State).To(Equal(ledger.Moved))
 	to, arrived, moved := b.s.MovedTo(j.ID)
@@ -61,7 +61,7 @@
 // Guards against a job that is done twice, by its shard when the runners are back and by
 // the one that it was given to.
 func TestMovingJobIsntStartedWhenRunnersAreBack(t *testing.T) {
-	b, _, save := stranded(t)
+	b, _, save := stalledHarness(t)
 	b.saved(save)
 	b.s.SetRunners(b.now, []workload.Runner{testRunner("r2")})
 	b.wait(5 * time.Second)
@@ -70,24 +70,24 @@
 
 // Guards against a move that ends with the owner that began it: the next one goes on.
 func TestMoveOutlivesItsOwner(t *testing.T) {
-	b := newBench(t, testRunner("r1"))
+	b := newHarness(t, testRunner("r1"))
 	j := storedJob(2, 200*ms)
 	record := openRecord(j, 1, 0)
 	record.State, record.To, record.Hand = ledger.Moving, 3, 2
 	b.s.Lead(b.now)
 	b.held(one[Hold](b))
-	b.own(2, record)
+	b.ownRows(2, record)
 	b.tick(20 * ms)
 	given := one[MoveJob](b)
 	b.g.Expect(given.To).To(Equal(3))
 	b.g.Expect(given.Hand).To(Equal(2))
 	b.g.Expect(given.Job).To(Equal(j))
-	b.wait(storedUnknown)
+	b.wait(maxPriorRunLife)
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 }
 
 // Guards against jobs that are moved though they would wait elsewhere too.
-func TestJobsStayWhereTheyAreServedAsSoon(t *testing.T) {
+func TestJobsAreNotMovedToShardsThatWaitToo(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j := storedJob(1, 200*ms)
 	b.accepted(j)
@@ -110,7 +110,7 @@
 
 // Guards against a job that gets lost or is done twice when its owners tell each other
 // more than once that it goes to another shard.
-func TestMovedJobIsTakenOnce(t *testing.T) {
+func TestMovedJobIsAcceptedOnce(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	m := moved(2)
 	b.s.AcceptMovedJob(b.now, entryA, m)
@@ -136,7 +136,7 @@
 // Guards against a job that comes back to a shard that it had left, by way of others,
 // and is taken for the same move once more.
 func TestMovedJobComesBack(t *testing.T) {
-	b, j, save := stranded(t)
+	b, j, save := stalledHarness(t)
 	b.saved(save)
 	b.s.MoveAcknowledged(b.now, j.ID)
 	b.saved(take[Save](b)...)
@@ -157,7 +157,7 @@
 // Guards against a caller who is told that a job is cancelled which another shard is
 // about to do.
 func TestMovingJobIsntCancelledHere(t *testing.T) {
-	b, j, save := stranded(t)
+	b, j, save := stalledHarness(t)
 	state, done := b.s.Cancel(b.now, j.ID)
 	b.g.Expect([]any{state.Unsure, done}).To(Equal([]any{true, true}))
 	b.saved(save)
@@ -167,17 +167,17 @@
 
 // Guards against an end on a runner that was out of sight, which counts for good though
 // the job moved and the task is done again.
-func TestEndOfAMovedJobBindsNobody(t *testing.T) {
+func TestEndOfAMovedJobIsAcknowledgedAfterLapse(t *testing.T) {
 	for _, kind := range []workload.EndKind{workload.Done, workload.Failed} {
-		b, j, save := stranded(t)
+		b, j, save := stalledHarness(t)
 		b.saved(save)
 		b.s.SetRunners(b.now, []workload.Runner{testRunner("r1")})
 		b.wait(100 * ms)
 		r := b.s.runners["r1"]
-		r.grant(b.now, b.s.cfg.Lease)
+		r.noteLease(b.now, b.s.cfg.Lease)
 		b.end("r1", 2, runOf(j, 1, 1), kind)
 		lapse := r.aliveUntil
-		b.g.Expect(r.withheldUntil).To(Equal(lapse))
+		b.g.Expect(r.noLeaseUntil).To(Equal(lapse))
 		b.wait(lapse - b.now - 40*ms)
 		b.g.Expect(r.acknowledged).To(BeZero())
 		b.wait(200 * ms)
@@ -188,14 +188,14 @@
 // Guards against a job that came back and is forgotten while it is open, as where it had
 // gone isn't kept any more.
 func TestMovedJobThatCameBackIsntForgotten(t *testing.T) {
-	b, j, save := stranded(t)
+	b, j, save := stalledHarness(t)
 	b.saved(save)
 	b.s.MoveAcknowledged(b.now, j.ID)
 	b.saved(take[Save](b)...)
 	b.s.AcceptMovedJob(b.now, entryA, MovedJob{From: 5, Job: j, Hand: save.Record.Hand + 2, Done: save.Record.Done})
 	b.saved(one[Save](b))
 	b.s.SetAlternate(-1, 0)
-	b.now += b.s.cfg.Retention + keptExtra + time.Second
+	b.now += b.s.cfg.Retention + extraRetention + time.Second
 	b.s.RowOwnershipVerified(b.now, b.now)
 	b.tick(100 * ms)
 	for _, s := range take[Save](b) {
--- a/core/schedule/offered.go
+++ b/core/schedule/offered.go
@@ -12,11 +12,11 @@
 // worth anything. Its caller learns that as soon as it is known, not when the time is up.
 
 const (
-	// offeredTime is the time over which arriving work is averaged.
-	offeredTime = 500 * time.Millisecond
-	// leastSpare is the share of the runners that late jobs are thought to get, however
+	// offeredWindow is the time over which arriving work is averaged.
+	offeredWindow = 500 * time.Millisecond
+	// minSpareShare is the share of the runners that late jobs are thought to get, however
 	// much arrives: load comes and goes, and late answers are better than none.
-	leastSpare = 0.2
+	minSpareShare = 0.2
 )
 
 // offeredLoad is the work of a service that arrives, in thousandths of a core, averaged
@@ -28,12 +28,12 @@
 
 // add notes work that arrives, in time x thousandths of a core.
 func (o *offeredLoad) add(now Time, work time.Duration) {
-	o.average = o.now(now) + float64(work)/float64(offeredTime)
+	o.average = o.now(now) + float64(work)/float64(offeredWindow)
 	o.at = now
 }
 
 func (o *offeredLoad) now(now Time) float64 {
-	return o.average * math.Exp(-float64(now-o.at)/float64(offeredTime))
+	return o.average * math.Exp(-float64(now-o.at)/float64(offeredWindow))
 }
 
 // noteOffered counts a job that has come.
@@ -49,7 +49,7 @@
 // refuseLate refuses the late jobs whose turn won't come in time. For a while after
 // taking over it isn't known what the runners can take.
 func (s *Scheduler) refuseLate() {
-	if len(s.queue) == 0 || s.now-s.since < settleTime {
+	if len(s.queue) == 0 || s.now-s.leadingSince < warmUpTime {
 		return
 	}
 	for _, service := range s.queuedServices() {
@@ -64,7 +64,7 @@
 	}
 	spare := capacity
 	if o := s.offered[service]; o != nil {
-		spare = max(capacity-o.now(s.now), leastSpare*capacity)
+		spare = max(capacity-o.now(s.now), minSpareShare*capacity)
 	}
 	var late []*job
 	ahead := time.Duration(0)
@@ -93,6 +93,6 @@
 	if ahead == 0 {
 		return true
 	}
-	left := j.useless - j.remaining - s.now
+	left := j.worthlessAt - j.remaining - s.now
 	return float64(ahead)/spare <= float64(left)
 }
--- a/core/schedule/order.go
+++ b/core/schedule/order.go
@@ -15,17 +15,17 @@
 // came first isn't overtaken without end, and a short one isn't held up by its
 // length.
 
-// waitTolerance is the share of its objective, in percent, that any job may
+// toleratedWaitPercent is the share of its objective, in percent, that any job may
 // wait: estimates are off by a factor of 1.5.
-const waitTolerance = 15
+const toleratedWaitPercent = 15
 
 // latestStart is when a job must begin to end within its objective, if its
 // estimate is right. It can be before its arrival.
 func (j *job) latestStart() Time { return j.due - j.remaining }
 
-// lateSpread is the share of its estimate, in percent, that a job needs to end
+// latenessPercent is the share of its estimate, in percent, that a job needs to end
 // within its objective two times in three: estimates spread by estimateSpread.
-const lateSpread = 125
+const latenessPercent = 125
 
 // late reports whether a job has waited too long to end within its objective.
 // One whose estimate leaves it no time to wait isn't late as it arrives: it
@@ -35,12 +35,12 @@
 // is room, all jobs would else begin at their latest start, and half of them come
 // late; others, that have just come, would have ended in time in their place.
 func (j *job) late(now Time) bool {
-	latest := j.due - j.remaining*lateSpread/100
+	latest := j.due - j.remaining*latenessPercent/100
 	return now > max(latest, j.arrived+j.tolerance())
 }
 
 // tolerance is how long any job may wait.
-func (j *job) tolerance() time.Duration { return (j.due - j.arrived) * waitTolerance / 100 }
+func (j *job) tolerance() time.Duration { return (j.due - j.arrived) * toleratedWaitPercent / 100 }
 
 // enqueue puts a job into the queue, which is in the order of latest starts.
 func (s *Scheduler) enqueue(j *job) {
@@ -84,19 +84,19 @@
 	return sortedKeys(services)
 }
 
-// jobsInOrder lists the jobs by id, so that what is done to each comes in the
+// sortedJobs lists the jobs by id, so that what is done to each comes in the
 // same order every time.
-func (s *Scheduler) jobsInOrder() []*job {
+func (s *Scheduler) sortedJobs() []*job {
 	return slices.SortedFunc(maps.Values(s.jobs), func(a, b *job) int { return cmp.Compare(a.work.ID, b.work.ID) })
 }
 
 // worthless reports whether a job, if its estimate is right, ends so late that its
 // answer is worth nothing any more.
-func (j *job) worthless(now Time) bool { return now+j.remaining > j.useless }
+func (j *job) worthless(now Time) bool { return now+j.remaining > j.worthlessAt }
 
-// halfway reports whether some tasks of a job have been started, so that what they have
+// partlyDone reports whether some tasks of a job have been started, so that what they have
 // done would be for nothing if the others came too late.
-func (j *job) halfway() bool { return j.stored == nil && j.begun }
+func (j *job) partlyDone() bool { return j.stored == nil && j.begun }
 
 // dispatch starts what can start. Jobs that can still meet their objective, and those
 // of which a part has been done, come first, by their latest start; then those that are
@@ -122,7 +122,7 @@
 		switch {
 		case j.stored == nil && j.worthless(s.now) && j.late(s.now):
 			worthless = append(worthless, j)
-		case j.late(s.now) && !j.halfway():
+		case j.late(s.now) && !j.partlyDone():
 			late = append(late, j)
 		default:
 			s.startTasks(p, j)
@@ -138,7 +138,7 @@
 		return
 	}
 	for i := range j.steps {
-		if !s.begun(j, i) {
+		if !s.occurrenceDue(j, i) {
 			break
 		}
 		if !j.ready(i) || p.full(j.stepAt(i), j.work.Service) {
@@ -162,18 +162,18 @@
 // before may have started it or another one may have it.
 func (s *Scheduler) heldBack(j *job) bool {
 	switch {
-	case j.stored == nil && s.now-s.heard[j.entry] > entryFresh:
+	case j.stored == nil && s.now-s.lastHeard[j.entry] > maxHeartbeatAge:
 		// Its entry VM may have missed this process before it is missed here, and
 		// have given the job to a scheduler that sees only what runs by now.
 		return true
-	case j.handed > 0 && s.now < s.awaitUntil:
+	case j.priorSchedulers > 0 && s.now < s.progressWaitUntil:
 		return true
 	case j.stored == nil:
-		return s.now < j.knownFrom && !s.allListed(j)
-	case s.now < j.knownFrom || !s.sure():
+		return s.now < j.priorRunsOverAt && !s.allListed(j)
+	case s.now < j.priorRunsOverAt || !s.ownsRows():
 		return true
 	}
-	return j.handed > 0 && s.now < s.custody.knownFrom+storedUnknown && !s.allListed(j)
+	return j.priorSchedulers > 0 && s.now < s.rows.priorRunsOverAt+maxPriorRunLife && !s.allListed(j)
 }
 
 // allListed reports whether all is known that earlier schedulers have started of
@@ -184,11 +184,11 @@
 // That a runner obeys a later term than theirs isn't enough: as a cut heals they
 // may have raised their own and taken the runner back, unknown to this one.
 func (s *Scheduler) allListed(j *job) bool {
-	for _, r := range s.list {
+	for _, r := range s.runnerList {
 		if r.info.Service != j.work.Service || r.gone {
 			continue
 		}
-		if !r.owned || r.listedAt < j.listsSince {
+		if !r.owned || r.listAsOf < j.listsNeededSince {
 			return false
 		}
 	}
@@ -225,7 +225,7 @@
 	if st == nil || !t.unseen || st.saved >= st.unseenSaved {
 		return false
 	}
-	return s.custody.failingFor <= storeTrouble || !s.unopposed()
+	return s.rows.failingFor <= storeFailureThreshold || !s.uncontested()
 }
 
 // waitingIDs is for the dump.
--- a/core/schedule/ownership.go
+++ b/core/schedule/ownership.go
@@ -6,15 +6,15 @@
 // read what a runner lists.
 
 const (
-	// probeMost bounds the pause between looks at a silent runner. It grows
+	// maxProbeInterval bounds the pause between looks at a silent runner. It grows
 	// with the silence: the first follows at once, since a single order may be
 	// left unanswered while the next is answered in milliseconds.
-	probeMost = 500 * time.Millisecond
-	// probeAtOnce is the silence up to which there is no pause.
-	probeAtOnce = 400 * time.Millisecond
-	// strangeCheck is how often a runner with runs of unknown jobs is looked
+	maxProbeInterval = 500 * time.Millisecond
+	// immediateProbeSilence is the silence up to which there is no pause.
+	immediateProbeSilence = 400 * time.Millisecond
+	// orphanCheckInterval is how often a runner with runs of unknown jobs is looked
 	// at.
-	strangeCheck = 30 * time.Millisecond
+	orphanCheckInterval = 30 * time.Millisecond
 )
 
 // acquire asks a runner to obey this scheduler's token from now on.
@@ -22,35 +22,35 @@
 	r.release()
 	r.token = s.token()
 	r.reacquireAt = 0
-	r.holdNext = 0
-	r.apart, r.presentAt, r.askedFrom = false, 0, s.now
+	r.nextHoldAt = 0
+	r.partitioned, r.reachableAt, r.lastAskedAt = false, 0, s.now
 	s.hold(r)
 }
 
 // hold sends a renewal unless one is on its way.
 func (s *Scheduler) hold(r *runner) {
-	if r.holding || r.gone || r.token == 0 {
+	if r.holdInFlight || r.gone || r.token == 0 {
 		return
 	}
-	if s.apart(r) {
-		s.askPresence(r)
+	if s.partitioned(r) {
+		s.checkReachability(r)
 		return
 	}
-	r.holding = true
-	r.heldAt = s.now
+	r.holdInFlight = true
+	r.holdSentAt = s.now
 	h := Hold{
 		Runner:       r.info.ID,
 		Address:      r.info.Address,
 		Token:        r.token,
-		Acknowledged: r.cursor(s.now),
+		Acknowledged: r.ackCursor(s.now),
 		Timeout:      s.callTimeout(),
 	}
 	// A renewal that stays unanswered may still be carried out. So while in
 	// doubt none is given: then the time at which the runs are surely over
 	// doesn't move, and they can be started elsewhere.
-	if len(r.runs) > 0 && r.owned && !r.inDoubt && !r.strange() && s.now > r.withheldUntil {
+	if len(r.runs) > 0 && r.owned && !r.unresponsive && !r.hasForeignOrphans() && s.now > r.noLeaseUntil {
 		h.LeaseEnd = r.leaseEnd(s.now, s.cfg.Lease)
-		r.grant(s.now, s.cfg.Lease)
+		r.noteLease(s.now, s.cfg.Lease)
 		if len(r.ends) == 0 {
 			h.Wait = s.cfg.HoldWait
 			h.Timeout += h.Wait
@@ -59,60 +59,60 @@
 	s.emit(h)
 }
 
-// lookAtAll reads the lists of all runners of a service at once, and takes back
+// requestLists reads the lists of all runners of a service at once, and takes back
 // those that another scheduler had: it has just handed over a job.
-func (s *Scheduler) lookAtAll(service string) {
+func (s *Scheduler) requestLists(service string) {
 	if !s.leading {
 		return
 	}
-	for _, r := range s.list {
+	for _, r := range s.runnerList {
 		if r.info.Service != service || r.gone {
 			continue
 		}
 		if r.token == 0 {
-			s.outbid(r)
+			s.raiseTerm(r)
 			s.acquire(r)
 			continue
 		}
-		s.look(r)
+		s.requestList(r)
 	}
 }
 
-// look reads a runner's lists now, beside a renewal that may wait there.
-func (s *Scheduler) look(r *runner) {
-	if r.looking || r.gone || !s.leading || r.token == 0 || s.apart(r) {
+// requestList reads a runner's lists now, beside a renewal that may wait there.
+func (s *Scheduler) requestList(r *runner) {
+	if r.listInFlight || r.gone || !s.leading || r.token == 0 || s.partitioned(r) {
 		return
 	}
-	r.looking = true
-	s.emit(Hold{Runner: r.info.ID, Address: r.info.Address, Token: r.token, Acknowledged: r.cursor(s.now), ListOnly: true, Timeout: s.callTimeout()})
+	r.listInFlight = true
+	s.emit(Hold{Runner: r.info.ID, Address: r.info.Address, Token: r.token, Acknowledged: r.ackCursor(s.now), ListOnly: true, Timeout: s.callTimeout()})
 }
 
-func (s *Scheduler) nextHold(r *runner) {
+func (s *Scheduler) scheduleHold(r *runner) {
 	switch {
-	case r.strange():
+	case r.hasForeignOrphans():
 		// Nothing can be started before what runs there is over.
-		r.holdNext = s.now + strangeCheck
-	case len(r.ends) > 0 && !s.custody.loaded && !s.custody.none:
-		r.holdNext = s.now + unloadedCheck
-	case len(r.ends) > 0 || s.now <= r.withheldUntil:
-		r.holdNext = s.now + unsavedCheck
+		r.nextHoldAt = s.now + orphanCheckInterval
+	case len(r.ends) > 0 && !s.rows.loaded && !s.rows.noStoredJobs:
+		r.nextHoldAt = s.now + unloadedInterval
+	case len(r.ends) > 0 || s.now <= r.noLeaseUntil:
+		r.nextHoldAt = s.now + unsavedEndsInterval
 	case len(r.runs) > 0:
 		s.hold(r)
 	case r.info.Lapsed || r.unlisted:
-		r.holdNext = s.now + lapsedCheck
+		r.nextHoldAt = s.now + lapsedCheck
 	default:
-		r.holdNext = s.now + idleCheck
+		r.nextHoldAt = s.now + idleCheckInterval
 	}
 }
 
 func (s *Scheduler) unanswered(r *runner) {
 	s.ctr.Unanswered++
-	r.doubt(s.now)
+	r.markUnresponsive(s.now)
 }
 
-// lose handles a runner that obeys a higher token. What ran there is the other
+// runnerFenced handles a runner that obeys a higher token. What ran there is the other
 // scheduler's now; it is started again only when it must be over.
-func (s *Scheduler) lose(r *runner) {
+func (s *Scheduler) runnerFenced(r *runner) {
 	s.ctr.Fenced++
 	s.emit(Decision{Event: "runner-lost", Runner: r.info.ID, Token: r.token, Reason: "fenced"})
 	tasks, owned := r.tasks(), r.owned
@@ -121,22 +121,22 @@
 		t.notBefore = s.now + s.cfg.Resend
 		s.requeueUnseen(t)
 	}
-	r.refused = r.token
+	r.refusedToken = r.token
 	r.token = 0
 	switch {
 	case s.yielding:
 	case !owned:
 		// It has obeyed the scheduler before, whose term wasn't known.
-		s.outbid(r)
+		s.raiseTerm(r)
 		s.acquire(r)
-	case s.now-r.acquiredAt > reacquireWait:
-		r.reacquireAt = s.now + fencedWait
+	case s.now-r.acquiredAt > contestedReacquireDelay:
+		r.reacquireAt = s.now + reacquireDelay
 	default:
-		r.reacquireAt = s.now + reacquireWait
+		r.reacquireAt = s.now + contestedReacquireDelay
 	}
 }
 
-// outbid goes above the term of whoever has taken a runner. The runner doesn't
+// raiseTerm goes above the term of whoever has taken a runner. The runner doesn't
 // say which that is, so the step doubles with each refusal.
 //
 // A term that was raised since, for another runner, is tried first. Each of
@@ -145,11 +145,11 @@
 // runner: at a restart of all, 150 ms in which nothing was served. For the same
 // reason the term goes above all versions of the store's rows that are known: no
 // process that registered before has begun with a higher one.
-func (s *Scheduler) outbid(r *runner) {
-	if s.term > r.refused>>numberBits {
+func (s *Scheduler) raiseTerm(r *runner) {
+	if s.term > r.refusedToken>>numberBits {
 		return
 	}
-	s.term = max(s.term, s.version) + termStep<<min(r.refusals, termDoublings)
+	s.term = max(s.term, s.version) + termStep<<min(r.refusals, maxTermDoublings)
 	r.refusals++
 }
 
@@ -157,10 +157,10 @@
 // and looks which others it had.
 func (s *Scheduler) TakeOverRunners(now Time) {
 	s.now = now
-	s.unsureUntil = now + unsureWindow
+	s.uncertainUntil = now + takeoverWindow
 	s.ReacquireRunners(now)
-	for _, r := range s.list {
-		s.look(r)
+	for _, r := range s.runnerList {
+		s.requestList(r)
 	}
 }
 
@@ -168,9 +168,9 @@
 // turns out that nobody else leads.
 func (s *Scheduler) ReacquireRunners(now Time) {
 	s.now = now
-	for _, r := range s.list {
+	for _, r := range s.runnerList {
 		if r.token == 0 && s.leading && !s.yielding {
-			s.outbid(r)
+			s.raiseTerm(r)
 			s.acquire(r)
 		}
 	}
@@ -190,7 +190,7 @@
 // tasks lists the tasks whose runs are on the runner.
 func (r *runner) tasks() []*taskState {
 	var list []*taskState
-	for _, u := range r.inOrder() {
+	for _, u := range r.sortedRuns() {
 		if u.task != nil {
 			list = append(list, u.task)
 		}
@@ -200,10 +200,10 @@
 
 // probe looks at a silent runner again, at once or after a pause.
 func (s *Scheduler) probe(r *runner) {
-	r.holdNext = s.now
-	if silence := s.now - r.clockAt; silence > probeAtOnce {
-		r.holdNext = s.now + min(silence/4, probeMost)
-	} else if !r.holding {
+	r.nextHoldAt = s.now
+	if silence := s.now - r.clockAt; silence > immediateProbeSilence {
+		r.nextHoldAt = s.now + min(silence/4, maxProbeInterval)
+	} else if !r.holdInFlight {
 		s.hold(r)
 	}
 }
--- a/core/schedule/placement.go
+++ b/core/schedule/placement.go
@@ -12,17 +12,17 @@
 	// against how well it fits there: one in ten counts like a runner left
 	// empty.
 	missWeight = 10.0
-	// sparePace is the gain of putting a task that has time on a slower runner,
+	// slowRunnerGain is the gain of putting a task that has time on a slower runner,
 	// which leaves the faster ones to those that haven't. Runners slower than
 	// slowPace times the usual aren't sought, and cost slowWeight.
-	sparePace  = 0.3
-	slowPace   = 1.5
-	slowWeight = 5.0
-	// farCost keeps tasks in the failure domain of their caller while there is
+	slowRunnerGain    = 0.3
+	maxSoughtPace     = 1.5
+	slowRunnerPenalty = 5.0
+	// remoteDomainPenalty keeps tasks in the failure domain of their caller while there is
 	// room, before all that a fit can gain. If a domain is cut off, what runs on
 	// the other side of the cut has to end before it can be started again, and
 	// callers don't wait for that.
-	farCost = 1.0
+	remoteDomainPenalty = 1.0
 	// overdueFactor and overdueSlack say when a run is taken for stuck. Run
 	// times spread by a factor of 1.5 about their estimates and these are off
 	// by as much, so three times the estimate is rare for a sound run.
@@ -33,20 +33,20 @@
 // placer chooses runners during one round of starts.
 type placer struct {
 	s *Scheduler
-	// tooBig is the least need that found no room, by service. It spares the
+	// smallestUnplaced is the least need that found no room, by service. It spares the
 	// search for tasks that need as much or more.
-	tooBig map[string]workload.Resources
-	median map[string]float64
+	smallestUnplaced map[string]workload.Resources
+	median           map[string]float64
 }
 
 func newPlacer(s *Scheduler) *placer {
-	return &placer{s: s, tooBig: make(map[string]workload.Resources), median: make(map[string]float64)}
+	return &placer{s: s, smallestUnplaced: make(map[string]workload.Resources), median: make(map[string]float64)}
 }
 
 // full reports whether tasks that need no more than those of a step have found no
 // room.
 func (p *placer) full(step *workload.Step, service string) bool {
-	big, ok := p.tooBig[service]
+	big, ok := p.smallestUnplaced[service]
 	return ok && big.Fits(step.Need)
 }
 
@@ -64,11 +64,11 @@
 	}
 	var best *runner
 	var least float64
-	for _, r := range p.s.list {
+	for _, r := range p.s.runnerList {
 		if r.info.Service != service || !r.usable(p.s.now) || !step.Need.Fits(r.free()) {
 			continue
 		}
-		if !r.info.HasLabel(step.Requires) || !p.spread(t, r) {
+		if !r.info.HasLabel(step.Requires) || !p.withinSpreadLimit(t, r) {
 			continue
 		}
 		if c := p.cost(t, r); best == nil || c < least {
@@ -76,13 +76,13 @@
 		}
 	}
 	if best == nil && plain {
-		p.tooBig[service] = step.Need
+		p.smallestUnplaced[service] = step.Need
 	}
 	return best
 }
 
-// spread reports whether the runner may take one more task of the step.
-func (p *placer) spread(t *taskState, r *runner) bool {
+// withinSpreadLimit reports whether the runner may take one more task of the step.
+func (p *placer) withinSpreadLimit(t *taskState, r *runner) bool {
 	limit := t.step().MaxPerRunner
 	if limit == 0 {
 		return true
@@ -98,27 +98,27 @@
 
 const (
 	// Costs that put a runner behind all sound ones.
-	costSuspect  = 10.0
-	costFailedOn = 100.0
+	suspectPenalty  = 10.0
+	failedOnPenalty = 100.0
 )
 
 func (p *placer) cost(t *taskState, r *runner) float64 {
 	left := r.free().Minus(t.step().Need).MilliCPU
 	c := float64(left) / float64(max(1, r.info.Capacity.MilliCPU))
-	pace := r.health.pace() * p.s.distance(t, r)
-	c += missWeight * (1 - chance(t.step().Estimate, pace, t.job.deadline-p.s.now))
+	pace := r.health.pace() * p.s.remoteFactor(t, r)
+	c += missWeight * (1 - completionProbability(t.step().Estimate, pace, t.job.deadline-p.s.now))
 	relative := pace / p.usualPace(r.info.Service)
-	c -= sparePace * min(relative, slowPace)
-	c += slowWeight * max(0, relative-slowPace)
+	c -= slowRunnerGain * min(relative, maxSoughtPace)
+	c += slowRunnerPenalty * max(0, relative-maxSoughtPace)
 	if t.job.domain != "" && r.info.Domain != t.job.domain {
-		c += farCost
+		c += remoteDomainPenalty
 	}
 	if r.health.suspect() {
-		c += costSuspect * float64(1+len(r.runs))
+		c += suspectPenalty * float64(1+len(r.runs))
 	}
 	for _, f := range t.failedOn {
 		if f == r {
-			c += costFailedOn
+			c += failedOnPenalty
 		}
 	}
 	return c
@@ -136,7 +136,7 @@
 
 func (s *Scheduler) medianPace(service string) float64 {
 	var paces []float64
-	for _, r := range s.list {
+	for _, r := range s.runnerList {
 		if r.info.Service == service && r.owned {
 			paces = append(paces, r.health.pace())
 		}
@@ -145,11 +145,11 @@
 		return 1
 	}
 	sort.Float64s(paces)
-	return max(paces[len(paces)/2], leastPace)
+	return max(paces[len(paces)/2], minPace)
 }
 
-// distance is how many times as long the task takes there for want of its data.
-func (s *Scheduler) distance(t *taskState, r *runner) float64 {
+// remoteFactor is how many times as long the task takes there for want of its data.
+func (s *Scheduler) remoteFactor(t *taskState, r *runner) float64 {
 	if rack := t.step().PreferredRack; rack != "" && rack != r.info.Rack {
 		return s.cfg.RemoteFactor
 	}
@@ -157,14 +157,14 @@
 }
 
 func (s *Scheduler) overdueAt(t *taskState, r *runner) Time {
-	estimate := float64(t.step().Estimate) * max(1, r.health.pace()) * s.distance(t, r)
+	estimate := float64(t.step().Estimate) * max(1, r.health.pace()) * s.remoteFactor(t, r)
 	limit := time.Duration(estimate)*overdueFactor + overdueSlack
 	return s.now + limit*time.Duration(1+t.overstays)
 }
 
 func (s *Scheduler) start(t *taskState, r *runner) {
 	t.lastNumber++
-	t.startedAs = t.lastNumber
+	t.lastStarted = t.lastNumber
 	u := &run{
 		key:     workload.RunKey{Task: t.name, Number: t.lastNumber},
 		runner:  r,
@@ -190,13 +190,13 @@
 
 func (s *Scheduler) sendStart(u *run) {
 	r := u.runner
-	if u.tries == 0 {
+	if u.startAttempts == 0 {
 		// A second order names the same end, so that the moment at which the
 		// run is surely over doesn't move.
 		u.leaseEnd = r.leaseEnd(s.now, s.cfg.Lease)
-		r.grant(s.now, s.cfg.Lease)
+		r.noteLease(s.now, s.cfg.Lease)
 	}
-	u.tries++
+	u.startAttempts++
 	s.emit(Start{
 		Runner:     r.info.ID,
 		Address:    r.info.Address,
--- a/core/schedule/reach.go
+++ b/core/schedule/reach.go
@@ -20,47 +20,47 @@
 //	no                      | longer  | again    | none for hearWait, then as usual
 
 const (
-	// outOfReach is the silence after which a runner may be behind a cut; that of
+	// maxSilence is the silence after which a runner may be behind a cut; that of
 	// a process after which it counts as lost.
-	outOfReach = 450 * time.Millisecond
-	// hearWait is how long after it answers again a runner is left alone, unless
+	maxSilence = 450 * time.Millisecond
+	// discoveryWait is how long after it answers again a runner is left alone, unless
 	// all other VMs are heard before: processes dial each other every 250 ms, and
 	// a leader tells at once that it leads.
-	hearWait = 600 * time.Millisecond
+	discoveryWait = 600 * time.Millisecond
 	// presenceToken is one that runners refuse: they have all seen a higher one.
 	presenceToken = 0
 )
 
-// apart brings up to date, and reports, whether a runner may be led by a process
+// partitioned brings up to date, and reports, whether a runner may be led by a process
 // that isn't heard.
-func (s *Scheduler) apart(r *runner) bool {
-	if !s.misses {
-		r.apart, r.presentAt = false, 0
+func (s *Scheduler) partitioned(r *runner) bool {
+	if !s.anyUnreachable {
+		r.partitioned, r.reachableAt = false, 0
 		return false
 	}
-	if !r.apart && s.now-max(r.clockAt, r.askedFrom) > outOfReach && (r.inDoubt || !r.owned) {
-		r.apart = true
+	if !r.partitioned && s.now-max(r.clockAt, r.lastAskedAt) > maxSilence && (r.unresponsive || !r.owned) {
+		r.partitioned = true
 	}
-	if r.presentAt > 0 && s.now-r.presentAt >= hearWait {
-		r.apart, r.presentAt = false, 0
-		r.askedFrom = s.now
+	if r.reachableAt > 0 && s.now-r.reachableAt >= discoveryWait {
+		r.partitioned, r.reachableAt = false, 0
+		r.lastAskedAt = s.now
 	}
-	return r.apart
+	return r.partitioned
 }
 
-// askPresence asks a runner whether it is there.
-func (s *Scheduler) askPresence(r *runner) {
-	if r.presentAt > 0 {
+// checkReachability asks a runner whether it is there.
+func (s *Scheduler) checkReachability(r *runner) {
+	if r.reachableAt > 0 {
 		return
 	}
-	r.holding = true
-	r.heldAt = s.now
+	r.holdInFlight = true
+	r.holdSentAt = s.now
 	s.emit(Hold{Runner: r.info.ID, Address: r.info.Address, Token: presenceToken, ReachabilityOnly: true, Timeout: s.callTimeout()})
 }
 
-// present takes what came of it.
-func (s *Scheduler) present(r *runner, res HoldResult) {
-	r.holding = false
+// handleReachability takes what came of it.
+func (s *Scheduler) handleReachability(r *runner, res HoldResult) {
+	r.holdInFlight = false
 	switch res.Outcome {
 	case Replaced:
 		s.replaced(r)
@@ -68,7 +68,7 @@
 	case Unanswered:
 		s.probe(r)
 	default:
-		r.presentAt = s.now
+		r.reachableAt = s.now
 		s.emit(Decision{Event: "runner-in-reach", Runner: r.info.ID, Age: s.now - r.clockAt})
 	}
 }
--- a/core/schedule/reach_test.go
+++ b/core/schedule/reach_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// cutOff returns a bench whose second runner has been silent for long, with the
+// partitionedHarness returns a bench whose second runner has been silent for long, with the
 // entry VMs of its failure domain.
-func cutOff(t *testing.T) *bench {
+func partitionedHarness(t *testing.T) *harness {
 	b := leading(t, testRunner("near"), testRunner("far"))
 	b.s.SetUnreachable(true)
 	b.silentFor("far", 2*time.Second)
@@ -17,7 +17,7 @@
 }
 
 // silentFor lets time pass in which a runner leaves all orders unanswered.
-func (b *bench) silentFor(far string, d time.Duration) {
+func (b *harness) silentFor(far string, d time.Duration) {
 	for end := b.now + d; b.now < end; {
 		b.tick(20 * ms)
 		for _, h := range take[Hold](b) {
@@ -30,9 +30,9 @@
 	}
 }
 
-// returns lets time pass until the runner answers whether it is there, and another
+// untilReachable lets time pass until the runner answers whether it is there, and another
 // moment.
-func (b *bench) returns(far string) {
+func (b *harness) untilReachable(far string) {
 	for range 100 {
 		b.tick(20 * ms)
 		for _, h := range take[Hold](b) {
@@ -52,10 +52,10 @@
 // A cut heals, and a runner of the other side answers before the processes there
 // are heard, one of which leads it. It isn't taken from that one: jobs there would
 // be held up for nothing. If none is heard in time it is taken.
-func TestRunnersAreNotTakenBeforeOthersCouldBeHeard(t *testing.T) {
-	b := cutOff(t)
-	b.returns("far")
-	for end := b.now + hearWait - 40*ms; b.now < end; {
+func TestPartitionedRunnerIsAcquiredAfterDiscoveryWait(t *testing.T) {
+	b := partitionedHarness(t)
+	b.untilReachable("far")
+	for end := b.now + discoveryWait - 40*ms; b.now < end; {
 		b.tick(20 * ms)
 		for _, h := range take[Hold](b) {
 			b.g.Expect(h.Runner).NotTo(BeEquivalentTo("far"))
@@ -67,8 +67,8 @@
 }
 
 // Once all other VMs are heard nobody else can lead, and it is taken at once.
-func TestRunnersAreTakenWhenAllAreHeard(t *testing.T) {
-	b := cutOff(t)
+func TestPartitionedRunnerIsAcquiredWhenAllAreReachable(t *testing.T) {
+	b := partitionedHarness(t)
 	b.s.SetUnreachable(false)
 	b.wait(600 * ms)
 	b.g.Expect(b.s.runners["far"].usable(b.now)).To(BeTrue())
--- a/core/schedule/records.go
+++ b/core/schedule/records.go
@@ -7,8 +7,8 @@
 
 // What the store has of stored jobs, and what is kept of those that have ended.
 
-// kept is the outcome of a stored job.
-type kept struct {
+// retained is the outcome of a stored job.
+type retained struct {
 	state ledger.State
 	at    Time
 	// restarted: a task was started more than once.
@@ -19,7 +19,7 @@
 	move *move
 }
 
-func (k kept) jobState() JobState {
+func (k retained) jobState() JobState {
 	if k.move != nil {
 		return JobState{Known: true, Begun: true}
 	}
@@ -34,9 +34,9 @@
 
 // saveRecord has the store keep a record, and returns its sequence.
 func (s *Scheduler) saveRecord(r ledger.Record) uint64 {
-	s.custody.sequence++
-	s.emit(Save{At: s.now, Sequence: s.custody.sequence, Record: r})
-	return s.custody.sequence
+	s.rows.sequence++
+	s.emit(Save{At: s.now, Sequence: s.rows.sequence, Record: r})
+	return s.rows.sequence
 }
 
 func (j *job) record() ledger.Record {
@@ -68,9 +68,9 @@
 			s.savedJob(j, rec.Sequence)
 			continue
 		}
-		if k, ok := s.custody.kept[rec.Job]; ok && rec.Sequence >= k.saving {
+		if k, ok := s.rows.retained[rec.Job]; ok && rec.Sequence >= k.saving {
 			k.saving = 0
-			s.custody.kept[rec.Job] = k
+			s.rows.retained[rec.Job] = k
 			s.emit(OutcomeSaved{Job: rec.Job, State: k.jobState()})
 		}
 	}
@@ -82,50 +82,50 @@
 	j.stored.saved = max(j.stored.saved, sequence)
 	if !j.stored.accepted {
 		j.stored.accepted = true
-		s.tellTaken(j)
+		s.acknowledgeMove(j)
 		for _, e := range sortedKeys(j.stored.waiters) {
 			s.answer(e, j.work.ID, workload.Accepted, "")
 		}
 		j.stored.waiters = nil
 		s.resume(j)
 	}
-	s.settle(j)
+	s.publishOutcome(j)
 }
 
-// settle shows what has come of a job that has ended, when the store has it and an owner
+// publishOutcome shows what has come of a job that has ended, when the store has it and an owner
 // before, that may not know yet that it isn't the owner any more, starts nothing of it.
-func (s *Scheduler) settle(j *job) {
-	if !j.ended || j.stored.saved < j.stored.saving || j.handed > 0 && s.now < s.ownersQuietFrom() {
+func (s *Scheduler) publishOutcome(j *job) {
+	if !j.ended || j.stored.saved < j.stored.saving || j.priorSchedulers > 0 && s.now < s.priorOwnerInactiveAt() {
 		return
 	}
-	s.keep(j.work.ID, j.stored.state, j.restarted)
+	s.retain(j.work.ID, j.stored.state, j.restarted)
 	if j.stored.state == ledger.Moving {
-		s.keepMove(j.movingRecord(), s.now-j.arrived)
+		s.retainMove(j.movingRecord(), s.now-j.arrived)
 	}
 	delete(s.jobs, j.work.ID)
-	s.emit(OutcomeSaved{Job: j.work.ID, State: s.custody.kept[j.work.ID].jobState()})
+	s.emit(OutcomeSaved{Job: j.work.ID, State: s.rows.retained[j.work.ID].jobState()})
 }
 
-func (s *Scheduler) keep(id workload.JobID, state ledger.State, restarted bool) {
-	if _, ok := s.custody.kept[id]; !ok {
-		s.custody.keptOrder = append(s.custody.keptOrder, id)
+func (s *Scheduler) retain(id workload.JobID, state ledger.State, restarted bool) {
+	if _, ok := s.rows.retained[id]; !ok {
+		s.rows.retainedOrder = append(s.rows.retainedOrder, id)
 	}
-	s.custody.kept[id] = kept{state: state, restarted: restarted, at: s.now}
+	s.rows.retained[id] = retained{state: state, restarted: restarted, at: s.now}
 }
 
-// forgetKept drops outcomes that nobody may ask for any more.
-func (s *Scheduler) forgetKept() {
-	for len(s.custody.keptOrder) > 0 {
-		id := s.custody.keptOrder[0]
-		if s.now-s.custody.kept[id].at < s.cfg.Retention+keptExtra {
+// expireRetained drops outcomes that nobody may ask for any more.
+func (s *Scheduler) expireRetained() {
+	for len(s.rows.retainedOrder) > 0 {
+		id := s.rows.retainedOrder[0]
+		if s.now-s.rows.retained[id].at < s.cfg.Retention+extraRetention {
 			return
 		}
-		if s.keepsMove(id) {
-			s.custody.keptOrder = append(s.custody.keptOrder[1:], id)
+		if s.retainsMove(id) {
+			s.rows.retainedOrder = append(s.rows.retainedOrder[1:], id)
 			continue
 		}
-		s.custody.keptOrder = s.custody.keptOrder[1:]
-		delete(s.custody.kept, id)
+		s.rows.retainedOrder = s.rows.retainedOrder[1:]
+		delete(s.rows.retained, id)
 		s.saveRecord(ledger.Record{Job: id, State: ledger.Forgotten})
 	}
 }
--- a/core/schedule/restore.go
+++ b/core/schedule/restore.go
@@ -10,16 +10,16 @@
 // Loaded takes all records of the shard, which this process has just taken.
 func (s *Scheduler) Loaded(now Time, l ledger.Loaded) {
 	s.now = now
-	s.custody.loaded = true
-	s.custody.epoch = l.Epoch
-	s.custody.knownFrom = s.knownFrom(l.ClaimedAt)
-	s.listsWanted = now
+	s.rows.loaded = true
+	s.rows.epoch = l.Epoch
+	s.rows.priorRunsOverAt = s.priorRunsOverAt(l.ClaimedAt)
+	s.latestHandoverAt = now
 	open := 0
 	for _, r := range l.Records {
 		if r.State != ledger.Open {
-			s.keep(r.Job, r.State, r.Restarted)
+			s.retain(r.Job, r.State, r.Restarted)
 			if r.State == ledger.Moving || r.State == ledger.Moved {
-				s.keepMove(r, r.Age)
+				s.retainMove(r, r.Age)
 			}
 			continue
 		}
@@ -27,14 +27,14 @@
 		s.restore(r)
 	}
 	s.emit(Decision{Event: "stored-jobs-loaded", Token: l.Epoch, Reason: openJobs(open), Age: now - l.ClaimedAt})
-	s.settleEnds()
+	s.recheckEnds()
 	if open > 0 {
-		for _, r := range s.list {
-			s.look(r)
+		for _, r := range s.runnerList {
+			s.requestList(r)
 		}
 	}
-	early := s.custody.early
-	s.custody.early = make(map[workload.JobID][]earlySubmission)
+	early := s.rows.early
+	s.rows.early = make(map[workload.JobID][]earlySubmission)
 	for _, id := range sortedKeys(early) {
 		s.submitCopies(early[id])
 	}
@@ -56,17 +56,17 @@
 // restored is a job as its record says.
 func (s *Scheduler) restored(r ledger.Record) *job {
 	j := newJob(r.Work, s.now)
-	j.stored = &stored{epoch: r.Epoch, accepted: true, failures: r.Failures, unseen: r.Unseen, unseenBefore: r.Unseen}
+	j.stored = &stored{epoch: r.Epoch, accepted: true, failures: r.Failures, unseen: r.Unseen, unseenByPredecessor: r.Unseen}
 	j.started, j.restarted = true, r.Restarted
-	j.handed = int(s.custody.epoch - r.Epoch)
-	j.knownFrom = s.custody.knownFrom
-	j.listsSince = s.now
+	j.priorSchedulers = int(s.rows.epoch - r.Epoch)
+	j.priorRunsOverAt = s.rows.priorRunsOverAt
+	j.listsNeededSince = s.now
 	j.setDue(s.now-r.Age, r.Work.Objective)
-	s.timed(j)
+	s.updateDue(j)
 	s.jobs[r.Job] = j
-	s.custody.open++
-	j.each(func(t *taskState) {
-		t.lastNumber = j.handed * runsPerHand
+	s.rows.open++
+	j.eachTask(func(t *taskState) {
+		t.lastNumber = j.priorSchedulers * runsPerScheduler
 		if i := j.stepIndex(t.name); i < len(r.Done) && r.Done[i].Has(t.name.Index) {
 			t.setPhase(done)
 			j.begun = true
@@ -81,14 +81,14 @@
 	return j
 }
 
-// knownFrom is when nothing can be alive any more that schedulers before have
+// priorRunsOverAt is when nothing can be alive any more that schedulers before have
 // started and that this one can't see. It sees all on the runners that it knows;
 // there may be others, in a failure domain that is cut off from the store.
-func (s *Scheduler) knownFrom(claimedAt Time) Time {
-	if p := s.custody.before; p != nil && p.Epoch > 0 && p.Epoch+1 == s.custody.epoch {
+func (s *Scheduler) priorRunsOverAt(claimedAt Time) Time {
+	if p := s.rows.predecessor; p != nil && p.Epoch > 0 && p.Epoch+1 == s.rows.epoch {
 		return s.now + p.PriorRunsTTL
 	}
-	return claimedAt + storedUnknown
+	return claimedAt + maxPriorRunLife
 }
 
 // resume goes on with a job that is in the store, or ends it if a scheduler before had
@@ -99,7 +99,7 @@
 		return
 	}
 	hopeless := false
-	j.each(func(t *taskState) { hopeless = hopeless || t.phase != done && t.failures >= j.attempts() })
+	j.eachTask(func(t *taskState) { hopeless = hopeless || t.phase != done && t.failures >= j.attempts() })
 	if hopeless {
 		s.finish(j, workload.JobFailed, "a task had failed as often as its queue allows")
 		return
--- a/core/schedule/results.go
+++ b/core/schedule/results.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// endsPerList is how many ends a runner lists at most. There may be more
+	// maxEndsPerList is how many ends a runner lists at most. There may be more
 	// behind a list of that length.
-	endsPerList = 500
+	maxEndsPerList = 500
 	// stopSlack is added to the longest time that a stop takes.
 	stopSlack = 20 * time.Millisecond
-	// leaseLimit is the longest lease that a runner grants to anybody; runs
+	// maxLease is the longest lease that a runner grants to anybody; runs
 	// found under another scheduler's lease live no longer than that.
-	leaseLimit = 1000 * time.Millisecond
+	maxLease = 1000 * time.Millisecond
 )
 
 // Held takes what came of a Hold.
@@ -25,37 +25,37 @@
 		return
 	}
 	if res.ReachabilityOnly {
-		s.present(r, res)
+		s.handleReachability(r, res)
 		return
 	}
 	if res.Token != r.token {
 		return
 	}
-	if !s.sameLife(r, res.Clock.Born) {
+	if !s.checkIncarnation(r, res.Clock.Born) {
 		s.dispatch()
 		return
 	}
 	if res.ListOnly {
-		r.looking = false
+		r.listInFlight = false
 	} else {
-		r.holding = false
+		r.holdInFlight = false
 	}
 	silence := s.now - r.clockAt
-	r.sawClock(res.Clock)
+	r.updateClock(res.Clock)
 	switch res.Outcome {
 	case Accepted:
 		r.answered(res.Clock.SentAt)
-		s.answersAgain(r, silence)
-		s.listed(r, res)
+		s.noteAnswerAfterSilence(r, silence)
+		s.applyLists(r, res)
 		s.dispatch()
-		if r.listedAt < s.listsWanted {
-			s.look(r)
+		if r.listAsOf < s.latestHandoverAt {
+			s.requestList(r)
 		}
-		if !r.holding {
-			s.nextHold(r)
+		if !r.holdInFlight {
+			s.scheduleHold(r)
 		}
 	case Fenced:
-		s.lose(r)
+		s.runnerFenced(r)
 	case Replaced:
 		s.replaced(r)
 		s.dispatch()
@@ -65,30 +65,30 @@
 	}
 }
 
-// listed reads a runner's lists of what ended and what runs.
-func (s *Scheduler) listed(r *runner, res HoldResult) {
+// applyLists reads a runner's lists of what ended and what runs.
+func (s *Scheduler) applyLists(r *runner, res HoldResult) {
 	first := !r.owned
 	r.owned = true
-	whole := len(res.Ends) < endsPerList
+	whole := len(res.Ends) < maxEndsPerList
 	if whole {
-		r.listedAt = max(r.listedAt, res.Clock.SentAt)
+		r.listAsOf = max(r.listAsOf, res.Clock.SentAt)
 	}
 	if first {
 		r.acquiredAt = s.now
 		r.refusals = 0
-		r.aliveUntil = max(r.aliveUntil, s.now+longestLife(leaseLimit))
-		s.emit(Decision{Event: "runner-acquired", Runner: r.info.ID, Token: r.token, Age: s.now - r.heldAt})
+		r.aliveUntil = max(r.aliveUntil, s.now+maxRunLife(maxLease))
+		s.emit(Decision{Event: "runner-acquired", Runner: r.info.ID, Token: r.token, Age: s.now - r.holdSentAt})
 	}
 	for _, e := range res.Ends {
 		if !r.noted(e.Sequence) {
-			s.note(r, e)
+			s.noteEnd(r, e)
 		}
 	}
 	s.acknowledge(r)
 	listed := make(map[workload.RunKey]bool, len(res.Running))
 	for _, k := range res.Running {
 		listed[k] = true
-		s.seen(r, k)
+		s.noteListedRun(r, k)
 		r.runs[k].noteCheckpoint(res.Checkpoints[k])
 	}
 	if whole {
@@ -99,7 +99,7 @@
 // dropStopped gives up runs that the runner had promised to stop before it was
 // asked for the list, and that aren't on it: they had never come there.
 func (s *Scheduler) dropStopped(r *runner, listed map[workload.RunKey]bool, sentAt Time) {
-	for _, u := range r.inOrder() {
+	for _, u := range r.sortedRuns() {
 		if !u.stopped || u.stoppedAt > sentAt || listed[u.key] {
 			continue
 		}
@@ -110,15 +110,15 @@
 	}
 }
 
-// seen notes a run that a runner lists.
-func (s *Scheduler) seen(r *runner, k workload.RunKey) {
+// noteListedRun notes a run that a runner lists.
+func (s *Scheduler) noteListedRun(r *runner, k workload.RunKey) {
 	if u := r.runs[k]; u != nil {
 		u.confirmed = true
 		return
 	}
-	u := &run{key: k, runner: r, started: s.now, confirmed: true, found: true, stopAt: s.now + orphanGrace}
+	u := &run{key: k, runner: r, started: s.now, confirmed: true, startedElsewhere: true, stopAt: s.now + orphanGrace}
 	r.add(u)
-	s.ran[k.Task.Job] = s.now
+	s.ranJobs[k.Task.Job] = s.now
 	if j := s.jobs[k.Task.Job]; j != nil {
 		s.adopt(j, u)
 	}
@@ -136,8 +136,8 @@
 	}
 }
 
-// ended acts on an end that a runner lists, and returns the job if it is known.
-func (s *Scheduler) ended(r *runner, e workload.End) *job {
+// applyEnd acts on an end that a runner lists, and returns the job if it is known.
+func (s *Scheduler) applyEnd(r *runner, e workload.End) *job {
 	u := r.runs[e.Run]
 	if u != nil {
 		r.drop(u)
@@ -165,9 +165,9 @@
 }
 
 func (s *Scheduler) endedUnknown(e workload.End) {
-	s.ran[e.Run.Task.Job] = s.now
+	s.ranJobs[e.Run.Task.Job] = s.now
 	if e.Kind == workload.Done {
-		s.found[e.Run.Task] = s.now
+		s.doneWithoutJob[e.Run.Task] = s.now
 	}
 }
 
@@ -201,7 +201,7 @@
 func (s *Scheduler) taskDone(t *taskState, r *runner, u *run) {
 	s.ctr.Done++
 	if u != nil && u.task == t {
-		t.job.ran(t.name, s.now-u.started)
+		t.job.recordRunTime(t.name, s.now-u.started)
 	}
 	if u != nil && u.task == t && !u.stopping {
 		r.health.succeeded(s.now, s.now-u.started, t.step().Estimate)
@@ -239,7 +239,7 @@
 	} else {
 		for _, f := range t.failedOn {
 			if f != r {
-				f.health.pardon()
+				f.health.undoStrike()
 			}
 		}
 	}
@@ -259,12 +259,12 @@
 	if r == nil || r.gone || !s.leading {
 		return
 	}
-	if !s.sameLife(r, res.Clock.Born) {
+	if !s.checkIncarnation(r, res.Clock.Born) {
 		s.dispatch()
 		return
 	}
-	r.sawClock(res.Clock)
-	s.took(res.Clock.SentAt)
+	r.updateClock(res.Clock)
+	s.recordLatency(res.Clock.SentAt)
 	if res.Outcome != Unanswered {
 		r.answered(res.Clock.SentAt)
 	}
@@ -277,7 +277,7 @@
 		u.confirmed = true
 		return
 	case Fenced:
-		s.lose(r)
+		s.runnerFenced(r)
 	case Replaced:
 		s.replaced(r)
 	case Unanswered:
@@ -296,11 +296,11 @@
 	}
 	s.ctr.Unanswered++
 	s.emit(Decision{Event: "start-unanswered", Job: u.key.Task.Job, Run: u.key, Runner: r.info.ID, Age: s.now - u.started})
-	if u.task != nil && !u.stopping && u.tries < startTries && !r.inDoubt && !r.strange() && !r.evacuated {
+	if u.task != nil && !u.stopping && u.startAttempts < maxStartAttempts && !r.unresponsive && !r.hasForeignOrphans() && !r.evacuated {
 		s.sendStart(u)
 		return
 	}
-	r.doubt(s.now)
+	r.markUnresponsive(s.now)
 	s.stopRun(u)
 }
 
@@ -322,13 +322,13 @@
 func (s *Scheduler) noteStopped(u *run, at Time) {
 	u.stopped = true
 	u.stoppedAt = at
-	u.goneAt = s.now + s.cfg.StopTimeout + stopSlack
-	s.look(u.runner)
+	u.overAt = s.now + s.cfg.StopTimeout + stopSlack
+	s.requestList(u.runner)
 }
 
 // startRejected handles a start that surely hasn't happened.
 func (s *Scheduler) startRejected(r *runner, u *run, o CallOutcome) {
-	if u.tries > 1 && u.ofStoredJob() {
+	if u.startAttempts > 1 && u.ofStoredJob() {
 		s.secondStartRejected(r, u, o)
 		return
 	}
@@ -340,11 +340,11 @@
 		r.health.failed(s.now, strikesToClose)
 	case NoRoom:
 		// Something runs there that isn't known here. A look tells what.
-		r.doubt(s.now)
-		r.holdNext = s.now
+		r.markUnresponsive(s.now)
+		r.nextHoldAt = s.now
 	case Outdated:
 		if t != nil {
-			t.lastNumber += runsPerHand
+			t.lastNumber += runsPerScheduler
 		}
 	case Invalid:
 		if t != nil {
@@ -373,11 +373,11 @@
 	if r == nil || r.gone || !s.leading {
 		return
 	}
-	if !s.sameLife(r, res.Clock.Born) {
+	if !s.checkIncarnation(r, res.Clock.Born) {
 		s.dispatch()
 		return
 	}
-	r.sawClock(res.Clock)
+	r.updateClock(res.Clock)
 	u := r.runs[res.Run]
 	if res.Outcome != Unanswered {
 		r.answered(res.Clock.SentAt)
@@ -388,7 +388,7 @@
 			s.noteStopped(u, res.Clock.ReceivedAt)
 		}
 	case Fenced:
-		s.lose(r)
+		s.runnerFenced(r)
 	case Replaced:
 		s.replaced(r)
 	default:
--- a/core/schedule/safety_test.go
+++ b/core/schedule/safety_test.go
@@ -19,11 +19,11 @@
 	cfg := DefaultConfig()
 	const tick, network = 20 * ms, 10 * ms
 	dropped := leader.LostAfter + 2*tick
-	lapsed := longestLife(cfg.Lease) - cfg.HoldWait - network
+	lapsed := maxRunLife(cfg.Lease) - cfg.HoldWait - network
 	g.Expect(lapsed).To(BeNumerically(">", dropped))
 	g.Expect(cfg.Lease).To(BeNumerically(">", cfg.HoldWait+CallTimeout+network), "a renewal fits before the lease ends")
 	g.Expect(abandonedGrace + tick + cfg.StopTimeout + network).To(BeNumerically("<", cfg.Resend))
-	g.Expect(dropped+longestLife(cfg.Lease)).To(BeNumerically("<", cfg.Resend), "runs of a silent entry VM are over before its callers come again")
+	g.Expect(dropped+maxRunLife(cfg.Lease)).To(BeNumerically("<", cfg.Resend), "runs of a silent entry VM are over before its callers come again")
 }
 
 // A start is left unanswered: nobody knows whether the task runs. It is sent
@@ -78,7 +78,7 @@
 		b.tick(20 * ms)
 		if again := take[Start](b); len(again) > 0 {
 			b.g.Expect(again[0].Runner).NotTo(Equal(start.Runner))
-			b.g.Expect(b.now - last).To(BeNumerically(">=", longestLife(b.s.cfg.Lease)))
+			b.g.Expect(b.now - last).To(BeNumerically(">=", maxRunLife(b.s.cfg.Lease)))
 			return
 		}
 	}
@@ -101,13 +101,13 @@
 				b.held(h)
 			}
 		}
-		b.silence(20 * ms)
+		b.waitWithoutEntry(20 * ms)
 	}
-	b.silence(longestLife(b.s.cfg.Lease) - 22*20*ms + 40*ms)
+	b.waitWithoutEntry(maxRunLife(b.s.cfg.Lease) - 22*20*ms + 40*ms)
 	b.g.Expect(take[Decision](b)).To(ContainElement(HaveField("Event", "run-lapsed")))
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 	b.s.EntryLost(b.now, entryA, false)
-	b.silence(entryWait + 40*ms)
+	b.waitWithoutEntry(entryRecoveryDelay + 40*ms)
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 }
 
@@ -125,11 +125,11 @@
 	}
 	waits := testJob(1, 300*ms)
 	b.submit(waits, 3*time.Second)
-	b.silence(entryFresh + 20*ms)
+	b.waitWithoutEntry(maxHeartbeatAge + 20*ms)
 	b.end("r1", 1, running[0].Run, workload.Done)
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 	b.s.EntryAlive(b.now, entryA)
-	b.silence(20 * ms)
+	b.waitWithoutEntry(20 * ms)
 	b.g.Expect(one[Start](b).Run.Task.Job).To(Equal(waits.ID))
 }
 
@@ -152,7 +152,7 @@
 // moment later and goes on with the run; until then no lease is given there,
 // since somebody on the other side of a cut may count on the run's end.
 func TestAdoption(t *testing.T) {
-	b := newBench(t, testRunner("r1"))
+	b := newHarness(t, testRunner("r1"))
 	j := testJob(1, 500*ms)
 	key := workload.RunKey{Task: workload.TaskName{Job: j.ID}, Number: 3}
 	b.s.Lead(b.now)
@@ -175,13 +175,13 @@
 
 // Nobody hands in the job of a run that a new scheduler has found: its entry VM
 // is gone too. It is stopped, well before its caller sends the job again.
-func TestStrangeRun(t *testing.T) {
-	b := newBench(t, testRunner("r1"))
+func TestForeignOrphanIsStopped(t *testing.T) {
+	b := newHarness(t, testRunner("r1"))
 	key := workload.RunKey{Task: workload.TaskName{Job: "00000000000000aa"}, Number: 1}
 	b.s.Lead(b.now)
 	b.answerHold(one[Hold](b), Accepted, key)
 	take[Hold](b)
-	b.own(1)
+	b.ownRows(1)
 	b.tick(orphanGrace + 40*ms)
 	b.g.Expect(one[Stop](b).Run).To(Equal(key))
 }
@@ -189,8 +189,8 @@
 // The store can't be read as a scheduler takes over, and it finds a run whose job
 // isn't known. That may be a stored one, so it isn't stopped; and no lease is
 // given, so that it ends by itself before anybody starts it elsewhere.
-func TestStrangeRunWithoutTheStore(t *testing.T) {
-	b := newBench(t, testRunner("r1"))
+func TestForeignOrphanWithoutTheStoreIsNotStopped(t *testing.T) {
+	b := newHarness(t, testRunner("r1"))
 	key := workload.RunKey{Task: workload.TaskName{Job: "00000000000000aa"}, Number: 1}
 	b.s.Lead(b.now)
 	b.answerHold(one[Hold](b), Accepted, key)
@@ -204,7 +204,7 @@
 // A job comes from another scheduler while one runner can't be reached. It may
 // run there, so it isn't started before that must be over.
 func TestJobFromAnotherScheduler(t *testing.T) {
-	b := newBench(t, testRunner("r1"), testRunner("r2"))
+	b := newHarness(t, testRunner("r1"), testRunner("r2"))
 	b.s.Lead(b.now)
 	for _, h := range take[Hold](b) {
 		if h.Runner == "r1" {
@@ -261,7 +261,7 @@
 	}
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 	before := b.s.Term()
-	b.tick(fencedWait + 40*ms)
+	b.tick(reacquireDelay + 40*ms)
 	var taken Hold
 	for _, h := range take[Hold](b) {
 		if h.Runner == start.Runner {
@@ -275,11 +275,11 @@
 // other. The younger one yields, but it has taken the runners last. If they were
 // left to it for the usual time, every caller of that time would be turned away.
 func TestRunnersLeftToNobody(t *testing.T) {
-	b := newBench(t, testRunner("r1"))
+	b := newHarness(t, testRunner("r1"))
 	b.s.Lead(b.now)
 	b.held(one[Hold](b))
 	b.tick(100 * ms)
-	b.s.lookAtAll(service)
+	b.s.requestLists(service)
 	b.answerHold(one[Hold](b), Fenced)
 	b.tick(100 * ms)
 	b.g.Expect(take[Hold](b)).To(BeEmpty())
@@ -290,8 +290,8 @@
 // A job that another scheduler had is handed in to a process that doesn't lead,
 // by an entry VM whose view is behind. If this one took runners for it, it would
 // take them from the leader, and all callers would wait.
-func TestHandInWithoutTheLead(t *testing.T) {
-	b := newBench(t, testRunner("r1"))
+func TestHandInToAFollower(t *testing.T) {
+	b := newHarness(t, testRunner("r1"))
 	b.s.Submit(b.now, Submission{Job: testJob(1, 50*ms), Entry: entryA, RemainingObjective: time.Second, RemainingTimeout: 3 * time.Second, PriorSubmissions: 1, PriorRunsTTL: 1300 * ms})
 	b.tick(200 * ms)
 	b.g.Expect(take[Hold](b)).To(BeEmpty())
@@ -318,12 +318,12 @@
 // a scheduler that has died too, so nothing is known of them. A refusal that
 // said that nothing was run would be a lie.
 func TestRefusalSoonAfterATakeover(t *testing.T) {
-	b := newBench(t, testRunner("r1"))
+	b := newHarness(t, testRunner("r1"))
 	b.s.Lead(b.now)
 	b.held(one[Hold](b))
 	b.submit(testJob(1, 10*time.Second), 500*ms)
 	b.g.Expect(one[Answer](b).Outcome).To(Equal(workload.GaveUp))
-	b.wait(unsureWindow)
+	b.wait(takeoverWindow)
 	b.submit(testJob(1, 10*time.Second), 500*ms)
 	refusal := one[Answer](b)
 	b.g.Expect(refusal.Outcome).To(Equal(workload.NotRun))
@@ -347,13 +347,13 @@
 // is lost the job must not wait for it, nor count the task as done twice and be
 // answered while another task still runs.
 func TestDoneAndRunningElsewhere(t *testing.T) {
-	b := newBench(t, testRunner("r1"), testRunner("r2"))
+	b := newHarness(t, testRunner("r1"), testRunner("r2"))
 	j := testJob(2, 500*ms)
 	done := workload.RunKey{Task: workload.TaskName{Job: j.ID}, Number: 1}
 	again := workload.RunKey{Task: workload.TaskName{Job: j.ID}, Number: 101}
 	other := workload.RunKey{Task: workload.TaskName{Job: j.ID, Index: 1}, Number: 1}
 	b.s.Lead(b.now)
-	b.own(1)
+	b.ownRows(1)
 	for _, h := range take[Hold](b) {
 		if h.Runner == "r1" {
 			b.held(h, workload.End{Sequence: 1, Run: done, Kind: workload.Done})
@@ -362,7 +362,7 @@
 		b.answerHold(h, Accepted, again, other)
 	}
 	b.s.Submit(b.now, Submission{Job: j, Entry: entryA, RemainingObjective: time.Second, RemainingTimeout: 2 * time.Second, PriorSubmissions: 2, PriorRunsTTL: time.Second})
-	b.s.lose(b.s.runners["r2"])
+	b.s.runnerFenced(b.s.runners["r2"])
 	b.g.Expect(b.s.jobs[j.ID].open).To(Equal([]int{1}))
 	b.g.Expect(b.s.jobs[j.ID].waiting).To(Equal(1))
 	b.g.Expect(take[Answer](b)).To(BeEmpty())
@@ -371,11 +371,11 @@
 // A job has found no room in its own shard, and runs in another one. Its entry
 // process ends, or takes the job back. Its caller sends it again, and the copy goes to
 // the job's own shard, which can't see what runs here; so that is stopped at once.
-func TestRunsOfAGuestAreStoppedAtOnce(t *testing.T) {
-	for _, gone := range []func(*bench, *workload.Job){
-		func(b *bench, _ *workload.Job) { b.s.EntryLost(b.now, entryA, true) },
-		func(b *bench, _ *workload.Job) { b.s.EntryLost(b.now, entryA, false) },
-		func(b *bench, j *workload.Job) { b.s.Withdraw(b.now, entryA, j.ID) },
+func TestRunsOfAForeignJobAreStoppedAtOnce(t *testing.T) {
+	for _, gone := range []func(*harness, *workload.Job){
+		func(b *harness, _ *workload.Job) { b.s.EntryLost(b.now, entryA, true) },
+		func(b *harness, _ *workload.Job) { b.s.EntryLost(b.now, entryA, false) },
+		func(b *harness, j *workload.Job) { b.s.Withdraw(b.now, entryA, j.ID) },
 	} {
 		b := leading(t, testRunner("r1"))
 		j := testJob(1, 500*ms)
@@ -393,7 +393,7 @@
 // run. While nobody is missed the refusal stands.
 func TestRefusedJobMayHaveRunElsewhere(t *testing.T) {
 	b := leading(t, testRunner("r1"))
-	b.wait(unsureWindow)
+	b.wait(takeoverWindow)
 	j := testJob(1, 10*time.Second)
 	b.submit(j, 500*ms)
 	b.g.Expect(one[Answer](b).Outcome).To(Equal(workload.NotRun))
--- a/core/schedule/schedule.go
+++ b/core/schedule/schedule.go
@@ -88,36 +88,36 @@
 	// otherwise take late answers for none, send more orders and open new
 	// connections, and fall behind for good.
 	timeoutFactor = 5
-	timeoutMost   = 400 * time.Millisecond
+	maxTimeout    = 400 * time.Millisecond
 	// latencyWeight is the weight of the latest order in the average.
 	latencyWeight = 0.05
-	// startTries is how often a start is sent to the same runner under the same
+	// maxStartAttempts is how often a start is sent to the same runner under the same
 	// run number, which starts it once at most.
-	startTries = 2
+	maxStartAttempts = 2
 	// clockDriftPercent is how much slower than ours a runner's clock may be.
 	clockDriftPercent = 2
 	// leaseMargin covers the delay between reading our clock and sending.
 	leaseMargin = 50 * time.Millisecond
-	// idleCheck is how often an idle runner is looked at, so that a job
+	// idleCheckInterval is how often an idle runner is looked at, so that a job
 	// doesn't find out first that it is dead.
-	idleCheck = time.Second
-	// fencedWait is how long a runner is left to another scheduler that has
+	idleCheckInterval = time.Second
+	// reacquireDelay is how long a runner is left to another scheduler that has
 	// taken it. Mostly that one takes over, and says so in its next heartbeat;
 	// taking the runner back at once would only hold it up.
-	fencedWait = 150 * time.Millisecond
-	// reacquireWait is the same for a runner that this scheduler itself took
+	reacquireDelay = 150 * time.Millisecond
+	// contestedReacquireDelay is the same for a runner that this scheduler itself took
 	// only a while ago. Two that can't hear each other so change it seldom.
-	reacquireWait = 1500 * time.Millisecond
-	// settleTime is how long after taking over it isn't known yet what the
+	contestedReacquireDelay = 1500 * time.Millisecond
+	// warmUpTime is how long after taking over it isn't known yet what the
 	// runners can take, and their connections aren't open.
-	settleTime = time.Second
-	// settleTimeout is CallTimeout for that time: some hundred calls and new
+	warmUpTime = time.Second
+	// warmUpTimeout is CallTimeout for that time: some hundred calls and new
 	// connections at once keep a small VM busy for a tenth of a second.
-	settleTimeout = 250 * time.Millisecond
+	warmUpTimeout = 250 * time.Millisecond
 	// termStep raises the term after a runner has refused a token, and doubles
 	// termDoublings times at most.
-	termStep      = 16
-	termDoublings = 10
+	termStep         = 16
+	maxTermDoublings = 10
 	// orphanGrace is how long a run without a job is kept for the entry VM
 	// that hands its job in again, within some milliseconds of a takeover.
 	orphanGrace = 150 * time.Millisecond
@@ -125,22 +125,22 @@
 	// has ended. It must end before the caller sends the job again, perhaps
 	// to a scheduler that can't see these runs.
 	abandonedGrace = 900 * time.Millisecond
-	// limboWait is how long a job may wait for this scheduler to lead.
-	limboWait = 700 * time.Millisecond
+	// leadershipTimeout is how long a job may wait for this scheduler to lead.
+	leadershipTimeout = 700 * time.Millisecond
 	// resultRetention is how long outcomes are kept for jobs sent again.
 	resultRetention = 60 * time.Second
-	// unsureWindow is how long after another scheduler was in charge a job may
+	// takeoverWindow is how long after another scheduler was in charge a job may
 	// come that it had: callers wait up to 2.7 s.
-	unsureWindow = 4 * time.Second
+	takeoverWindow = 4 * time.Second
 	// UnreachableTimeout is how long a silent process is thought to be alive behind a
 	// cut; VMs that are lost for good don't come back.
 	UnreachableTimeout = 30 * time.Second
-	// entryFresh is how lately an entry VM must have been heard for its tasks to
+	// maxHeartbeatAge is how lately an entry VM must have been heard for its tasks to
 	// be started, in heartbeats two: it misses a scheduler after three, counted from
 	// one heartbeat earlier at most. Those that have lapsed wait for entryWait then, in which it is heard again or counts as lost. After a cut a run
 	// lapses 502 ms after the last heartbeat or later.
-	entryFresh = 300 * time.Millisecond
-	entryWait  = 300 * time.Millisecond
+	maxHeartbeatAge    = 300 * time.Millisecond
+	entryRecoveryDelay = 300 * time.Millisecond
 	// ranRetention is how long it is remembered that something of a job has run:
 	// longer than any caller sends it again.
 	ranRetention = 15 * time.Second
@@ -158,14 +158,14 @@
 	version uint64
 	leading bool
 	// yielding: another process is about to take over.
-	yielding bool
-	since    Time
-	// latency is how long orders take that don't wait, averaged.
-	latency time.Duration
+	yielding     bool
+	leadingSince Time
+	// callLatency is how long orders take that don't wait, averaged.
+	callLatency time.Duration
 
 	runners map[workload.RunnerID]*runner
-	// list is the runners in the order of their ids.
-	list []*runner
+	// runnerList is the runners in the order of their ids.
+	runnerList []*runner
 	// evacuated are the failure domains that get no new tasks.
 	evacuated []string
 
@@ -178,41 +178,41 @@
 	resultOrder []workload.JobID
 	// cancelled are ids that were cancelled before their jobs came.
 	cancelled map[workload.JobID]Time
-	// unsureUntil is when this scheduler knows again of all jobs that may come
+	// uncertainUntil is when this scheduler knows again of all jobs that may come
 	// a second time.
-	unsureUntil Time
-	// awaitUntil is how long jobs that another scheduler had wait for the word of
+	uncertainUntil Time
+	// progressWaitUntil is how long jobs that another scheduler had wait for the word of
 	// awaited, its process.
-	awaitUntil Time
-	awaited    EntryID
-	// listsWanted is when the latest job came that another scheduler had.
+	progressWaitUntil Time
+	progressFrom      EntryID
+	// latestHandoverAt is when the latest job came that another scheduler had.
 	// Runners that haven't listed their runs since are looked at.
-	listsWanted Time
-	// missing are VMs whose processes fell silent, by when, and that haven't
+	latestHandoverAt Time
+	// unreachable are VMs whose processes fell silent, by when, and that haven't
 	// come back. They may lead on the other side of a cut.
-	missing map[string]Time
-	// misses: a VM that may be alive isn't heard, perhaps never was.
-	misses bool
-	// doubt: a VM of another cell is missing, or was of late.
-	doubt bool
-	// allHeard: all processes of the deployment are heard, without a break since
+	unreachable map[string]Time
+	// anyUnreachable: a VM that may be alive isn't heard, perhaps never was.
+	anyUnreachable bool
+	// otherCellUnreachable: a VM of another cell is missing, or was of late.
+	otherCellUnreachable bool
+	// allReachable: all processes of the deployment are heard, without a break since
 	// allHeardSince.
-	allHeard bool
+	allReachable bool
 	// contested: another process is about to lead.
-	contested     bool
-	allHeardSince Time
-	// heard is when each entry process was last heard.
-	heard map[EntryID]Time
-	// ran are jobs without an outcome of which something is known to have run.
-	ran map[workload.JobID]Time
+	contested         bool
+	allReachableSince Time
+	// lastHeard is when each entry process was last lastHeard.
+	lastHeard map[EntryID]Time
+	// ranJobs are jobs without an outcome of which something is known to have run.
+	ranJobs map[workload.JobID]Time
 	// unstored are jobs that are known not to be stored ones, for a while after
 	// they have ended.
 	unstored  map[workload.JobID]Time
 	expiredAt Time
-	// found are ends of tasks whose jobs aren't known, by the runners' lists.
-	found map[workload.TaskName]Time
+	// doneWithoutJob are ends of tasks whose jobs aren't known, by the runners' lists.
+	doneWithoutJob map[workload.TaskName]Time
 
-	custody custody
+	rows rows
 	// alternate is the other shard in which a job would wait least, -1 if none, and
 	// alternateWait for how long.
 	alternate     int
@@ -250,20 +250,20 @@
 // New returns a scheduler that leads nothing yet.
 func New(cfg Config) *Scheduler {
 	return &Scheduler{
-		cfg:       cfg,
-		term:      cfg.ProcessNumber,
-		runners:   make(map[workload.RunnerID]*runner),
-		jobs:      make(map[workload.JobID]*job),
-		offered:   make(map[string]*offeredLoad),
-		results:   make(map[workload.JobID]result),
-		cancelled: make(map[workload.JobID]Time),
-		heard:     make(map[EntryID]Time),
-		missing:   make(map[string]Time),
-		ran:       make(map[workload.JobID]Time),
-		unstored:  make(map[workload.JobID]Time),
-		found:     make(map[workload.TaskName]Time),
-		custody:   newCustody(),
-		alternate: -1,
+		cfg:            cfg,
+		term:           cfg.ProcessNumber,
+		runners:        make(map[workload.RunnerID]*runner),
+		jobs:           make(map[workload.JobID]*job),
+		offered:        make(map[string]*offeredLoad),
+		results:        make(map[workload.JobID]result),
+		cancelled:      make(map[workload.JobID]Time),
+		lastHeard:      make(map[EntryID]Time),
+		unreachable:    make(map[string]Time),
+		ranJobs:        make(map[workload.JobID]Time),
+		unstored:       make(map[workload.JobID]Time),
+		doneWithoutJob: make(map[workload.TaskName]Time),
+		rows:           newRows(),
+		alternate:      -1,
 	}
 }
 
@@ -310,10 +310,10 @@
 	}
 	s.leading = true
 	s.yielding = false
-	s.since = now
-	s.unsureUntil = now + unsureWindow
+	s.leadingSince = now
+	s.uncertainUntil = now + takeoverWindow
 	s.term++
-	for _, r := range s.list {
+	for _, r := range s.runnerList {
 		s.acquire(r)
 	}
 	s.dispatch()
@@ -326,17 +326,17 @@
 // callTimeout is how long an order may stay unanswered now.
 func (s *Scheduler) callTimeout() time.Duration {
 	least := CallTimeout
-	if s.now-s.since < settleTime {
-		least = settleTimeout
+	if s.now-s.leadingSince < warmUpTime {
+		least = warmUpTimeout
 	}
-	return min(max(least, timeoutFactor*s.latency), timeoutMost)
+	return min(max(least, timeoutFactor*s.callLatency), maxTimeout)
 }
 
-// took notes how long an order took; one without an answer counts as the time
+// recordLatency notes how long an order recordLatency; one without an answer counts as the time
 // that it was waited for.
-func (s *Scheduler) took(sentAt Time) {
+func (s *Scheduler) recordLatency(sentAt Time) {
 	if d := s.now - sentAt; d >= 0 {
-		s.latency += time.Duration(latencyWeight * float64(d-s.latency))
+		s.callLatency += time.Duration(latencyWeight * float64(d-s.callLatency))
 	}
 }
 
@@ -349,7 +349,7 @@
 		return
 	}
 	s.leading = false
-	for _, r := range s.list {
+	for _, r := range s.runnerList {
 		r.release()
 	}
 	for _, j := range s.jobs {
@@ -357,8 +357,8 @@
 	}
 	clear(s.jobs)
 	s.queue = nil
-	clear(s.found)
-	s.dropCustody()
+	clear(s.doneWithoutJob)
+	s.dropRows()
 }
 
 // Pending is the number of jobs of each queue of which no task has started.
--- a/core/schedule/simulation_test.go
+++ b/core/schedule/simulation_test.go
@@ -96,9 +96,9 @@
 // tally is what the callers of a kind have got.
 type tally struct {
 	asked, inTime, late, refusedAtOnce, refused, gaveUp, tooLate int
-	// untrue refusals are of jobs of which something was run.
-	untrue       int
-	owed, earned float64
+	// falseRefusals refusals are of jobs of which something was run.
+	falseRefusals int
+	owed, earned  float64
 }
 
 func newSimulation(seed uint64, kinds []jobKind, shards, runners int) *simulation {
@@ -195,7 +195,7 @@
 		j.tasks = append(j.tasks, time.Duration(float64(work)*s.spread(taskSpread)))
 	}
 	s.jobs[w.ID] = j
-	sub := Submission{Job: w, Entry: entryA, RemainingObjective: w.Objective, RemainingTimeout: patienceBase + lateFactor*j.objective, Domain: s.domains[s.rng.IntN(len(s.domains))]}
+	sub := Submission{Job: w, Entry: entryA, RemainingObjective: w.Objective, RemainingTimeout: patienceBase + worthlessFactor*j.objective, Domain: s.domains[s.rng.IntN(len(s.domains))]}
 	s.shards[s.route(w)].Submit(s.now, sub)
 }
 
@@ -228,7 +228,7 @@
 // running lists what a runner runs, as the scheduler believes.
 func (s *simulation) running(sch *Scheduler, id workload.RunnerID) []workload.RunKey {
 	var keys []workload.RunKey
-	for _, u := range sch.runners[id].inOrder() {
+	for _, u := range sch.runners[id].sortedRuns() {
 		keys = append(keys, u.key)
 	}
 	return keys
@@ -283,7 +283,7 @@
 	t.asked++
 	t.owed += j.value
 	if j.outcome == workload.NotRun && j.ran {
-		t.untrue++
+		t.falseRefusals++
 	}
 	switch {
 	case !j.answered || j.outcome == workload.GaveUp:
@@ -295,7 +295,7 @@
 	case j.took <= j.objective:
 		t.inTime++
 		t.earned += j.value
-	case j.took <= lateFactor*j.objective:
+	case j.took <= worthlessFactor*j.objective:
 		t.late++
 		t.earned += j.value / 5
 	default:
--- a/core/schedule/stored.go
+++ b/core/schedule/stored.go
@@ -17,35 +17,35 @@
 // again.
 
 const (
-	// storedUnknown is how long after a shard was taken from a scheduler that
+	// maxPriorRunLife is how long after a shard was taken from a scheduler that
 	// isn't heard runs may be alive that it has started: it doubts its
 	// ownership custodyAge after it was last sure of it, stops its runs within
 	// a tick, and those on runners that don't answer live as long as a lease.
-	storedUnknown = 1300 * time.Millisecond
-	// custodyAge is how old the last proof of the ownership may be while a
+	maxPriorRunLife = 1300 * time.Millisecond
+	// maxProofAge is how old the last proof of the ownership may be while a
 	// process is missing that may have taken the shard.
-	custodyAge = 450 * time.Millisecond
-	// ownerSlack is what an owner's doubt may come late, by its ticks and by the way
+	maxProofAge = 450 * time.Millisecond
+	// priorOwnerSlack is what an owner's doubt may come late, by its ticks and by the way
 	// of its last order.
-	ownerSlack = 50 * time.Millisecond
-	// storeTrouble is how long all calls to the store must have failed until
+	priorOwnerSlack = 50 * time.Millisecond
+	// storeFailureThreshold is how long all calls to the store must have failed until
 	// new stored jobs are refused at arrival: a call that was turned away is
 	// repeated within a tenth of a second.
-	storeTrouble = 300 * time.Millisecond
-	// unsavedCheck is how often a runner is asked for its lists while some of
+	storeFailureThreshold = 300 * time.Millisecond
+	// unsavedEndsInterval is how often a runner is asked for its lists while some of
 	// its ends are being saved. It answers at once then, since it lists these
 	// ends again, and saving takes some milliseconds.
-	unsavedCheck = 25 * time.Millisecond
-	// unloadedCheck is the same while the jobs aren't known to which its ends
+	unsavedEndsInterval = 25 * time.Millisecond
+	// unloadedInterval is the same while the jobs aren't known to which its ends
 	// belong.
-	unloadedCheck = 150 * time.Millisecond
-	// refusalWait is how long a refusal waits for a proof of the ownership, which
+	unloadedInterval = 150 * time.Millisecond
+	// refusalTimeout is how long a refusal waits for a proof of the ownership, which
 	// takes a check every tenth of a second and its answer.
-	refusalWait = 400 * time.Millisecond
-	// needStore is how long after the last stored job more are expected.
-	needStore = 5 * time.Second
-	// keptExtra is how much longer outcomes are kept than callers may ask.
-	keptExtra = 30 * time.Second
+	refusalTimeout = 400 * time.Millisecond
+	// storeDemandWindow is how long after the last stored job more are expected.
+	storeDemandWindow = 5 * time.Second
+	// extraRetention is how much longer outcomes are kept than callers may ask.
+	extraRetention = 30 * time.Second
 )
 
 // never is later than all times.
@@ -65,8 +65,8 @@
 	// started again. unseenSaved is the sequence of the record that says so.
 	unseen      bool
 	unseenSaved uint64
-	// unseenBefore: so did the owner before.
-	unseenBefore bool
+	// unseenByPredecessor: so did the owner before.
+	unseenByPredecessor bool
 	// state is what the job has come to; to and hand are set for one that moves, as in
 	// ledger.Record.
 	state    ledger.State
@@ -81,29 +81,29 @@
 func (j *job) setDue(arrived Time, objective time.Duration) {
 	j.arrived = arrived
 	j.due = arrived + objective
-	j.useless = arrived + lateFactor*objective
+	j.worthlessAt = arrived + worthlessFactor*objective
 	j.deadline = never
 }
 
 // tickStored does what is due for stored jobs.
 func (s *Scheduler) tickStored() {
 	s.expireEarly()
-	s.settleRefusals()
+	s.resolveRefusals()
 	if !s.leading {
 		return
 	}
 	s.tickMoves()
-	s.forgetKept()
-	if !s.sure() {
-		s.stopUnsure()
+	s.expireRetained()
+	if !s.ownsRows() {
+		s.stopStoredRuns()
 	}
 }
 
 // tickStoredJob answers callers whose patience has ended before the store has
 // answered. The job may be in the store, or come there.
 func (s *Scheduler) tickStoredJob(j *job) {
-	s.settle(j)
-	s.timed(j)
+	s.publishOutcome(j)
+	s.updateDue(j)
 	for _, e := range sortedKeys(j.stored.waiters) {
 		if s.now >= j.stored.waiters[e] {
 			delete(j.stored.waiters, e)
@@ -115,10 +115,10 @@
 // cancelStored ends a stored job for its caller. done is false if an OutcomeSaved
 // follows when the store has it.
 func (s *Scheduler) cancelStored(id workload.JobID) (state JobState, done bool) {
-	if !s.sure() {
+	if !s.ownsRows() {
 		return JobState{Unsure: true}, true
 	}
-	if k, ok := s.custody.kept[id]; ok {
+	if k, ok := s.rows.retained[id]; ok {
 		if k.move != nil {
 			// The other shard's owner decides, once it has the job.
 			return JobState{Unsure: true}, true
@@ -133,23 +133,23 @@
 		s.dispatch()
 		return JobState{}, false
 	}
-	s.keepAndSave(id, ledger.CancelledEarly)
+	s.retainAndSave(id, ledger.CancelledEarly)
 	return JobState{}, false
 }
 
-// keepAndSave keeps the outcome of a job that isn't in hand.
-func (s *Scheduler) keepAndSave(id workload.JobID, state ledger.State) {
-	s.keep(id, state, false)
-	k := s.custody.kept[id]
+// retainAndSave keeps the outcome of a job that isn't in hand.
+func (s *Scheduler) retainAndSave(id workload.JobID, state ledger.State) {
+	s.retain(id, state, false)
+	k := s.rows.retained[id]
 	k.saving = s.saveRecord(ledger.Record{Job: id, State: state})
-	s.custody.kept[id] = k
+	s.rows.retained[id] = k
 }
 
 // finishStored ends a stored job. It is shown as ended when the store has it.
 func (s *Scheduler) finishStored(j *job, o workload.Outcome, reason string) {
 	j.stored.state = stateOf(o)
 	j.ended = true
-	s.custody.open--
+	s.rows.open--
 	s.count(o)
 	s.dequeue(j)
 	s.stopAll(j)
--- a/core/schedule/stored_test.go
+++ b/core/schedule/stored_test.go
@@ -17,14 +17,14 @@
 }
 
 // saved tells the scheduler that a record is in the store.
-func (b *bench) saved(list ...Save) {
+func (b *harness) saved(list ...Save) {
 	for _, c := range list {
 		b.s.Saved(b.now, []ledger.SavedRecord{{Job: c.Record.Job, Sequence: c.Sequence}})
 	}
 }
 
 // accepted submits a stored job and has it saved.
-func (b *bench) accepted(j *workload.Job) {
+func (b *harness) accepted(j *workload.Job) {
 	b.submit(j, 2*time.Second)
 	b.saved(one[Save](b))
 	b.g.ExpectWithOffset(1, one[Answer](b).Outcome).To(Equal(workload.Accepted))
@@ -86,7 +86,7 @@
 	}
 	b.g.Expect(take[Save](b)).To(BeEmpty(), "listed again, it is no news")
 	b.saved(save)
-	b.tick(unsavedCheck + 20*ms)
+	b.tick(unsavedEndsInterval + 20*ms)
 	held := take[Hold](b)
 	b.g.Expect(held).NotTo(BeEmpty())
 	b.g.Expect(held[len(held)-1].Acknowledged).To(BeEquivalentTo(1))
@@ -130,7 +130,7 @@
 
 // A job is cancelled before it comes, which its caller is told. The late copy is
 // taken and never runs; until it comes nobody finds such a job.
-func TestCancelledBeforeItComes(t *testing.T) {
+func TestCancelledBeforeItArrives(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j := storedJob(1, 100*ms)
 	b.s.Cancel(b.now, j.ID)
@@ -146,12 +146,12 @@
 
 // The store has been away for a while. A new job is refused as it arrives, which
 // is true; one that waits for its record is not, since that may be written yet.
-func TestStoreAway(t *testing.T) {
+func TestStoreUnavailable(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	waits, late := storedJob(1, 100*ms), storedJob(1, 100*ms)
 	b.submit(waits, 500*ms)
 	save := one[Save](b)
-	b.s.SetStoreFailingFor(storeTrouble + ms)
+	b.s.SetStoreFailingFor(storeFailureThreshold + ms)
 	b.submit(late, 2*time.Second)
 	refused := one[Answer](b)
 	b.g.Expect(refused.Outcome).To(Equal(workload.NotRun))
@@ -165,7 +165,7 @@
 
 // A burst has left stored jobs behind that are late already. They run when nothing
 // else waits, so they are no reason to refuse a new job that can be in time.
-func TestLateStoredJobsKeepNobodyOut(t *testing.T) {
+func TestLateStoredJobsDontBlockNewOnes(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	for range 4 {
 		b.submit(storedJob(2, 200*ms), 2*time.Second)
@@ -190,7 +190,7 @@
 	b.accepted(j)
 	b.s.Cancel(b.now, j.ID)
 	b.saved(take[Save](b)...)
-	b.now += b.s.cfg.Retention + keptExtra
+	b.now += b.s.cfg.Retention + extraRetention
 	b.s.RowOwnershipVerified(b.now, b.now)
 	b.s.Tick(b.now)
 	b.g.Expect(one[Save](b).Record.State).To(Equal(ledger.Forgotten))
@@ -292,7 +292,7 @@
 // Another process is about to lead, as this one has said that its VM is slow. It
 // may have taken the jobs and accepted one that this process is asked about before
 // it hears of that. All are heard, but that doesn't prove any more that nobody has.
-func TestAJobIsNotDeniedWhileAnotherIsAboutToLead(t *testing.T) {
+func TestUnknownJobIsNotDeniedWhileContested(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	asked := b.now
 	b.s.RowOwnershipVerified(asked, asked)
@@ -307,13 +307,13 @@
 // A process was frozen and wakes. In its buffers is a stored job that was handed in long
 // ago by an entry VM whose connection has ended since. That one has given it to another
 // scheduler, which refused it; so it must not be accepted here when this process leads.
-func TestWhatCameBeforeAConnectionEndedIsDropped(t *testing.T) {
-	b := newBench(t, testRunner("r1"))
+func TestSubmissionsFromBeforeADisconnectAreDropped(t *testing.T) {
+	b := newHarness(t, testRunner("r1"))
 	b.submit(storedJob(1, 100*ms), 2*time.Second)
 	b.submit(testJob(1, 100*ms), 2*time.Second)
 	b.s.EntryDisconnected(b.now, entryA)
 	b.s.Lead(b.now)
-	b.own(1)
+	b.ownRows(1)
 	b.held(take[Hold](b)[0])
 	b.g.Expect(take[Save](b)).To(BeEmpty())
 	b.g.Expect(take[Start](b)).To(BeEmpty())
--- a/core/schedule/submit.go
+++ b/core/schedule/submit.go
@@ -26,25 +26,25 @@
 	Foreign bool
 }
 
-// lateFactor times its objective is when a job's answer is worth nothing any
+// worthlessFactor times its objective is when a job's answer is worth nothing any
 // more, by the users' terms.
-const lateFactor = 3
+const worthlessFactor = 3
 
-// runsPerHand is the distance between the run numbers of successive
+// runsPerScheduler is the distance between the run numbers of successive
 // schedulers: each starts above all that the one before may have used.
-const runsPerHand = 100
+const runsPerScheduler = 100
 
 // Submit takes a job, or another copy of one that is known.
 func (s *Scheduler) Submit(now Time, sub Submission) {
 	s.now = now
-	s.heard[sub.Entry] = now
+	s.lastHeard[sub.Entry] = now
 	if sub.Job.Stored {
 		s.submitStored(sub)
 		return
 	}
 	id := sub.Job.ID
 	if r, ok := s.results[id]; ok {
-		s.answer(sub.Entry, id, s.known(r), "known")
+		s.answer(sub.Entry, id, s.outcomeForCopy(r), "known")
 		return
 	}
 	if _, ok := s.cancelled[id]; ok {
@@ -62,15 +62,15 @@
 	}
 	s.ctr.Submitted++
 	j := newJob(sub.Job, now)
-	j.entry, j.domain, j.guest = sub.Entry, sub.Domain, sub.Foreign
+	j.entry, j.domain, j.foreign = sub.Entry, sub.Domain, sub.Foreign
 	j.deadline = now + sub.RemainingTimeout
 	// What isn't done when its caller has left is worth nothing, however long
 	// its objective.
 	j.due = min(now+sub.RemainingObjective, j.deadline)
 	// The objective counts from the caller's first send; a part of it may be over.
-	j.useless = min(now+sub.RemainingObjective+(lateFactor-1)*sub.Job.Objective, j.deadline)
+	j.worthlessAt = min(now+sub.RemainingObjective+(worthlessFactor-1)*sub.Job.Objective, j.deadline)
 	s.handedBefore(j, sub)
-	if _, ok := s.ran[id]; ok {
+	if _, ok := s.ranJobs[id]; ok {
 		j.started = true
 	}
 	s.jobs[id] = j
@@ -91,32 +91,32 @@
 
 // handedBefore notes what other schedulers may have started of a job.
 func (s *Scheduler) handedBefore(j *job, sub Submission) {
-	if sub.PriorSubmissions <= j.handed {
+	if sub.PriorSubmissions <= j.priorSchedulers {
 		return
 	}
-	j.handed = sub.PriorSubmissions
+	j.priorSchedulers = sub.PriorSubmissions
 	j.started = true
-	j.knownFrom = s.now + sub.PriorRunsTTL
-	j.listsSince = s.now
-	s.listsWanted = s.now
-	j.each(func(t *taskState) { t.lastNumber = max(t.lastNumber, sub.PriorSubmissions*runsPerHand) })
-	s.lookAtAll(j.work.Service)
+	j.priorRunsOverAt = s.now + sub.PriorRunsTTL
+	j.listsNeededSince = s.now
+	s.latestHandoverAt = s.now
+	j.eachTask(func(t *taskState) { t.lastNumber = max(t.lastNumber, sub.PriorSubmissions*runsPerScheduler) })
+	s.requestLists(j.work.Service)
 }
 
 // attach joins a job with runs and ends that runners list for it, and reports
 // whether it found ends.
 func (s *Scheduler) attach(j *job) bool {
 	found := false
-	j.each(func(t *taskState) {
-		if _, ok := s.found[t.name]; ok {
-			delete(s.found, t.name)
+	j.eachTask(func(t *taskState) {
+		if _, ok := s.doneWithoutJob[t.name]; ok {
+			delete(s.doneWithoutJob, t.name)
 			j.started, j.begun = true, true
 			t.setPhase(done)
 			found = true
 		}
 	})
-	for _, r := range s.list {
-		for _, u := range r.withoutTask(j.work.ID) {
+	for _, r := range s.runnerList {
+		for _, u := range r.orphansOf(j.work.ID) {
 			s.adopt(j, u)
 		}
 	}
@@ -133,7 +133,7 @@
 	}
 	s.ctr.Adopted++
 	j.started, j.begun = true, true
-	t.startedAs = max(t.startedAs, u.key.Number)
+	t.lastStarted = max(t.lastStarted, u.key.Number)
 	j.noteRun(u.key)
 	t.checkpoint = u.checkpoint
 	u.setTask(t)
@@ -179,7 +179,7 @@
 	s.count(o)
 	s.forget(j)
 	if o != workload.GaveUp {
-		s.keepResult(j.work.ID, o)
+		s.retainResult(j.work.ID, o)
 	}
 	s.emit(a)
 }
@@ -199,12 +199,12 @@
 // uncertain reports whether a copy of a job may come here of which something has run
 // elsewhere.
 func (s *Scheduler) uncertain() bool {
-	return s.now < s.unsureUntil || len(s.missing) > 0 || s.misses || s.doubt
+	return s.now < s.uncertainUntil || len(s.unreachable) > 0 || s.anyUnreachable || s.otherCellUnreachable
 }
 
-// known is what a copy of a job is told that has ended here. One that was refused here
+// outcomeForCopy is what a copy of a job is told that has ended here. One that was refused here
 // may have found room in another shard, before its entry VM was lost.
-func (s *Scheduler) known(r result) workload.Outcome {
+func (s *Scheduler) outcomeForCopy(r result) workload.Outcome {
 	if r.outcome == workload.NotRun && s.uncertain() {
 		return workload.GaveUp
 	}
@@ -222,7 +222,7 @@
 }
 
 func (s *Scheduler) stopAll(j *job) {
-	j.each(func(t *taskState) {
+	j.eachTask(func(t *taskState) {
 		if t.run == nil {
 			return
 		}
@@ -237,7 +237,7 @@
 // again, and must not be told then that nothing was run.
 func (s *Scheduler) noteRan(j *job) {
 	if j.started {
-		s.ran[j.work.ID] = s.now
+		s.ranJobs[j.work.ID] = s.now
 	}
 	if j.stored == nil {
 		s.unstored[j.work.ID] = s.now
@@ -259,7 +259,7 @@
 	}
 }
 
-func (s *Scheduler) keepResult(id workload.JobID, o workload.Outcome) {
+func (s *Scheduler) retainResult(id workload.JobID, o workload.Outcome) {
 	if _, ok := s.results[id]; !ok {
 		s.resultOrder = append(s.resultOrder, id)
 	}
@@ -307,12 +307,12 @@
 	if r, ok := s.results[id]; ok {
 		return JobState{Known: true, Ended: true, Outcome: r.outcome}
 	}
-	if k, ok := s.custody.kept[id]; ok {
+	if k, ok := s.rows.retained[id]; ok {
 		return k.jobState()
 	}
 	j := s.jobs[id]
 	if j == nil {
-		return JobState{Unsure: !s.proved(asked)}
+		return JobState{Unsure: !s.ownershipProvedSince(asked)}
 	}
 	if j.stored != nil && !j.stored.accepted {
 		return JobState{Unsure: true}
--- a/core/schedule/tick.go
+++ b/core/schedule/tick.go
@@ -15,13 +15,13 @@
 	s.expire()
 	s.tickStored()
 	if !s.leading {
-		s.tickLimbo()
+		s.refuseWithoutLeader()
 		return
 	}
-	for _, r := range s.list {
+	for _, r := range s.runnerList {
 		s.tickRunner(r)
 	}
-	for _, j := range s.jobsInOrder() {
+	for _, j := range s.sortedJobs() {
 		s.tickJob(j)
 	}
 	s.forgetRunners()
@@ -30,11 +30,11 @@
 	s.dispatch()
 }
 
-// tickLimbo refuses jobs that were handed in to a process that doesn't come to
+// refuseWithoutLeader refuses jobs that were handed in to a process that doesn't come to
 // lead.
-func (s *Scheduler) tickLimbo() {
-	for _, j := range s.jobsInOrder() {
-		if j.stored == nil && s.now-j.arrived > limboWait {
+func (s *Scheduler) refuseWithoutLeader() {
+	for _, j := range s.sortedJobs() {
+		if j.stored == nil && s.now-j.arrived > leadershipTimeout {
 			s.finish(j, workload.GaveUp, "this process doesn't lead")
 		}
 	}
@@ -65,38 +65,38 @@
 	}
 	if r.token == 0 {
 		if r.reacquireAt > 0 && s.now >= r.reacquireAt {
-			s.outbid(r)
+			s.raiseTerm(r)
 			s.acquire(r)
 		}
 		return
 	}
-	if !r.holding && s.now >= r.holdNext {
+	if !r.holdInFlight && s.now >= r.nextHoldAt {
 		s.hold(r)
 	}
-	if r.inDoubt && s.now > r.aliveUntil && len(r.runs) > 0 {
-		s.lapse(r)
+	if r.unresponsive && s.now > r.aliveUntil && len(r.runs) > 0 {
+		s.lapseRuns(r)
 		return
 	}
-	for _, u := range r.inOrder() {
+	for _, u := range r.sortedRuns() {
 		s.tickRun(r, u)
 	}
 }
 
-// lapse gives up the runs of a runner that has been silent for longer than
+// lapseRuns gives up the runs of a runner that has been silent for longer than
 // their leases can last.
-func (s *Scheduler) lapse(r *runner) {
-	for _, u := range r.inOrder() {
+func (s *Scheduler) lapseRuns(r *runner) {
+	for _, u := range r.sortedRuns() {
 		r.drop(u)
 		if u.task == nil {
 			continue
 		}
 		s.ctr.Lapsed++
 		s.emit(Decision{Event: "run-lapsed", Job: u.key.Task.Job, Run: u.key, Runner: r.info.ID, Reason: "runner is silent", Age: s.now - r.clockAt})
-		if s.now-s.heard[u.task.job.entry] > entryFresh {
+		if s.now-s.lastHeard[u.task.job.entry] > maxHeartbeatAge {
 			// The entry VM may be cut off together with the runner. Then the
 			// scheduler on that side may have taken the run over, and the job
 			// will be dropped here in a moment.
-			u.task.notBefore = s.now + entryWait
+			u.task.notBefore = s.now + entryRecoveryDelay
 		}
 		s.requeueUnseen(u.task)
 	}
@@ -104,12 +104,12 @@
 
 func (s *Scheduler) tickRun(r *runner, u *run) {
 	switch {
-	case u.stopped && s.now >= u.goneAt && !u.ofStoredJob():
+	case u.stopped && s.now >= u.overAt && !u.ofStoredJob():
 		r.drop(u)
 		if u.task != nil {
 			s.requeue(u.task)
 		}
-	case u.found && u.task == nil && !s.custody.loaded && !s.custody.none:
+	case u.startedElsewhere && u.task == nil && !s.rows.loaded && !s.rows.noStoredJobs:
 		// It may be that of a stored job, which will be known in a moment. No
 		// lease is given meanwhile.
 	case u.task == nil && u.stopAt > 0 && s.now >= u.stopAt:
@@ -117,14 +117,14 @@
 	case u.task != nil && !u.stopping && !u.confirmed && u.stopAt > 0:
 		s.stopRun(u)
 	case u.task != nil && !u.stopping && u.overdueAt > 0 && s.now >= u.overdueAt:
-		s.overstay(r, u)
+		s.stopOverdue(r, u)
 	}
 }
 
-// overstay stops a run that takes far longer than estimated, so that it is
+// stopOverdue stops a run that takes far longer than estimated, so that it is
 // started on another runner: tasks stand still on some runners that are
 // otherwise healthy.
-func (s *Scheduler) overstay(r *runner, u *run) {
+func (s *Scheduler) stopOverdue(r *runner, u *run) {
 	t := u.task
 	if s.now+t.step().Estimate > t.job.deadline {
 		return
@@ -155,19 +155,19 @@
 		return
 	}
 	s.expiredAt = s.now
-	dropBefore(s.cancelled, s.now-resultRetention)
-	dropBefore(s.missing, s.now-UnreachableTimeout)
-	dropBefore(s.ran, s.now-ranRetention)
-	dropBefore(s.unstored, s.now-ranRetention)
-	dropBefore(s.found, s.now-s.cfg.Resend-limboWait)
+	expireBefore(s.cancelled, s.now-resultRetention)
+	expireBefore(s.unreachable, s.now-UnreachableTimeout)
+	expireBefore(s.ranJobs, s.now-ranRetention)
+	expireBefore(s.unstored, s.now-ranRetention)
+	expireBefore(s.doneWithoutJob, s.now-s.cfg.Resend-leadershipTimeout)
 }
 
-func dropBefore[K comparable](m map[K]Time, oldest Time) {
+func expireBefore[K comparable](m map[K]Time, oldest Time) {
 	maps.DeleteFunc(m, func(_ K, at Time) bool { return at < oldest })
 }
 
-// inOrder lists the runs by their keys.
-func (r *runner) inOrder() []*run {
+// sortedRuns lists the runs by their keys.
+func (r *runner) sortedRuns() []*run {
 	return slices.SortedFunc(maps.Values(r.runs), compareRuns)
 }
 
--- a/core/schedule/timed.go
+++ b/core/schedule/timed.go
@@ -9,9 +9,9 @@
 // process's time of day. Occurrences may overlap; each has its own steps, and the
 // job has ended when all have.
 
-// clockStep is the least change of a due time that changes the order of service:
+// minDueChange is the least change of a due time that changes the order of service:
 // the time of day and the steady clock drift apart by less within a second.
-const clockStep = 10 * time.Millisecond
+const minDueChange = 10 * time.Millisecond
 
 // SetTimeOfDay says what the time of day is, in milliseconds since 1970.
 func (s *Scheduler) SetTimeOfDay(now Time, ms int64) { s.epochMs = ms - now.Milliseconds() }
@@ -21,15 +21,15 @@
 	return time.Duration(j.work.DueMs(occurrence)-s.epochMs) * time.Millisecond
 }
 
-// begun reports whether the occurrence of a step is due. Those after one that
+// occurrenceDue reports whether the occurrence of a step is due. Those after one that
 // isn't are due later.
-func (s *Scheduler) begun(j *job, step int) bool {
+func (s *Scheduler) occurrenceDue(j *job, step int) bool {
 	return j.work.Times == 0 || s.now >= s.dueAt(j, j.occurrence(step))
 }
 
-// timed gives a timed job its place in the order of service, by the first
+// updateDue gives a updateDue job its place in the order of service, by the first
 // occurrence that hasn't ended.
-func (s *Scheduler) timed(j *job) {
+func (s *Scheduler) updateDue(j *job) {
 	if j.work.Times == 0 {
 		return
 	}
@@ -38,12 +38,12 @@
 		return
 	}
 	due := s.dueAt(j, j.occurrence(next))
-	if d := due - j.arrived; d > -clockStep && d < clockStep {
+	if d := due - j.arrived; d > -minDueChange && d < minDueChange {
 		return
 	}
 	queued := j.queued
 	s.dequeue(j)
-	j.arrived, j.due, j.useless = due, due+j.work.Objective, never
+	j.arrived, j.due, j.worthlessAt = due, due+j.work.Objective, never
 	if queued {
 		s.enqueue(j)
 	}
--- a/core/schedule/timed_test.go
+++ b/core/schedule/timed_test.go
@@ -14,7 +14,7 @@
 const dayStart = 1_700_000_000_000
 
 // timedJob is due first in a while, and then every interval.
-func (b *bench) timedJob(times int, first, interval time.Duration) *workload.Job {
+func (b *harness) timedJob(times int, first, interval time.Duration) *workload.Job {
 	b.s.SetTimeOfDay(b.now, dayStart+b.now.Milliseconds())
 	j := storedJob(1, 100*ms)
 	j.Times, j.Interval = times, interval
@@ -56,13 +56,13 @@
 // A scheduler is lost between two times of a job. The next one knows which have
 // been, and runs the rest when they are due.
 func TestRestoredTimedJob(t *testing.T) {
-	b := newBench(t, testRunner("r1"))
+	b := newHarness(t, testRunner("r1"))
 	j := b.timedJob(3, -400*ms, 2*time.Second)
 	b.s.Lead(b.now)
 	b.held(one[Hold](b))
 	bits := ledger.NewBits(1)
 	bits.Set(0)
-	b.own(2, ledger.Record{Job: j.ID, Work: j, Epoch: 1, Done: []ledger.Bits{bits, ledger.NewBits(1), ledger.NewBits(1)}})
+	b.ownRows(2, ledger.Record{Job: j.ID, Work: j, Epoch: 1, Done: []ledger.Bits{bits, ledger.NewBits(1), ledger.NewBits(1)}})
 	b.wait(1580 * ms)
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 	b.wait(40 * ms)
@@ -70,7 +70,7 @@
 }
 
 // Much is to be run tomorrow. That is no reason to refuse a job of today.
-func TestTimedJobsKeepNobodyOut(t *testing.T) {
+func TestFutureOccurrencesDontBlockNewJobs(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	for range 10 {
 		b.accepted(b.timedJob(20, 24*time.Hour, time.Millisecond))
--- a/core/schedule/unequal_test.go
+++ b/core/schedule/unequal_test.go
@@ -53,7 +53,7 @@
 	t.refused += o.refused
 	t.gaveUp += o.gaveUp
 	t.tooLate += o.tooLate
-	t.untrue += o.untrue
+	t.falseRefusals += o.falseRefusals
 	t.owed += o.owed
 	t.earned += o.earned
 }
@@ -68,7 +68,7 @@
 	g.Expect(all.share(all.gaveUp)).To(BeNumerically("<", 0.002))
 	g.Expect(all.share(all.tooLate)).To(BeNumerically("<", 0.002))
 	g.Expect(all.served()).To(BeNumerically(">", 0.9))
-	g.Expect(all.untrue).To(BeZero())
+	g.Expect(all.falseRefusals).To(BeZero())
 }
 
 // Guards against callers who wait for most of their time in a burst, and are refused then:
@@ -97,7 +97,7 @@
 }
 
 // fill gives the runners as many tasks as they have places for.
-func fill(b *bench, tasks int, estimate time.Duration) []Start {
+func fill(b *harness, tasks int, estimate time.Duration) []Start {
 	b.submit(testJob(tasks, estimate), 5*time.Second)
 	starts := take[Start](b)
 	b.g.ExpectWithOffset(1, starts).To(HaveLen(tasks))
