--- a/core/schedule/accept.go
+++ b/core/schedule/accept.go
@@ -7,9 +7,10 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Accepting stored jobs, and refusing them truthfully.
+// Acceptance and refusal of stored jobs. A caller is told that its job was refused only when it
+// is certain that no copy of the job runs.
 
-// submitStored takes a stored job, or another copy of one.
+// submitStored handles the submission of a stored job, which may be a copy of a known one.
 func (s *Scheduler) submitStored(sub Submission) {
 	id := sub.Job.ID
 	s.rows.lastRequestAt = s.now
@@ -44,7 +45,7 @@
 	s.save(j)
 }
 
-// submitEnded takes another copy of a job that has ended.
+// submitEnded handles a copy of a job that has ended.
 func (s *Scheduler) submitEnded(sub Submission, k retained) {
 	id := sub.Job.ID
 	if k.saving > 0 || !s.ownsRows() {
@@ -53,12 +54,12 @@
 	}
 	s.answer(sub.Entry, id, workload.Accepted, "known")
 	if k.state == ledger.CancelledEarly {
-		// From now on its caller may ask for it.
+		// From now on callers may query the job.
 		s.retainAndSave(id, ledger.Cancelled)
 	}
 }
 
-// submitAgain takes another copy of a job in hand.
+// submitAgain handles a copy of a job that hasn't ended.
 func (s *Scheduler) submitAgain(j *job, sub Submission) {
 	if j.stored == nil || j.stored.accepted {
 		s.answer(sub.Entry, j.work.ID, workload.Accepted, "known")
@@ -67,8 +68,8 @@
 	j.stored.waiters[sub.Entry] = s.now + sub.RemainingTimeout
 }
 
-// storedRefusal is the reason why a job isn't accepted; "" if it is. Nothing of
-// it has been written, so a refusal is true.
+// storedRefusal returns the reason why a job isn't accepted; "" if it is. No record of the job
+// has been written at that point, so the job can be refused safely.
 func (s *Scheduler) storedRefusal(j *job) string {
 	if s.rows.failingFor > storeFailureThreshold {
 		return "the store doesn't answer"
@@ -77,20 +78,22 @@
 	return reason
 }
 
-// refusal is one that waits until it is certain that it is true.
+// refusal is a refusal that is held back until it is certain that no other process has accepted
+// a copy of the job.
 type refusal struct {
 	answer Answer
 	since  Time
 }
 
-// refuse tells a caller that its job isn't accepted. If another process may have
-// accepted a copy of it, the ownership is proved first.
+// refuse refuses a job. If another process may have accepted a copy of it, the answer waits
+// until this process's ownership of the rows is proved.
 func (s *Scheduler) refuse(a Answer) {
 	s.rows.refusals = append(s.rows.refusals, refusal{answer: a, since: s.now})
 	s.resolveRefusals()
 }
 
-// resolveRefusals gives the refusals that are certain, and those that can't be.
+// resolveRefusals sends the refusals that are certain. Those that stay uncertain for
+// refusalTimeout are sent as GaveUp.
 func (s *Scheduler) resolveRefusals() {
 	s.rows.refusals = slices.DeleteFunc(s.rows.refusals, func(r refusal) bool {
 		r.answer.At = s.now
@@ -108,13 +111,13 @@
 	})
 }
 
-// earlySubmission is one that came before the stored jobs were known.
+// earlySubmission is a submission that arrived before the stored jobs were loaded.
 type earlySubmission struct {
 	Submission
 	at Time
 }
 
-// submitEarly keeps a submission until it can be told whether the job is known.
+// submitEarly keeps a submission until the stored jobs are loaded.
 func (s *Scheduler) submitEarly(sub Submission) {
 	id := sub.Job.ID
 	if s.leading && s.rows.failingFor > storeFailureThreshold {
@@ -124,7 +127,7 @@
 	s.rows.early[id] = append(s.rows.early[id], earlySubmission{Submission: sub, at: s.now})
 }
 
-// dropEarly forgets the submissions of an entry process that has ended or is silent.
+// dropEarly drops the submissions of an entry process that has ended or is unreachable.
 func (s *Scheduler) dropEarly(entry EntryID) {
 	for _, id := range sortedKeys(s.rows.early) {
 		s.rows.early[id] = slices.DeleteFunc(s.rows.early[id], func(e earlySubmission) bool { return e.Entry == entry })
@@ -134,7 +137,7 @@
 	}
 }
 
-// expireEarly answers callers to whom nothing can be said.
+// expireEarly answers GaveUp to submissions that have waited too long for the stored jobs.
 func (s *Scheduler) expireEarly() {
 	for _, id := range sortedKeys(s.rows.early) {
 		rest := slices.DeleteFunc(s.rows.early[id], func(e earlySubmission) bool {
@@ -150,8 +153,8 @@
 	}
 }
 
-// submitCopies decides on a job that has come once or more. If it is refused,
-// all copies are: a caller who was told that it doesn't run would see it run.
+// submitCopies decides on all early submissions of one job. If the first is refused all are:
+// otherwise a caller who was told that the job doesn't run would see it run.
 func (s *Scheduler) submitCopies(list []earlySubmission) {
 	id := list[0].Job.ID
 	s.submitStored(list[0].Submission)
--- a/core/schedule/acknowledge.go
+++ b/core/schedule/acknowledge.go
@@ -4,28 +4,29 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Acknowledging ends. A runner forgets an end that is acknowledged, and lists
-// the others again. Those of stored jobs must be in the store before.
+// Acknowledgement of ends. A runner forgets an end that is acknowledged, and lists the others
+// again. Ends of stored jobs must be in the store before they are acknowledged.
 
-// listedEnd is an end that is noted here and not acknowledged yet.
+// listedEnd is an end that has been processed but not acknowledged yet.
 type listedEnd struct {
 	end workload.End
-	// unknown: it can't be told yet whether it is that of a stored job. This
-	// process may have been frozen, and another one have accepted the job
-	// meanwhile; so it must be seen to own the shard after unknownSince.
+	// unknown: the end may be that of a stored job that this process doesn't know. If this
+	// process was suspended, another one may have accepted the job meanwhile. So the ownership
+	// of the shard must be proved again after unknownSince.
 	unknown      bool
 	unknownSince Time
-	// job and sequence are the record that has to be in the store; 0 if none.
+	// job and sequence are the record that must be in the store first; sequence is 0 if there
+	// is none.
 	job      workload.JobID
 	sequence uint64
-	// afterLapse: the runner's lease must have lapsed before, since the task was
-	// started again elsewhere while this run was out of sight. A runner whose
-	// lease has lapsed promises nothing about what it did before; the end of one
-	// that is still held would show that the task was run twice.
+	// afterLapse: the runner's lease must expire first, since the task was started again
+	// elsewhere while contact with this run was lost. A runner whose lease has expired
+	// guarantees nothing about its earlier runs; an end listed under a lease that is still
+	// held would show that the task ran twice.
 	afterLapse bool
 }
 
-// noted reports whether an end that a runner lists was seen before.
+// noted reports whether an end that a runner lists has been processed before.
 func (r *runner) noted(sequence uint64) bool {
 	if sequence <= r.acknowledged {
 		return true
@@ -38,7 +39,7 @@
 	return false
 }
 
-// noteEnd takes an end, and what must happen before it is acknowledged.
+// noteEnd processes an end and records the conditions for its acknowledgement.
 func (s *Scheduler) noteEnd(r *runner, e workload.End) {
 	l := listedEnd{end: e}
 	l.afterLapse = s.mayHaveRestarted(e)
@@ -52,8 +53,7 @@
 	r.ends = append(r.ends, l)
 }
 
-// unknown reports whether a job may be a stored one that another process has
-// accepted.
+// unknown reports whether a job may be a stored one that another process has accepted.
 func (s *Scheduler) unknown(id workload.JobID) bool {
 	if s.rows.noStoredJobs || s.jobs[id] != nil {
 		return false
@@ -65,13 +65,13 @@
 	return !unstored
 }
 
-// mayHaveRestarted reports whether the task of a run that ended well may have
-// been started again since: here, as is known; by the scheduler that had started the
-// run, as the store knows; or by one between that and this one.
+// mayHaveRestarted reports whether the task of a run that has ended successfully may have been
+// started again since: by this scheduler, as its state shows; by the scheduler that had started
+// the run, as the store shows; or by a scheduler between the two.
 func (s *Scheduler) mayHaveRestarted(e workload.End) bool {
 	k, ended := s.rows.retained[e.Run.Task.Job]
 	if ended && k.move != nil {
-		// What it says doesn't come to the shard that has the job.
+		// The job is in another shard, which isn't informed of this end.
 		return e.Kind <= workload.Failed
 	}
 	if e.Kind != workload.Done {
@@ -92,8 +92,8 @@
 	return t.lastStarted > e.Run.Number || hand < j.priorSchedulers-1 || hand < j.priorSchedulers && j.stored.unseenByPredecessor
 }
 
-// recheckEnds looks again at ends whose jobs may be stored ones, now that these
-// are known.
+// recheckEnds processes again the ends whose jobs may be stored ones, now that the stored jobs
+// are loaded.
 func (s *Scheduler) recheckEnds() {
 	for _, r := range s.runnerList {
 		ends := r.ends
@@ -109,8 +109,8 @@
 	s.acknowledgeAll()
 }
 
-// markEndsUnknown marks ends that aren't in the store as ones that may be those of
-// stored jobs, whose records have to be read again.
+// markEndsUnknown marks ends that aren't in the store as possible ends of unknown stored jobs,
+// since the records have to be read again.
 func (r *runner) markEndsUnknown() {
 	for i := range r.ends {
 		if r.ends[i].sequence > 0 {
@@ -119,7 +119,7 @@
 	}
 }
 
-// acknowledge moves the cursor over all ends that may be forgotten.
+// acknowledge advances the cursor over all leading ends that may be acknowledged.
 func (s *Scheduler) acknowledge(r *runner) {
 	n := 0
 	for n < len(r.ends) && s.canAcknowledge(r, r.ends[n]) {
@@ -129,8 +129,8 @@
 	r.ends = r.ends[n:]
 }
 
-// acknowledgeAll moves all cursors. A runner that need list nothing again is
-// asked at once to wait for the next end.
+// acknowledgeAll advances the cursors of all runners. A runner with no unacknowledged end left is
+// sent a waiting Hold at once.
 func (s *Scheduler) acknowledgeAll() {
 	for _, r := range s.runnerList {
 		if len(r.ends) == 0 {
@@ -143,9 +143,9 @@
 	}
 }
 
-// priorOwnerInactiveAt is when an owner before, that may not know yet that the shard was
-// taken from it, starts nothing any more: it doubts its ownership custodyAge after it was
-// last proved. Until then it could start a task again whose end were acknowledged here.
+// priorOwnerInactiveAt is the time from which a previous owner that may not know yet that it
+// lost the shard starts no more tasks: it treats its ownership as lost once the last proof is
+// older than maxProofAge. Until then it could restart a task whose end was acknowledged here.
 func (s *Scheduler) priorOwnerInactiveAt() Time {
 	return s.rows.priorRunsOverAt - (maxPriorRunLife - maxProofAge - priorOwnerSlack)
 }
--- a/core/schedule/admission.go
+++ b/core/schedule/admission.go
@@ -7,29 +7,28 @@
 	"time"
 )
 
-// Admission answers overload, as a burst at full load or a domain left with a
-// third of the runners: a job whose answer would be worth nothing by the time
-// that its turn comes is refused as it arrives. Its caller learns that at once,
-// and its work isn't in the way of those that can be served.
+// Admission control handles overload, such as a burst at full load or a failure domain left with
+// a third of its runners. A job whose answer would have no value by the time of its turn is
+// refused on arrival. Its caller learns that at once, and its work doesn't delay jobs that can
+// be served.
 
 const (
-	// usableShare is the share of all processors that is counted with: tasks are large
-	// against a runner, so a part of each stays empty.
+	// usableShare is the share of all processors that counts as capacity: tasks are large
+	// compared with a runner, so a part of each runner stays unused.
 	usableShare = 0.8
-	// minCompletionProbability is the chance of being done in time below which a job is
-	// refused: four callers in five would wait for nothing, and the work would
-	// be in the way of others.
+	// minCompletionProbability is the probability of completion in time below which a job is
+	// refused: four callers in five would wait in vain, and the work would delay other jobs.
 	minCompletionProbability = 0.2
-	// listTimeout is how long runners take to list what they run, connections to them
-	// being opened first; one that hasn't by then can't be reached.
+	// listTimeout is how long runners take to list their runs, including the opening of
+	// connections. A runner that hasn't listed them by then is unreachable.
 	listTimeout = 150 * time.Millisecond
-	// minRetryAfter and retryMost bound when a refused caller may come back.
+	// minRetryAfter and maxRetryAfter bound the retry delay given to refused callers.
 	minRetryAfter = time.Second
 	maxRetryAfter = 10 * time.Second
 )
 
-// refusal is the reason why a job can't be served in time; "" if it can. Then
-// hopeless says that no other scheduler could serve it either.
+// refusal returns the reason why a job can't be served in time; "" if it can. hopeless means
+// that no other scheduler could serve it either.
 func (s *Scheduler) refusal(j *job) (reason string, hopeless bool) {
 	if j.started {
 		return "", false
@@ -63,11 +62,11 @@
 	return "", false
 }
 
-// NoRunnersWait is the wait that a scheduler tells of which reaches no runner.
+// NoRunnersWait is the wait reported by a scheduler without reachable runners.
 const NoRunnersWait = time.Minute
 
-// Wait is how long all that waits here would take the runners. Other entry VMs go
-// by it when their own scheduler has no room.
+// Wait returns how long the runners would take for all waiting work. Other entry VMs choose a
+// shard by it when their own scheduler has no room.
 func (s *Scheduler) Wait() time.Duration {
 	capacity, work := 0, time.Duration(0)
 	for _, r := range s.runnerList {
@@ -84,14 +83,13 @@
 	return work / time.Duration(max(1, int(float64(capacity)*usableShare)))
 }
 
-// maxBacklog is the longest that all stored jobs of a service that wait may take
-// together, those that are late already included. They can't be dropped, so
-// without a bound a burst would pile up work that nobody waits for any more. A
-// second of it is made up for in the lulls of ten seconds at nine tenths of the
-// full load.
+// maxBacklog is the longest that the waiting stored jobs of one service, late ones included, may
+// take together. They can't be dropped, so without a bound a burst would pile up work that no
+// caller waits for any more. At nine tenths of full load a backlog of one second is worked off
+// in ten seconds.
 const maxBacklog = time.Second
 
-// overcommitted is the reason why no more can be accepted; "" if it can.
+// overcommitted returns the reason why no more stored jobs can be accepted; "" if they can.
 func (s *Scheduler) overcommitted(j *job, capacity int) string {
 	if !j.work.Stored {
 		return ""
@@ -103,10 +101,9 @@
 	return ""
 }
 
-// hopeless reports whether a job will hardly be done before its caller leaves,
-// even on the fastest runners. One that is held back, since runners can't be asked
-// what they run, doesn't begin before all that an earlier scheduler may have
-// started is over.
+// hopeless reports whether a job is unlikely to complete before its caller leaves, even on the
+// fastest runners. A job that is held back because runners can't be asked for their runs doesn't
+// begin before every run that an earlier scheduler may have started is over.
 func (s *Scheduler) hopeless(j *job) bool {
 	begin := s.now
 	if s.now-j.listsNeededSince > listTimeout && s.heldBack(j) {
@@ -128,7 +125,7 @@
 	return fastest
 }
 
-// capacity is the processors of a service that can be in use, in thousandths.
+// capacity returns the usable processors of a service, in thousandths of a core.
 func (s *Scheduler) capacity(service string) int {
 	n := 0
 	for _, r := range s.runnerList {
@@ -139,18 +136,18 @@
 	return int(float64(n) * usableShare)
 }
 
-// backlog is the work that waits ahead of a job, in time x thousandths of a
-// core. Jobs that are late come after all that aren't; and those that are held
-// back, as another scheduler may have started them, wait for that and not for
-// room. Counted, they had nearly all jobs of a cut off failure domain refused for
-// half a second, while its runners had room.
+// backlog returns the work that waits ahead of a job, in time x thousandths of a core. Late jobs
+// come after all others, so they aren't counted. Nor are jobs that are held back because
+// another scheduler may have started them, since they don't wait for room: counting them
+// refused nearly all jobs of a cut off failure domain for half a second while its runners had
+// room.
 func (s *Scheduler) backlog(j *job) time.Duration {
 	return s.queuedWork(j.work.Service, func(q *job) bool {
 		return q.before(j) && !q.late(s.now) && !s.heldBack(q)
 	})
 }
 
-// queuedWork is the work that waits of some jobs of a service.
+// queuedWork returns the waiting work of the jobs of a service that a filter selects.
 func (s *Scheduler) queuedWork(service string, some func(*job) bool) time.Duration {
 	var sum time.Duration
 	for _, q := range s.queue {
@@ -161,7 +158,7 @@
 	return sum
 }
 
-// waitingWork is the work of the tasks of a job that are due and wait.
+// waitingWork returns the work of a job's waiting tasks whose occurrences are due.
 func (s *Scheduler) waitingWork(j *job) time.Duration {
 	var sum time.Duration
 	for i := range j.steps {
@@ -195,8 +192,8 @@
 	return true
 }
 
-// retryAfter spreads refused callers over the time that the backlog takes: if
-// all came back at the same moment they would be refused again.
+// retryAfter spreads refused callers over the time that the backlog takes: if all returned at the
+// same moment they would be refused again.
 func (s *Scheduler) retryAfter(j *job) time.Duration {
 	wait := minRetryAfter
 	if capacity := s.capacity(j.work.Service); capacity > 0 {
--- a/core/schedule/command.go
+++ b/core/schedule/command.go
@@ -17,17 +17,17 @@
 	Token   uint64
 	Run     workload.RunKey
 	Spec    string
-	// Checkpoint is where the task is to be resumed; "" begins anew.
+	// Checkpoint is where the task resumes; "" starts from the beginning.
 	Checkpoint string
-	// LeaseEnd is on the runner's clock, in milliseconds. It also makes the
-	// order useless if it is carried out late.
+	// LeaseEnd is on the runner's clock, in milliseconds. A runner rejects an order that
+	// arrives after it.
 	LeaseEnd int64
 	// Timeout is how long to wait for the answer.
 	Timeout time.Duration
 }
 
-// Stop orders a runner to stop a run, and never to start it if it hasn't come
-// yet. The process reports a StopResult.
+// Stop orders a runner to stop a run, and never to start it if its start hasn't arrived yet.
+// The process reports a StopResult.
 type Stop struct {
 	Runner  workload.RunnerID
 	Address string
@@ -36,83 +36,83 @@
 	Timeout time.Duration
 }
 
-// Hold renews the lease of all that runs on a runner, acknowledges ends, and
-// reads what runs and what has ended. The process reports a HoldResult.
+// Hold renews the lease of all runs on a runner, acknowledges ends, and reads the lists of
+// running and ended runs. The process reports a HoldResult.
 type Hold struct {
 	Runner  workload.RunnerID
 	Address string
 	Token   uint64
-	// Acknowledged is the highest sequence of ends that isn't needed again.
+	// Acknowledged is the highest sequence of ends that the runner may forget.
 	Acknowledged uint64
 	// LeaseEnd is on the runner's clock, in milliseconds; 0 renews nothing.
 	LeaseEnd int64
-	// Wait is how long the runner may wait for an end.
+	// Wait is how long the runner may delay the answer until a run ends.
 	Wait time.Duration
-	// ListOnly marks one that is sent beside another, and ReachabilityOnly one that only asks
-	// whether the runner is there.
+	// ListOnly marks a Hold that only reads the lists and may be sent while another one is in
+	// flight. ReachabilityOnly marks one that only checks whether the runner answers.
 	ListOnly, ReachabilityOnly bool
 	// Timeout is how long to wait for the answer, Wait included.
 	Timeout time.Duration
 }
 
-// Answer is the final word on a job, to the entry VM that handed it in.
+// Answer reports the outcome of a job, or its acceptance, to the entry VM that handed it in.
 type Answer struct {
 	At      Time
 	Entry   EntryID
 	Job     workload.JobID
 	Outcome workload.Outcome
-	// RetryAfter is when a caller whose job did not run may come back.
+	// RetryAfter is when a caller whose job did not run may send it again.
 	RetryAfter time.Duration
-	// Waited is the time from the job's arrival to its first start, and Runs
-	// the number of starts; for logs.
+	// Waited is the time from the job's arrival to its first start, and Runs the number of
+	// starts; for logs.
 	Waited time.Duration
-	// Work is how long the runs took, as far as their ends are known: the
-	// longest of each step, summed. Estimate is what that was taken for.
+	// Work is the measured run time, as far as the ends are known: the longest run of each
+	// step, summed. Estimate is the estimated value of the same.
 	Work, Estimate time.Duration
 	Runs           int
 	Reason         string
-	// NoRoom: nothing of the job was started here, for want of room; another
-	// scheduler may have some.
+	// NoRoom: nothing of the job was started here, since there is no room; another scheduler
+	// may have some.
 	NoRoom bool
 }
 
-// Decision is a line for the log.
+// Decision is an entry for the log.
 type Decision struct {
 	Event  string
 	Job    workload.JobID
 	Run    workload.RunKey
 	Runner workload.RunnerID
 	Reason string
-	// Age is how old the deciding input is.
+	// Age is the age of the input that led to the decision.
 	Age time.Duration
 	// Token is the fencing token in force.
 	Token uint64
 }
 
-// Save has a record kept in the store; Saved follows with its sequence.
+// Save writes a record to the store. The process calls Saved with its sequence afterwards.
 type Save struct {
 	At       Time
 	Sequence uint64
 	Record   ledger.Record
 }
 
-// OutcomeSaved says that what has come of a stored job is in the store. An id that
-// was cancelled before its job came isn't known.
+// OutcomeSaved reports that the outcome of a stored job is in the store. For an id that was
+// cancelled before its job arrived, State.Known is false.
 type OutcomeSaved struct {
 	Job   workload.JobID
 	State JobState
 }
 
-// MoveJob gives a stored job to the owner of another shard. MoveAcknowledged follows, or it is
-// given again.
+// MoveJob sends a stored job to the owner of another shard. It is repeated until
+// MoveAcknowledged is called.
 type MoveJob struct {
 	At Time
 	To int
 	MovedJob
 }
 
-// MoveAck says that a job of another shard is in the store here. It goes to the process
-// that gave it.
+// MoveAck reports to the process that sent a job of another shard that the job is in this
+// shard's rows of the store.
 type MoveAck struct {
 	At    Time
 	To    EntryID
@@ -130,7 +130,7 @@
 func (MoveJob) command()      {}
 func (MoveAck) command()      {}
 
-// CallOutcome is what came of an order to a runner.
+// CallOutcome is the outcome of an order to a runner.
 type CallOutcome uint8
 
 // The outcomes of orders.
@@ -139,41 +139,41 @@
 	Accepted CallOutcome = iota
 	// Fenced: the runner has seen a higher token.
 	Fenced
-	// Outdated: a run with this number or a higher one was stopped or ended.
+	// Outdated: a run with this number or a higher one was stopped or has ended.
 	Outdated
-	// TooLate: the lease in the order had ended when it arrived.
+	// TooLate: the lease in the order had expired when the order arrived.
 	TooLate
 	// NoRoom: the task doesn't fit.
 	NoRoom
-	// Invalid: the runner doesn't understand the order.
+	// Invalid: the runner rejects the order as invalid.
 	Invalid
-	// Unhealthy: the runner has done nothing, and says so.
+	// Unhealthy: the runner reports that it is unhealthy and hasn't carried out the order.
 	Unhealthy
-	// Replaced: another lifetime of the runner answers at its address.
+	// Replaced: another incarnation of the runner answers at its address.
 	Replaced
-	// Unanswered: nobody knows; it may still be carried out.
+	// Unanswered: the outcome is unknown; the order may still be carried out.
 	Unanswered
 )
 
 var outcomeNames = [...]string{"accepted", "fenced", "outdated", "too-late", "no-room", "invalid", "unhealthy", "replaced", "unanswered"}
 
-// String is for logs.
+// String returns the outcome's name in logs.
 func (o CallOutcome) String() string { return outcomeNames[o] }
 
 // ClockReading is a runner's clock as read from an answer.
 type ClockReading struct {
 	// Milliseconds is the clock; 0 if the answer had none.
 	Milliseconds int64
-	// ReceivedAt is when the answer came.
+	// ReceivedAt is when the answer was received.
 	ReceivedAt Time
 	// SentAt is when the order was sent.
 	SentAt Time
-	// Born is when the runner's lifetime began, in milliseconds since 1970; 0 if the
-	// answer didn't tell.
+	// Born is when the runner's incarnation began, in milliseconds since 1970; 0 if the
+	// answer had no such time.
 	Born int64
 }
 
-// StartResult reports on a Start.
+// StartResult reports the outcome of a Start.
 type StartResult struct {
 	Runner  workload.RunnerID
 	Run     workload.RunKey
@@ -181,7 +181,7 @@
 	Clock   ClockReading
 }
 
-// StopResult reports on a Stop.
+// StopResult reports the outcome of a Stop.
 type StopResult struct {
 	Runner  workload.RunnerID
 	Run     workload.RunKey
@@ -189,7 +189,7 @@
 	Clock   ClockReading
 }
 
-// HoldResult reports on a Hold.
+// HoldResult reports the outcome of a Hold.
 type HoldResult struct {
 	Runner           workload.RunnerID
 	Token            uint64
@@ -197,7 +197,7 @@
 	ReachabilityOnly bool
 	Outcome          CallOutcome
 	Running          []workload.RunKey
-	// Checkpoints are the newest ones of what runs, where there are any.
+	// Checkpoints are the newest ones of the listed runs, where there are any.
 	Checkpoints map[workload.RunKey]string
 	Ends        []workload.End
 	Clock       ClockReading
--- a/core/schedule/completion.go
+++ b/core/schedule/completion.go
@@ -6,17 +6,16 @@
 )
 
 const (
-	// estimateSpread is the standard deviation of the logarithm of run time
-	// over estimate. Measured on ten thousand tasks of a calm day: 0.48 over
-	// all runners, 0.43 on one kind of them.
+	// estimateSpread is the standard deviation of the logarithm of run time over estimate. On
+	// ten thousand tasks without overload it is 0.48 over all runners, 0.43 on runners of one
+	// kind.
 	estimateSpread = 0.45
-	// minPace keeps a runner that has done little from looking infinitely
-	// fast.
+	// minPace keeps a runner with few completed runs from appearing infinitely fast.
 	minPace = 0.1
 )
 
-// completionProbability is the probability that a task with an estimate is done within a time
-// on a runner of a pace.
+// completionProbability is the probability that a task with the given estimate completes within
+// a time on a runner of the given pace.
 func completionProbability(estimate time.Duration, pace float64, within time.Duration) float64 {
 	if within <= 0 {
 		return 0
--- a/core/schedule/dump.go
+++ b/core/schedule/dump.go
@@ -1,6 +1,6 @@
 package schedule
 
-// Dump is the scheduler's state, for operators.
+// Dump is the scheduler's state as shown to operators.
 type Dump struct {
 	Leading  bool         `json:"leading"`
 	Term     uint64       `json:"term"`
@@ -10,29 +10,29 @@
 	Counters Counters     `json:"counters"`
 }
 
-// RunnerDump is one runner; times are from now, in milliseconds.
+// RunnerDump is the state of one runner; durations are relative to now, in milliseconds.
 type RunnerDump struct {
-	ID        string   `json:"id"`
-	Owned     bool     `json:"owned"`
-	Token     uint64   `json:"token"`
-	InDoubt   bool     `json:"in_doubt"`
-	Draining  bool     `json:"draining"`
-	Evacuated bool     `json:"evacuated"`
-	Unlisted  bool     `json:"unlisted"`
-	Gone      bool     `json:"gone"`
-	ClosedFor int64    `json:"closed_for_ms"`
-	AliveFor  int64    `json:"alive_for_ms"`
-	ClockAge  int64    `json:"clock_age_ms"`
-	Pace      float64  `json:"pace"`
-	Strikes   int      `json:"strikes"`
-	FreeCPU   int      `json:"free_millicpu"`
-	Runs      []string `json:"runs"`
-	Acked     uint64   `json:"acknowledged"`
-	Holding   bool     `json:"renewal_on_way"`
-	Address   string   `json:"address"`
+	ID           string   `json:"id"`
+	Owned        bool     `json:"owned"`
+	Token        uint64   `json:"token"`
+	Unresponsive bool     `json:"in_doubt"`
+	Draining     bool     `json:"draining"`
+	Evacuated    bool     `json:"evacuated"`
+	Unlisted     bool     `json:"unlisted"`
+	Gone         bool     `json:"gone"`
+	ClosedFor    int64    `json:"closed_for_ms"`
+	AliveFor     int64    `json:"alive_for_ms"`
+	ClockAge     int64    `json:"clock_age_ms"`
+	Pace         float64  `json:"pace"`
+	Strikes      int      `json:"strikes"`
+	FreeCPU      int      `json:"free_millicpu"`
+	Runs         []string `json:"runs"`
+	Acknowledged uint64   `json:"acknowledged"`
+	HoldInFlight bool     `json:"renewal_on_way"`
+	Address      string   `json:"address"`
 }
 
-// Dump returns the state.
+// Dump returns the scheduler's state.
 func (s *Scheduler) Dump(now Time) Dump {
 	d := Dump{Leading: s.leading, Term: s.term, Jobs: len(s.jobs), Counters: s.ctr}
 	for _, id := range s.waitingIDs() {
@@ -46,23 +46,23 @@
 
 func (r *runner) dump(now Time) RunnerDump {
 	d := RunnerDump{
-		ID:        string(r.info.ID),
-		Owned:     r.owned,
-		Token:     r.token,
-		InDoubt:   r.unresponsive,
-		Draining:  r.info.Draining,
-		Evacuated: r.evacuated,
-		Unlisted:  r.unlisted,
-		Gone:      r.gone,
-		ClosedFor: max(0, r.health.closedUntil-now).Milliseconds(),
-		AliveFor:  max(0, r.aliveUntil-now).Milliseconds(),
-		ClockAge:  (now - r.clockAt).Milliseconds(),
-		Pace:      r.health.pace(),
-		Strikes:   r.health.strikes,
-		FreeCPU:   r.free().MilliCPU,
-		Acked:     r.acknowledged,
-		Holding:   r.holdInFlight,
-		Address:   r.info.Address,
+		ID:           string(r.info.ID),
+		Owned:        r.owned,
+		Token:        r.token,
+		Unresponsive: r.unresponsive,
+		Draining:     r.info.Draining,
+		Evacuated:    r.evacuated,
+		Unlisted:     r.unlisted,
+		Gone:         r.gone,
+		ClosedFor:    max(0, r.health.closedUntil-now).Milliseconds(),
+		AliveFor:     max(0, r.aliveUntil-now).Milliseconds(),
+		ClockAge:     (now - r.clockAt).Milliseconds(),
+		Pace:         r.health.pace(),
+		Strikes:      r.health.strikes,
+		FreeCPU:      r.free().MilliCPU,
+		Acknowledged: r.acknowledged,
+		HoldInFlight: r.holdInFlight,
+		Address:      r.info.Address,
 	}
 	for _, u := range r.sortedRuns() {
 		d.Runs = append(d.Runs, u.key.String())
--- a/core/schedule/entries.go
+++ b/core/schedule/entries.go
@@ -2,10 +2,9 @@
 
 import "sapphirepoint.example/sapphirepoint/core/workload"
 
-// What entry processes say of their jobs, and what becomes of these when such a process
-// ends, falls silent, or is heard again.
+// Events of entry processes, and their effect on the jobs that those processes handed in.
 
-// Abandon ends a job whose caller has left. It may come again.
+// Abandon drops a job whose caller has left. The caller may send it again.
 func (s *Scheduler) Abandon(now Time, entry EntryID, id workload.JobID) {
 	s.now = now
 	j := s.jobs[id]
@@ -18,9 +17,9 @@
 	s.dispatch()
 }
 
-// Withdraw takes a job back for another scheduler. What runs goes on, so that
-// that one finds it, for as long as that is safe. The runs of a guest are stopped:
-// the scheduler that gets it next has other runners, and doesn't find them.
+// Withdraw gives a job up to another scheduler. Its runs go on for as long as that is safe, so
+// that the other scheduler finds them. The runs of a foreign job are stopped: its next scheduler
+// uses other runners and doesn't find them.
 func (s *Scheduler) Withdraw(now Time, entry EntryID, id workload.JobID) {
 	s.now = now
 	j := s.jobs[id]
@@ -39,11 +38,10 @@
 
 // EntryLost drops the jobs of an entry VM.
 //
-// If its process has ended, their callers send them again after a while, so
-// what runs goes on for as long as that is safe; those of guests don't come here
-// again. If it only fell silent, it may
-// be alive and hand them to another scheduler, which doesn't see what runs
-// here; so they are stopped at once.
+// If the entry process has ended, callers send these jobs again after a while, so their runs go
+// on for as long as that is safe; foreign jobs are sent to another shard, so theirs don't. If the
+// process is only unreachable, it may be alive and hand its jobs to another scheduler, which
+// doesn't see the runs here; so they are stopped at once.
 func (s *Scheduler) EntryLost(now Time, entry EntryID, ended bool) {
 	s.now = now
 	delete(s.lastHeard, entry)
@@ -68,19 +66,20 @@
 	s.dispatch()
 }
 
-// SetUnreachable says whether a VM isn't heard that may be alive.
+// SetUnreachable sets whether a VM that may be alive is unreachable.
 func (s *Scheduler) SetUnreachable(some bool) { s.anyUnreachable = some }
 
-// SetOtherCellUnreachable says whether a VM of another cell is missing, or was of late. Copies of its
-// jobs may come here, of which only that cell's scheduler knows what was run.
+// SetOtherCellUnreachable sets whether a VM of another cell is unreachable, or was recently. Copies
+// of its jobs may arrive here, and only that cell's scheduler knows what has run of them.
 func (s *Scheduler) SetOtherCellUnreachable(otherCellUnreachable bool) {
 	s.otherCellUnreachable = otherCellUnreachable
 }
 
-// EntryDisconnected notes that the connection with an entry VM has ended. Once there is a new
-// one it hands in again what it still waits for. What came before and hasn't begun is
-// dropped: a process that was frozen finds it in its buffers as it wakes, when it has
-// long been given to another scheduler, or its caller told that it wasn't run.
+// EntryDisconnected records that the connection with an entry VM has ended. Over a new connection
+// the entry VM hands in again the jobs that it still waits for. Jobs that arrived before and
+// haven't started are dropped: a suspended process reads them from its buffers when it resumes,
+// long after they were given to another scheduler or their callers were told that they weren't
+// run.
 func (s *Scheduler) EntryDisconnected(now Time, entry EntryID) {
 	s.now = now
 	s.dropEarly(entry)
@@ -92,10 +91,10 @@
 	}
 }
 
-// EntryAlive notes a sign of life of an entry process.
+// EntryAlive records a message of an entry process.
 func (s *Scheduler) EntryAlive(now Time, entry EntryID) { s.lastHeard[entry] = now }
 
-// EntryReachable notes that an entry VM is heard again, perhaps by a new process.
+// EntryReachable records that an entry VM is reachable again, perhaps with a new process.
 func (s *Scheduler) EntryReachable(now Time, entry EntryID) {
 	s.now = now
 	if _, ok := s.unreachable[entry.VM()]; ok {
--- a/core/schedule/evacuation.go
+++ b/core/schedule/evacuation.go
@@ -6,10 +6,10 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Evacuated failure domains get no new tasks. What runs there goes on to its end: its
-// runners serve as before, and a run that is stopped would only come later.
+// Evacuated failure domains get no new tasks. Runs there go on to their end: their runners work as
+// before, and restarting a task elsewhere would only delay it.
 
-// SetEvacuated says which failure domains are evacuated.
+// SetEvacuated sets which failure domains are evacuated.
 func (s *Scheduler) SetEvacuated(now Time, domains []string) {
 	s.now = now
 	s.evacuated = domains
@@ -42,9 +42,8 @@
 
 const evacuatedReason = "all runners are in evacuated failure domains"
 
-// refuseEvacuated ends the jobs of which nothing runs and nothing can be started any
-// more: their callers learn that at once. Of those that are held back it isn't known yet
-// what runs.
+// refuseEvacuated refuses jobs that have no run and can't be started any more, so that their
+// callers learn it at once. Jobs that are held back are left alone: their runs aren't known yet.
 func (s *Scheduler) refuseEvacuated() {
 	if len(s.evacuated) == 0 || !s.leading {
 		return
--- a/core/schedule/evacuation_test.go
+++ b/core/schedule/evacuation_test.go
@@ -15,8 +15,8 @@
 	return r
 }
 
-// Guards against a start that is sent again to an evacuated runner, since the first order
-// stayed unanswered.
+// Guards against a start that is repeated on an evacuated runner because the first order stayed
+// unanswered.
 func TestNoSecondOrderToAnEvacuatedRunner(t *testing.T) {
 	b := leading(t, runnerIn("r1", "a"), runnerIn("r2", "b"))
 	b.s.SetEvacuated(b.now, []string{"b"})
@@ -46,8 +46,8 @@
 	}
 }
 
-// Guards against callers who wait to no purpose as the last domain is evacuated: those
-// whose jobs haven't begun are told at once that they weren't run, and what runs ends.
+// Guards against callers who wait in vain when the last domain is evacuated: if their jobs haven't
+// started they are told at once that they weren't run, while running tasks go on to their end.
 func TestWaitingJobsAreRefusedAsTheLastDomainIsEvacuated(t *testing.T) {
 	b := leading(t, runnerIn("r1", "a"))
 	runs, waits := testJob(2, 400*ms), testJob(2, 400*ms)
@@ -66,8 +66,8 @@
 	b.g.Expect(one[Answer](b).Outcome).To(Equal(workload.NotRun))
 }
 
-// Guards against a job that goes on under a new leader being given up, since the runs that
-// it finds aren't listed yet and all domains are evacuated.
+// Guards against a handed over job being given up while all domains are evacuated, because the
+// runs that the new leader is to find there aren't listed yet.
 func TestHandedOverJobSurvivesTheEvacuation(t *testing.T) {
 	b := leading(t, runnerIn("r1", "a"))
 	b.s.SetEvacuated(b.now, []string{"a"})
--- a/core/schedule/harness_test.go
+++ b/core/schedule/harness_test.go
@@ -19,7 +19,7 @@
 	clockAtZero = 1_000_000
 )
 
-// harness drives a scheduler by hand: each order is answered by the test.
+// harness drives a scheduler manually: the test answers each order.
 type harness struct {
 	t   *testing.T
 	g   *WithT
@@ -35,7 +35,7 @@
 	return b
 }
 
-// leading returns a bench whose scheduler has owned its runners for a while.
+// leading returns a harness whose scheduler has owned its runners for some time.
 func leading(t *testing.T, runners ...workload.Runner) *harness {
 	b := newHarness(t, runners...)
 	b.s.Lead(b.now)
@@ -47,7 +47,7 @@
 	return b
 }
 
-// ownRows gives the scheduler the shard's rows, with records in them.
+// ownRows makes the scheduler the owner of the shard's rows, with records in them.
 func (b *harness) ownRows(epoch uint64, records ...ledger.Record) {
 	b.s.SetAllReachable(true, b.now)
 	b.s.Loaded(b.now, ledger.Loaded{Epoch: epoch, ClaimedAt: b.now, Records: records})
@@ -61,7 +61,7 @@
 	}
 }
 
-// wait lets time pass and answers looks at idle runners on the way.
+// wait lets time pass, and answers the Holds sent to idle runners.
 func (b *harness) wait(d time.Duration) {
 	end := b.now + d
 	for b.now < end {
@@ -84,7 +84,7 @@
 	}
 }
 
-// waitWithoutEntry lets time pass without a sign of life from the entry VM.
+// waitWithoutEntry lets time pass without a message from the entry VM.
 func (b *harness) waitWithoutEntry(d time.Duration) {
 	end := b.now + d
 	for b.now < end {
@@ -95,7 +95,7 @@
 
 func (b *harness) collect() { b.out = append(b.out, b.s.Ready()...) }
 
-// take removes the commands of a kind from those not looked at yet.
+// take removes the commands of one type from those not processed yet.
 func take[C Command](b *harness) []C {
 	b.collect()
 	var found []C
@@ -150,7 +150,7 @@
 	b.s.Submit(b.now, Submission{Job: j, Entry: entryA, RemainingObjective: j.Objective, RemainingTimeout: patience})
 }
 
-// one takes the only command of a kind.
+// one takes the only command of a type.
 func one[C Command](b *harness) C {
 	b.t.Helper()
 	list := take[C](b)
--- a/core/schedule/health.go
+++ b/core/schedule/health.go
@@ -3,48 +3,46 @@
 import "time"
 
 const (
-	// initialClosure and closedMost are how long a runner that fails what it is
-	// given gets nothing: long enough that few tasks are wasted on it, short
-	// enough that a sound one is back soon.
+	// initialClosure and maxClosure bound how long a failing runner gets no tasks: long enough
+	// that it wastes few tasks, short enough that a recovered runner is used again soon.
 	initialClosure = time.Second
 	maxClosure     = 8 * time.Second
-	// strikesToClose failures in a row, of different tasks, close a runner: one
+	// strikesToClose consecutive failures of different tasks close a runner. A single failure
 	// may be the task's own fault.
 	strikesToClose = 2
-	// initialPaceRuns and paceRuns are the runs over which a runner's pace is
-	// averaged, at first and in the long run. Estimates are off by a factor of
-	// 1.5 either way: the mean of 30 is within 7% of the true pace, and a pace
-	// differs by a quarter between runners.
+	// initialPaceRuns and maxPaceRuns are the number of runs over which a runner's pace is
+	// averaged, at first and in the long run. Estimates are off by a factor of 1.5 either way:
+	// the mean of 30 runs is within 7% of the true pace, and the pace differs by a quarter
+	// between runners.
 	initialPaceRuns = 4
 	maxPaceRuns     = 30
-	// recentPaceRuns is the number of runs in the recent average, and turnedSlow
-	// how far that must be above the usual one to count.
+	// recentPaceRuns is the number of runs in the recent average, and slowdownFactor the ratio
+	// to the usual pace from which the recent one is used.
 	recentPaceRuns = 4
 	slowdownFactor = 2
-	// maxPaceSample bounds one sample; a stuck run must not hide ten sound ones.
+	// maxPaceSample bounds one sample, so that a stuck run doesn't outweigh ten normal ones.
 	maxPaceSample = 8.0
-	// slowRunFactor and slowSlack say when a run counts against its runner: one
-	// in three hundred takes three times its estimate.
+	// slowRunFactor and slowRunSlack define a run that counts as a failure of its runner: one
+	// run in three hundred takes three times its estimate.
 	slowRunFactor = 3
 	slowRunSlack  = 50 * time.Millisecond
 )
 
-// health is how a runner's own work has gone. Tasks are the probes.
+// health tracks the results of a runner's tasks. There are no separate health probes.
 type health struct {
 	strikes     int
 	closures    int
 	closedUntil Time
-	// usual is run time over estimate, averaged; 1 at first. recent is the same
-	// over a few runs.
+	// usual is the averaged ratio of run time to estimate, initially 1; recent is the same over
+	// a few runs.
 	usual, recent float64
 	runs          int
 }
 
 func newHealth() health { return health{usual: 1, recent: 1, runs: initialPaceRuns} }
 
-// pace is how many times its estimate a task takes there. A runner that has
-// turned slow shows in a few runs; four at random are seldom twice as slow as
-// usual.
+// pace returns the factor by which tasks take longer there than estimated. A slowdown of the
+// runner shows after a few runs; four random runs are rarely twice as slow as usual.
 func (h *health) pace() float64 {
 	if h.recent > slowdownFactor*h.usual {
 		return h.recent
@@ -54,8 +52,8 @@
 
 func (h *health) closed(now Time) bool { return now < h.closedUntil }
 
-// suspect reports whether the last run failed, or the runner has just been
-// opened again.
+// suspect reports whether the last run failed, or the runner was reopened and has not yet
+// completed a task.
 func (h *health) suspect() bool { return h.strikes > 0 }
 
 func (h *health) succeeded(now Time, elapsed, estimate time.Duration) {
@@ -73,8 +71,8 @@
 	h.closures = 0
 }
 
-// failed counts strikes and closes the runner at the limit. After it opens
-// again the first failure closes it for twice as long.
+// failed counts strikes and closes the runner at the limit. After it reopens, the first failure
+// closes it for twice as long.
 func (h *health) failed(now Time, strikes int) {
 	h.strikes += strikes
 	if h.strikes < strikesToClose {
@@ -85,8 +83,8 @@
 	h.strikes = strikesToClose - 1
 }
 
-// undoStrike takes a strike back: the task has failed elsewhere too, so its
-// failure says nothing about this runner.
+// undoStrike removes a strike and reopens the runner: the task has failed elsewhere too, so its
+// failure shows nothing about this runner.
 func (h *health) undoStrike() {
 	h.strikes = max(0, h.strikes-1)
 	h.closedUntil = 0
--- a/core/schedule/job.go
+++ b/core/schedule/job.go
@@ -6,15 +6,15 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// taskPhase is where a task stands.
+// taskPhase is the state of a task.
 type taskPhase uint8
 
 const (
-	// waiting for a runner, or for the tasks that it depends on.
+	// waiting for a runner, or for the steps that it depends on.
 	waiting taskPhase = iota
 	// running: a run is on a runner, or may be.
 	running
-	// done: a run has ended well.
+	// done: a run has ended successfully.
 	done
 )
 
@@ -22,73 +22,72 @@
 	job   *job
 	name  workload.TaskName
 	phase taskPhase
-	// lastNumber is the number of the latest run, and startedAs that of the
-	// latest one that is known to have been started.
+	// lastNumber is the number of the latest run, lastStarted that of the latest run that is
+	// known to have been started.
 	lastNumber  int
 	lastStarted int
 	run         *run
-	// unseen: a run of it went out of sight before its end was listed.
+	// unseen: contact with a run of it was lost before its end was listed.
 	unseen bool
-	// checkpoint is the newest one that a runner has told; "" if none.
+	// checkpoint is the newest one that a runner has listed; "" if none.
 	checkpoint string
 	// failedOn are the runners on which a run has failed.
 	failedOn []*runner
 	failures int
-	// overstays counts runs stopped for taking too long.
+	// overstays counts the runs that were stopped as overdue.
 	overstays int
-	// notBefore holds the task back while an earlier run may be alive.
+	// notBefore delays the next start while an earlier run may be alive.
 	notBefore Time
 }
 
-// job is a job in hand.
+// job is a job that this scheduler is responsible for.
 type job struct {
 	work  *workload.Job
 	entry EntryID
-	// domain is that of the entry VM.
+	// domain is the failure domain of the entry VM.
 	domain string
-	// foreign: it belongs to another shard.
+	// foreign: the job belongs to another shard.
 	foreign bool
 	arrived Time
-	// due is the end of the latency objective, deadline that of the caller's
-	// patience.
+	// due is the end of the latency objective, deadline when the caller stops waiting.
 	due      Time
 	deadline Time
-	// worthlessAt is when the answer is worth nothing any more.
+	// worthlessAt is when the answer has no value to the caller any more.
 	worthlessAt Time
-	// steps are the tasks of each step of each occurrence, see stepIndex.
+	// steps holds the tasks of each step of each occurrence, see stepIndex.
 	steps [][]*taskState
 	// open is the number of tasks of each step that aren't done.
 	open []int
-	// longestRuns is the longestRuns run of each step of those that have ended well.
+	// longestRuns is the longest successful run of each step.
 	longestRuns []time.Duration
-	// waiting is the number of tasks that wait.
+	// waiting is the number of tasks in the waiting phase.
 	waiting int
 	queued  bool
-	// started: a start of one of its tasks was ordered, by this scheduler or
-	// an earlier one.
+	// started: a start of one of its tasks was ordered, or may have been by an earlier
+	// scheduler.
 	started   bool
 	firstRun  Time
 	runs      int
 	remaining time.Duration
-	// priorRunsOverAt is when what an earlier scheduler may have started can't be
-	// alive any more, on runners that didn't answer.
+	// priorRunsOverAt is when runs that an earlier scheduler may have started can't be alive
+	// any more on runners that didn't answer.
 	priorRunsOverAt Time
-	// priorSchedulers counts the schedulers before, listsSince is when the job came from
-	// the last of them.
+	// priorSchedulers counts the schedulers that had the job before; listsNeededSince is when
+	// it arrived from the last of them.
 	priorSchedulers  int
 	listsNeededSince Time
-	// stalledSince is since when nothing of a stored job runs though something is due; 0
-	// if something does.
+	// stalledSince is since when no task of a stored job runs though some are due; 0 if one
+	// runs.
 	stalledSince Time
-	// withdrawn jobs are another scheduler's now.
+	// withdrawn jobs belong to another scheduler now.
 	withdrawn bool
-	// abandonedAt is when the job's runs are stopped since its entry process
-	// has ended; 0 if it lives.
+	// abandonedAt is when the job's runs are stopped because its entry process has ended or
+	// has withdrawn the job; 0 if neither has happened.
 	abandonedAt Time
 	ended       bool
-	// noRoom: it was refused as it came, and another scheduler may have room.
+	// noRoom: it was refused on arrival, and another scheduler may have room.
 	noRoom bool
-	// begun: a start of one of its tasks is known of.
+	// begun: a start of one of its tasks is known to have been ordered.
 	begun bool
 	// restarted: a task was started more than once.
 	restarted bool
@@ -114,17 +113,17 @@
 	return j
 }
 
-// stepAt describes a step of an occurrence.
+// stepAt returns the description of a step of an occurrence.
 func (j *job) stepAt(i int) *workload.Step { return &j.work.Steps[i%len(j.work.Steps)] }
 
-// occurrence is that of a step.
+// occurrence returns the occurrence that a step belongs to.
 func (j *job) occurrence(i int) int { return i / len(j.work.Steps) }
 
-// stepIndex is the place of a task's step in steps: the steps of the first
-// occurrence, then those of the second, and so on.
+// stepIndex returns the index of a task's step in steps: the steps of the first occurrence,
+// then those of the second, and so on.
 func (j *job) stepIndex(n workload.TaskName) int { return n.Occurrence*len(j.work.Steps) + n.Step }
 
-// task finds a task by its name; nil if the job has none such.
+// task finds a task by its name; nil if the job has no such task.
 func (j *job) task(n workload.TaskName) *taskState {
 	if n.Step < 0 || n.Step >= len(j.work.Steps) || n.Occurrence < 0 || n.Occurrence >= j.work.Occurrences() {
 		return nil
@@ -147,20 +146,20 @@
 	return true
 }
 
-// noteRun notes a run that is known of.
+// noteRun records a run whose number is known.
 func (j *job) noteRun(k workload.RunKey) {
 	if k.Number > 1 {
 		j.restarted = true
 	}
 }
 
-// recordRunTime notes how long the run took that did a task.
+// recordRunTime records the duration of the run that completed a task.
 func (j *job) recordRunTime(n workload.TaskName, elapsed time.Duration) {
 	i := j.stepIndex(n)
 	j.longestRuns[i] = max(j.longestRuns[i], elapsed)
 }
 
-// longestWork is the time that the longest run of each step took, summed.
+// longestWork returns the sum over all steps of the longest run.
 func (j *job) longestWork() time.Duration {
 	var sum time.Duration
 	for _, d := range j.longestRuns {
@@ -169,14 +168,14 @@
 	return sum
 }
 
-// idle reports whether nothing of the job runs, as far as is known.
+// idle reports whether no task of the job is in the running phase.
 func (j *job) idle() bool {
 	idle := true
 	j.eachTask(func(t *taskState) { idle = idle && t.phase != running })
 	return idle
 }
 
-// attempts is how often a task may fail.
+// attempts returns how often a task may fail.
 func (j *job) attempts() int { return max(1, j.work.MaxAttempts) }
 
 func (j *job) complete() bool {
@@ -203,7 +202,7 @@
 		return
 	}
 	if t.phase == done {
-		panic("a task that is done is to be done again: " + t.name.String())
+		panic("a done task changes its phase: " + t.name.String())
 	}
 	if t.phase == waiting {
 		t.job.waiting--
--- a/core/schedule/lifetime.go
+++ b/core/schedule/lifetime.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// A runner may start again under the id that it had. It knows nothing of before then: what
-// ran there has ended unseen, and its clock, its ends and the tokens that it obeys start
-// anew. Its answers tell when its lifetime began.
+// A runner may restart under the same id. Its new incarnation has no memory of the previous one:
+// earlier runs have ended without being listed, and its clock, its sequence of ends and the
+// tokens that it has seen start anew. Its answers contain the start time of the incarnation.
 
-// checkIncarnation reports whether an answer is of the lifetime of a runner that is known. One of
-// a later lifetime begins that, and one of an earlier comes late; neither says anything
-// else that can be used.
+// checkIncarnation reports whether an answer comes from the known incarnation of a runner. An
+// answer of a later one begins that incarnation; an answer of an earlier one is late. Nothing
+// else in either may be used.
 func (s *Scheduler) checkIncarnation(r *runner, born int64) bool {
 	switch {
 	case born == 0 || born == r.born:
@@ -22,12 +22,12 @@
 	return false
 }
 
-// startConfirmTime is how long runners mostly take to confirm a start; a run lasts longer.
+// startConfirmTime is within what time runners usually confirm a start; runs take longer.
 const startConfirmTime = 5 * time.Millisecond
 
-// ackCursor is the sequence up to which the runner is told to forget ends. While a start
-// stays unconfirmed for long it is told to forget none: it may have started again, carried
-// the start out, and numbered the end of that run like one that was noted before.
+// ackCursor returns the sequence up to which the runner is told to forget ends. It is 0 while a
+// start has stayed unconfirmed for long: the runner may have restarted, carried the start out, and
+// given the end of that run the sequence of an end recorded before.
 func (r *runner) ackCursor(now Time) uint64 {
 	for _, u := range r.runs {
 		if !u.confirmed && now-u.started >= startConfirmTime {
@@ -37,10 +37,10 @@
 	return r.acknowledged
 }
 
-// beginIncarnation takes a runner that has started again. A start that it hasn't confirmed, or
-// one of two orders for it, may come after its new beginning: the task waits until the
-// runner lists what runs, or a lease must have ended. Orders of before that are carried
-// out still later have a lower token.
+// beginIncarnation handles the restart of a runner. A start that was unconfirmed or sent twice may
+// still arrive at the new incarnation, so its task waits until the runner lists its runs or the
+// lease must have expired. Orders from before the restart that arrive later still have a lower
+// token.
 func (s *Scheduler) beginIncarnation(r *runner, born int64) {
 	s.emit(Decision{Event: "runner-restarted", Runner: r.info.ID, Token: r.token, Age: s.now - r.clockAt})
 	runs := r.sortedRuns()
--- a/core/schedule/lifetime_test.go
+++ b/core/schedule/lifetime_test.go
@@ -14,12 +14,12 @@
 	secondIncarnation = firstIncarnation + 5000
 )
 
-// incarnationClock is a reading in a lifetime whose clock began at a time.
+// incarnationClock is a clock reading of an incarnation whose clock began at the time since.
 func (b *harness) incarnationClock(born int64, since Time) ClockReading {
 	return ClockReading{Milliseconds: (b.now - since).Milliseconds() + 1, ReceivedAt: b.now, SentAt: b.now, Born: born}
 }
 
-// answerAll answers the looks at a runner in a lifetime.
+// answerAll answers the Holds, those of the given runner for the given incarnation.
 func (b *harness) answerAll(id workload.RunnerID, born int64, since Time, running ...workload.RunKey) {
 	for _, h := range take[Hold](b) {
 		if h.Runner != id {
@@ -30,8 +30,7 @@
 	}
 }
 
-// restartedHarness returns a bench with a task on r1, which then starts again, and the moment when
-// it does.
+// restartedHarness returns a harness with a task on r1, which then restarts, and the time of the restart.
 func restartedHarness(t *testing.T, confirmed bool) (*harness, Start, Time) {
 	b := leading(t, testRunner("r1"))
 	b.s.runners["r1"].born = firstIncarnation
@@ -44,15 +43,15 @@
 	return b, c, b.now
 }
 
-// Guards against a runner that starts again under its id: its tasks would be waited for,
-// and its new ends, numbered from one, be taken for old ones.
+// Guards against a runner that restarts under its id: its tasks would be waited for, and its new
+// ends, numbered from one, would be taken for old ones.
 func TestRestartedRunnerIsReacquired(t *testing.T) {
 	b, c, since := restartedHarness(t, true)
 	before := b.s.runners["r1"].token
 	b.s.Held(b.now, HoldResult{Runner: "r1", Token: before, Outcome: Accepted, Clock: b.incarnationClock(secondIncarnation, since)})
 	b.answerAll("r1", secondIncarnation, since)
 	r := b.s.runners["r1"]
-	b.g.Expect(r.token).To(BeNumerically(">", before), "orders of before must be refused there")
+	b.g.Expect(r.token).To(BeNumerically(">", before), "it must refuse orders from before the restart")
 	again := one[Start](b)
 	b.g.Expect(again.Run.Task).To(Equal(c.Run.Task))
 	b.g.Expect(again.Run.Number).To(BeNumerically(">", c.Run.Number))
@@ -65,8 +64,7 @@
 	b.g.Expect(one[Answer](b).Outcome).To(Equal(workload.Completed))
 }
 
-// Guards against two runs of a task: its start came to the runner just after that had
-// started again.
+// Guards against two runs of a task whose start arrived just after the runner had restarted.
 func TestStartAcceptedByTheNewIncarnationIsAdopted(t *testing.T) {
 	b, c, since := restartedHarness(t, false)
 	b.s.Started(b.now, StartResult{Runner: "r1", Run: c.Run, Outcome: Accepted, Clock: b.incarnationClock(secondIncarnation, since)})
@@ -80,8 +78,8 @@
 	b.g.Expect(one[Answer](b).Outcome).To(Equal(workload.Completed))
 }
 
-// Guards against an answer or a list of the lifetime before that comes late and undoes
-// what is known of the present one.
+// Guards against a late answer or list of the previous incarnation that overwrites the state of
+// the present one.
 func TestLateAnswerOfAnEarlierIncarnationIsIgnored(t *testing.T) {
 	b, c, since := restartedHarness(t, true)
 	b.s.Held(b.now, HoldResult{Runner: "r1", Token: b.s.runners["r1"].token, Outcome: Accepted, Clock: b.incarnationClock(secondIncarnation, since)})
@@ -97,7 +95,8 @@
 	b.g.Expect(r.clock).To(BeNumerically("<", 1000))
 }
 
-// Guards against a scheduler that first hears of the new lifetime by the list of runners.
+// Guards against a new incarnation that goes unnoticed when the list of runners is the first to
+// show it.
 func TestRunnerListShowsANewIncarnation(t *testing.T) {
 	b, c, since := restartedHarness(t, true)
 	reborn := testRunner("r1")
@@ -107,8 +106,8 @@
 	b.g.Expect(one[Start](b).Run.Task).To(Equal(c.Run.Task))
 }
 
-// Guards against an end that is acknowledged unseen: the runner has started again, taken a
-// start whose answer was lost, and its first end has the number of one of before.
+// Guards against an end that is acknowledged before it was listed: the runner has restarted and
+// accepted a start whose answer was lost, and its first end has the sequence of an earlier one.
 func TestNoEndIsAcknowledgedWhileAStartIsUnconfirmed(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	b.submit(testJob(1, 60*ms), 4*time.Second)
@@ -119,7 +118,7 @@
 	b.g.Expect(b.s.runners["r1"].acknowledged).To(BeEquivalentTo(1))
 	b.submit(testJob(1, 60*ms), 4*time.Second)
 	c = one[Start](b)
-	b.g.Expect(one[Hold](b).Acknowledged).To(BeEquivalentTo(1), "it is too early to doubt")
+	b.g.Expect(one[Hold](b).Acknowledged).To(BeEquivalentTo(1), "the start isn't overdue yet")
 	b.tick(20 * ms)
 	b.s.requestList(b.s.runners["r1"])
 	b.g.Expect(one[Hold](b).Acknowledged).To(BeZero())
--- a/core/schedule/listing.go
+++ b/core/schedule/listing.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// unlistedGrace is how long a runner is used that isn't listed and answers
-	// after a long silence, as when a failure domain was cut off, from the store
-	// too: the entry is back within two seconds, if the runner is there to stay.
-	// In that time a quarter of the runners would be missing.
+	// unlistedGrace is how long an unlisted runner is used that answers after a long silence.
+	// A failure domain that was cut off from the store and the other domains loses its
+	// entries in the list, and they are back within two seconds if the runners still exist.
+	// Without the grace a quarter of the runners would be unused in that time.
 	unlistedGrace = 2500 * time.Millisecond
-	// longSilence is how long that is: less than an entry takes to lapse.
+	// longSilence is the length of such a silence: less than an entry takes to expire.
 	longSilence = time.Second
-	// lapsedCheck is how often a runner whose entry has lapsed is looked at while
-	// it is idle, so that a job doesn't find out first that it has gone.
+	// lapsedCheck is how often an idle runner with an expired entry is checked, so that its
+	// loss is noticed before a job is placed on it.
 	lapsedCheck = 200 * time.Millisecond
 )
 
-// noteAnswerAfterSilence notes that a runner has answered after a silence.
+// noteAnswerAfterSilence handles an answer of a runner that was silent for some time.
 func (s *Scheduler) noteAnswerAfterSilence(r *runner, silence time.Duration) {
 	if r.unlisted && !r.info.Draining && silence > longSilence {
 		r.assumedPresentUntil = s.now + unlistedGrace
 	}
 }
 
-// present reports whether the runner is there, by the list or by its answers.
+// present reports whether the runner counts as existing, by the list or by its answers.
 func (r *runner) present(now Time) bool { return !r.unlisted || now < r.assumedPresentUntil }
 
 // SetRunners replaces the list of runners.
@@ -59,13 +59,13 @@
 	s.dispatch()
 }
 
-// AddUnlistedRunners adds runners on which another scheduler may have started jobs that
-// are about to be handed in here.
+// AddUnlistedRunners adds runners on which another scheduler may have started jobs that are about
+// to be handed in here.
 //
-// While a failure domain is cut off from the store its runners vanish from the
-// platform's list, yet the scheduler on that side uses them. When the cut heals
-// its jobs come here before the runners are listed again; without a look at
-// these the tasks would be started a second time.
+// While a failure domain is cut off from the store its runners vanish from the platform's list,
+// but the scheduler on that side still uses them. When the partition heals, that side's jobs
+// arrive here before its runners are listed again; unless these runners are asked for their lists
+// the tasks would be started a second time.
 func (s *Scheduler) AddUnlistedRunners(now Time, list []workload.Runner) {
 	s.now = now
 	for _, info := range list {
@@ -81,7 +81,7 @@
 	s.sortRunners()
 }
 
-// addRunner adds one that isn't known yet, and takes it if this scheduler leads.
+// addRunner adds an unknown runner, and acquires it if this scheduler leads.
 func (s *Scheduler) addRunner(r *runner) {
 	r.evacuated = s.evacuates(r.info.Domain)
 	s.runners[r.info.ID] = r
@@ -95,7 +95,7 @@
 	slices.SortFunc(s.runnerList, func(a, b *runner) int { return workload.CompareRunners(a.info, b.info) })
 }
 
-// forgetRunners drops runners that aren't listed and have nothing running.
+// forgetRunners drops unlisted runners without runs.
 func (s *Scheduler) forgetRunners() {
 	kept := s.runnerList[:0]
 	for _, r := range s.runnerList {
--- a/core/schedule/listing_test.go
+++ b/core/schedule/listing_test.go
@@ -9,8 +9,7 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// lapsedHarness returns a bench that owns two runners; the entry of the second then
-// lapsedHarness.
+// lapsedHarness returns a harness that owns two runners; then the entry of the second expires.
 func lapsedHarness(t *testing.T) *harness {
 	stays, lapsed := testRunner("stays"), testRunner("lapsed")
 	b := leading(t, stays, lapsed)
@@ -19,34 +18,33 @@
 	return b
 }
 
-// wideJob hands in a job that fits on two runners and not on one, and returns the
-// number of its tasks that are started.
+// wideJob submits a job that fits on two runners but not on one, and returns the number of its
+// tasks that are started.
 func (b *harness) wideJob() int {
 	b.submit(testJob(4, 100*ms), 1500*ms)
 	return len(take[Start](b))
 }
 
-// The store is back after some seconds, and most entries of runners have lapsed
-// meanwhile. The runners are sound and answer: jobs are started on them, and none
-// is refused for want of room.
+// After an outage of the store of some seconds most entries of runners have expired. The runners
+// are healthy and answer: jobs are started on them, and none is refused for lack of room.
 func TestLapsedRunnersThatAnswerAreUsed(t *testing.T) {
 	b := lapsedHarness(t)
-	b.g.Expect(one[Hold](b).Runner).To(BeEquivalentTo("lapsed"), "it is looked at, at once")
+	b.g.Expect(one[Hold](b).Runner).To(BeEquivalentTo("lapsed"), "it is checked at once")
 	b.g.Expect(b.wideJob()).To(Equal(4))
 }
 
-// A runner has crashed while the store was away. It doesn't answer, and once that
-// is seen nothing is started there.
+// A runner has crashed during an outage of the store. It doesn't answer, and once that is noticed
+// nothing is started there.
 func TestLapsedRunnersThatAreSilentAreNotUsed(t *testing.T) {
 	b := lapsedHarness(t)
 	b.answerHold(one[Hold](b), Unanswered)
 	b.g.Expect(b.wideJob()).To(Equal(2))
 }
 
-// A failure domain was cut off for seconds, from the store too, and its runners are
-// listed no more. As the cut heals the process that led there names them, and they
-// are used from their first answer on: without them a quarter of the room would be
-// missing until they have registered again. One that doesn't is given up.
+// A failure domain was cut off, from the store too, for seconds, and its runners are no longer
+// listed. When the partition heals the process that led there names them, and they are used from
+// their first answer: otherwise a quarter of the capacity would be missing until they have
+// registered again. A runner that doesn't register is given up.
 func TestRunnersThatAnswerAgainAreUsed(t *testing.T) {
 	b := leading(t, testRunner("stays"))
 	b.g.Expect(b.wideJob()).To(Equal(2))
@@ -57,7 +55,7 @@
 	b.g.Expect(b.s.runners["cut"].usable(b.now)).To(BeFalse())
 }
 
-// The same runner said that it drains, before the cut. Nothing is started there.
+// The same runner had reported that it drains before the partition. Nothing is started there.
 func TestDrainingRunnersThatAnswerAgainAreNotUsed(t *testing.T) {
 	b := leading(t, testRunner("stays"))
 	cut := testRunner("cut")
@@ -67,8 +65,8 @@
 	b.g.Expect(b.s.runners["cut"].usable(b.now)).To(BeFalse())
 }
 
-// Guards against counts of runs without a task that drift from what a runner runs: it
-// would get no lease any more, or one while another scheduler counts on its lapse.
+// Guards against counts of orphans that differ from the runner's runs: the runner would get no
+// lease any more, or one while another scheduler relies on its expiry.
 func TestOrphansAreCounted(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	check := func() {
@@ -94,7 +92,7 @@
 	b.g.Expect(b.s.runners["r1"].hasForeignOrphans()).To(BeTrue())
 	b.submit(job, 3*time.Second)
 	check()
-	b.g.Expect(b.s.runners["r1"].hasForeignOrphans()).To(BeFalse(), "its job has come")
+	b.g.Expect(b.s.runners["r1"].hasForeignOrphans()).To(BeFalse(), "its job has arrived")
 	for _, c := range take[Start](b) {
 		b.started(c, Accepted)
 	}
--- a/core/schedule/load_test.go
+++ b/core/schedule/load_test.go
@@ -11,9 +11,9 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Short jobs and long ones wait for the same room. Each is served by when it
-// must begin to end in time, so that a long job that came first isn't overtaken
-// until it is late, and a short one isn't held up by its length.
+// Short and long jobs wait for the same room. They are served by their latest start, so that an
+// earlier long job isn't overtaken until it is late, and a short one isn't delayed by the length
+// of a long one.
 func TestOrderOfService(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	b.submit(testJob(2, 400*ms), 3*time.Second)
@@ -26,9 +26,8 @@
 	b.g.Expect(b.s.waitingIDs()).To(Equal([]workload.JobID{short.ID, long.ID}))
 }
 
-// A burst fills the queue. Jobs whose turn would come when their answer is
-// worth nothing any more are refused as they arrive, with a time to come back
-// that grows with the queue and differs from caller to caller.
+// A burst fills the queue. Jobs whose turn would come when their answer has no value are refused
+// on arrival, with a retry delay that grows with the queue and differs between callers.
 func TestBurst(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	var refused []Answer
@@ -47,8 +46,8 @@
 	b.g.Expect(len(waits)).To(BeNumerically(">", len(refused)/2))
 }
 
-// Tasks of two fifths of a runner come one by one. Spread out, each would leave
-// a hole that nothing fits into, and wide jobs would wait for a whole runner.
+// Tasks of two fifths of a runner arrive one by one. Spread out, each would leave a gap that no
+// other task fits into, and jobs with many tasks would wait for a whole runner.
 func TestBestFit(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"), testRunner("r3"))
 	used := make(map[workload.RunnerID]int)
@@ -61,8 +60,8 @@
 	b.g.Expect(used).To(HaveLen(2))
 }
 
-// Runners differ in speed. A long task whose caller leaves soon goes to a fast
-// one, and short ones leave those free.
+// Runners differ in speed. A long task whose caller leaves soon gets a fast runner, and short
+// tasks leave the fast runners free.
 func TestLongTasksOnFastRunners(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"), testRunner("r3"))
 	for id, pace := range map[workload.RunnerID]float64{"r1": 1.25, "r2": 0.8, "r3": 1} {
@@ -75,9 +74,9 @@
 	b.g.Expect(one[Start](b).Runner).To(BeEquivalentTo("r2"))
 }
 
-// Tasks stand still on a runner that answers all orders. A run that takes far
-// longer than estimated is stopped and started on another runner, and the first
-// one gets nothing new for a while.
+// Tasks hang on a runner that answers all orders. A run that takes far longer than estimated is
+// stopped and its task started on another runner, and the first runner gets no new tasks for
+// some time.
 func TestStuckRun(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	b.submit(testJob(1, 60*ms), 2*time.Second)
@@ -95,9 +94,8 @@
 	b.g.Expect(one[Start](b).Runner).NotTo(Equal(start.Runner))
 }
 
-// A runner fails whatever it is given, at once, and so looks idle and fast. It
-// is closed after two failures, while a job that fails everywhere doesn't close
-// the runners that it meets.
+// A runner fails every task at once, and so appears idle and fast. It is closed after two
+// failures, while a job that fails everywhere doesn't close the runners that it was started on.
 func TestFailingRunner(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	seq := map[workload.RunnerID]uint64{}
@@ -142,7 +140,7 @@
 	}
 }
 
-// A runner says that it drains, or leaves the list. It gets nothing new.
+// A runner reports that it drains, or is removed from the list. It gets no new tasks.
 func TestLeavingRunner(t *testing.T) {
 	for name, leave := range map[string]func(*harness){
 		"draining": func(b *harness) {
@@ -163,8 +161,8 @@
 	}
 }
 
-// Steps wait for those that they depend on, and tasks for the label, the rack
-// and the spread that they ask for.
+// Steps wait for the steps that they depend on, and tasks get the label, the rack and the spread
+// that they require.
 func TestStepConstraints(t *testing.T) {
 	gpu := testRunner("r2")
 	gpu.Labels = []string{"b", "r2"}
@@ -188,8 +186,8 @@
 	b.g.Expect(rest[2].Runner).To(BeEquivalentTo("r1"))
 }
 
-// A cancelled job's tasks are stopped, its caller is answered, and a copy that
-// comes later doesn't run; nor does one whose cancelling came first.
+// A cancelled job's tasks are stopped, its caller is answered, and a later copy doesn't run; nor
+// does a job that was cancelled before it arrived.
 func TestCancelledJobs(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j, later := testJob(1, 200*ms), testJob(1, 200*ms)
@@ -201,7 +199,7 @@
 	b.g.Expect(one[Answer](b).Outcome).To(Equal(workload.Cancelled))
 	b.g.Expect(take[Stop](b)).To(HaveLen(1))
 	_, done = b.s.Cancel(b.now, later.ID)
-	b.g.Expect(done).To(BeFalse(), "it may be a stored one, which must never run")
+	b.g.Expect(done).To(BeFalse(), "it may be a stored job, which must never run")
 	saved := one[Save](b)
 	b.s.Saved(b.now, []ledger.SavedRecord{{Job: later.ID, Sequence: saved.Sequence}})
 	b.g.Expect(one[OutcomeSaved](b).State.Known).To(BeFalse())
@@ -213,9 +211,9 @@
 	}
 }
 
-// The process has more to do than its processor allows, so that answers which
-// came in time are looked at late. If its timeouts stayed as they are, it would
-// send starts again that were carried out, and fall behind for good.
+// The process has more work than its processor can do, so it reads answers late that were received
+// in time. If its timeouts stayed fixed, it would repeat starts that were carried out, and never
+// catch up.
 func TestTimeoutsGrowWithDelays(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	b.g.Expect(b.s.callTimeout()).To(Equal(CallTimeout))
@@ -232,9 +230,9 @@
 	b.g.Expect(b.s.callTimeout()).To(BeNumerically("<=", maxTimeout))
 }
 
-// All processes were killed and start again. The runners have obeyed a scheduler
-// whose term is far above that of the new one, and refuse it. It goes above with
-// the first refusal for all of them, in a few rounds; callers wait meanwhile.
+// All processes were killed and restart. The runners have accepted a term far above that of the
+// new scheduler, and refuse it. It exceeds that term for all of them within a few rounds, while
+// callers wait.
 func TestUnknownHigherTermIsExceededInFewRounds(t *testing.T) {
 	var runners []workload.Runner
 	for i := range 48 {
@@ -259,13 +257,12 @@
 		}
 	}
 	b.g.Expect(rounds).To(BeNumerically("<=", 8))
-	b.g.Expect(b.s.Term()).To(BeNumerically("<", 2*1500), "it doesn't run ahead either")
+	b.g.Expect(b.s.Term()).To(BeNumerically("<", 2*1500), "the term doesn't grow without need")
 }
 
-// A failure domain is cut off, and its new scheduler is handed the jobs that the
-// one before had. They are held back until what that one has started must be over.
-// New jobs aren't behind them: the runners have room, and no caller is turned away
-// for a wait that isn't one.
+// A failure domain is cut off, and its new scheduler is handed the jobs of the previous one. They
+// are held back until runs that the previous one has started must be over. New jobs don't wait
+// behind them: the runners have room, so no caller may be refused because of their work.
 func TestHeldBackJobsDontDelayOthers(t *testing.T) {
 	b := leading(t, testRunner("near"))
 	b.s.SetUnreachable(true)
@@ -280,9 +277,9 @@
 	b.g.Expect(take[Start](b)).To(HaveLen(2))
 }
 
-// Runners of all failure domains have room. A job runs where its caller's entry VM
-// is, so that the loss of a connection between domains doesn't touch it; what finds
-// no room there runs elsewhere.
+// Runners of all failure domains have room. A job runs in the domain of its caller's entry VM, so
+// that the loss of a connection between domains doesn't affect it; tasks that find no room there
+// run elsewhere.
 func TestTasksStayInTheDomainOfTheirCaller(t *testing.T) {
 	var runners []workload.Runner
 	for _, id := range []string{"r1", "r2", "r3"} {
@@ -299,9 +296,9 @@
 	b.g.Expect(take[Start](b)).To(HaveLen(2))
 }
 
-// Jobs are handed over after some time without a scheduler, at full load. One of
-// them can't be answered any more while that is worth something; it doesn't take
-// the room of another that can, though it is older. With room left it is done.
+// Jobs are handed over at full load after some time without a leader. One of them can't be
+// answered any more while its answer has value; although it is older, it doesn't take the room of
+// another that can. It runs when room is left.
 func TestWorthlessJobsComeLast(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	b.submit(testJob(2, 200*ms), 1500*ms)
@@ -316,9 +313,9 @@
 	b.g.Expect(one[Start](b).Run.Task.Job).To(Equal(old.ID))
 }
 
-// A failure domain is cut off, and a job is handed over that its new scheduler may
-// begin only when the caller is about to leave. The caller is told as soon as that
-// is known, and not when its time is over; another job has time enough, and waits.
+// A failure domain is cut off, and a job is handed over that its new scheduler may start only when
+// the caller is about to leave. The caller is told as soon as that is known, not at the deadline;
+// another job has enough time, and waits.
 func TestHopelessHandedOverJobsAreGivenUpAtOnce(t *testing.T) {
 	b := leading(t, testRunner("near"))
 	b.s.SetUnreachable(true)
@@ -327,15 +324,15 @@
 	b.s.Submit(b.now, Submission{Job: hopeless, Entry: entryA, RemainingObjective: 100 * ms, RemainingTimeout: 1350 * ms, PriorSubmissions: 1, PriorRunsTTL: 1300 * ms})
 	b.s.Submit(b.now, Submission{Job: waits, Entry: entryA, RemainingObjective: 100 * ms, RemainingTimeout: 2500 * ms, PriorSubmissions: 1, PriorRunsTTL: 1300 * ms})
 	b.tick(100 * ms)
-	b.g.Expect(take[Answer](b)).To(BeEmpty(), "the runner may yet tell")
+	b.g.Expect(take[Answer](b)).To(BeEmpty(), "the runner may still list its runs")
 	b.tick(100 * ms)
 	a := one[Answer](b)
 	b.g.Expect(a.Job).To(Equal(hopeless.ID))
 	b.g.Expect(a.Outcome).To(Equal(workload.GaveUp))
 }
 
-// Guards against a wide job that is left halfway through as it turns late, while new jobs
-// take each place that gets free.
+// Guards against a job with many tasks that is left partly done when it turns late, while new jobs
+// take each place that becomes free.
 func TestALateJobThatHasBegunKeepsItsPlace(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	wide := testJob(3, 200*ms)
--- a/core/schedule/move.go
+++ b/core/schedule/move.go
@@ -9,68 +9,69 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Moving stored jobs. A shard may lose its runners, as when those of a failure domain are
-// taken away, or have too few left for what it has accepted. Another shard does it then:
+// Moves of stored jobs to another shard. A shard may lose its runners, for instance when those of a
+// failure domain are removed, or have too few left for the jobs that it has accepted. Such a job
+// moves in three steps:
 //
-//  1. The job's record says where it goes. From then on nobody starts it here.
-//  2. It is given to the owner of that shard, again and again until it is in its rows.
-//  3. The record says that it has arrived. Questions go on to that shard.
+//  1. The job's record names the new shard. From then on no task of it is started here.
+//  2. The job is sent to the owner of that shard repeatedly until it is in that shard's rows.
+//  3. The record says that it has arrived. Queries are forwarded to that shard.
 //
-// Whoever owns the shard goes on where the owner before was.
+// A new owner of the shard continues from the step that the previous owner had reached.
 
 const (
-	// moveAfter is how long a job must have stood still: runners that are only slow to
-	// answer, or asked for by a new owner, are back sooner, and the backlog that is
-	// accepted takes a second.
+	// moveAfter is how long a job must have been stalled. Runners that are only slow to answer,
+	// or that a new owner is acquiring, are back sooner, and the accepted backlog takes a second.
 	moveAfter = 1500 * time.Millisecond
-	// maxMovesPerTick bounds what is moved in one tick, since the other shard tells only with
-	// its next heartbeat how much waits there by then.
+	// maxMovesPerTick bounds the moves per tick, since only the next heartbeat of the other
+	// shard shows how much waits there then.
 	maxMovesPerTick = 1
-	// moveRetryInterval is how often a job is given that hasn't arrived.
+	// moveRetryInterval is how often a job that hasn't arrived is sent again.
 	moveRetryInterval = 300 * time.Millisecond
-	// moveRetention is how long it is known where a job went: longer than any is asked for.
+	// moveRetention is how long the destination of a job is remembered: longer than callers may
+	// query any job.
 	moveRetention = time.Hour
 )
 
-// move is a job on its way to another shard, or there.
+// move is a job that is moving, or has moved, to another shard.
 type move struct {
 	record  ledger.Record
 	arrived bool
-	// age is that of the job at the time since.
+	// age is the job's age at the time since.
 	age   time.Duration
 	since Time
-	// nextSendAt is when the job is given next.
+	// nextSendAt is when the job is sent next.
 	nextSendAt Time
 }
 
-// MovedJob is an accepted job that comes from another shard.
+// MovedJob is an accepted job that arrives from another shard.
 type MovedJob struct {
 	// From is that shard.
 	From int
 	Job  *workload.Job
 	// Age is the time since the job was accepted.
 	Age time.Duration
-	// Hand counts the owners before, of all shards; run numbers begin above all of theirs.
+	// Hand counts the previous owners of all shards; run numbers begin above all of theirs.
 	Hand int
-	// Done, Failures and Unseen are as in a ledger.Record.
+	// Done, Failures and Unseen have the same meaning as in ledger.Record.
 	Done     []ledger.Bits
 	Failures []ledger.Failure
 	Unseen   bool
 }
 
-// sender is a process that has given a job of a shard.
+// sender is a process that has sent a job of a shard.
 type sender struct {
 	entry EntryID
 	shard int
 }
 
-// SetAlternate says in which other shard a job would wait least, and for how long; -1 if no
-// other one is in reach.
+// SetAlternate sets the other shard in which a job would wait least, and that wait; -1 if no other
+// shard is reachable.
 func (s *Scheduler) SetAlternate(shard int, wait time.Duration) {
 	s.alternate, s.alternateWait = shard, wait
 }
 
-// tickMoves gives away what can't be done here.
+// tickMoves begins moves of stalled jobs, and sends jobs that haven't arrived again.
 func (s *Scheduler) tickMoves() {
 	if !s.rows.loaded || !s.ownsRows() {
 		return
@@ -84,7 +85,7 @@
 	}
 }
 
-// moveStalled moves jobs that have waited for long while another shard has room.
+// moveStalled moves jobs that have been stalled for moveAfter while another shard has room.
 func (s *Scheduler) moveStalled() {
 	moved := 0
 	for _, j := range slices.Clone(s.queue) {
@@ -105,7 +106,7 @@
 	}
 }
 
-// stalled reports whether tasks of a job are due, and nothing of it can be alive.
+// stalled reports whether tasks of a job are due, and no run of it can be alive.
 func (s *Scheduler) stalled(j *job) bool {
 	if s.now < j.priorRunsOverAt || s.waitingWork(j) == 0 {
 		return false
@@ -115,8 +116,8 @@
 	return over
 }
 
-// soonerElsewhere reports whether a job would begin sooner in another shard: nothing
-// waits there, or there are no runners for it here.
+// soonerElsewhere reports whether a job would start sooner in another shard: nothing waits there,
+// or this shard has no runners for it.
 func (s *Scheduler) soonerElsewhere(j *job) bool {
 	if s.alternate < 0 {
 		return false
@@ -124,7 +125,7 @@
 	return s.alternateWait == 0 || s.alternateWait < NoRunnersWait && s.capacity(j.work.Service) == 0
 }
 
-// beginMove ends a job here, for another shard to do it.
+// beginMove ends a job here and assigns it to another shard.
 func (s *Scheduler) beginMove(j *job) {
 	j.ended, j.restarted = true, true
 	j.stored.state, j.stored.to = ledger.Moving, s.alternate
@@ -134,18 +135,18 @@
 	s.save(j)
 	s.emit(Decision{
 		Event: "stored-job-moving", Job: j.work.ID, Age: s.now - j.stalledSince,
-		Reason: fmt.Sprintf("to shard %d, where it waits %v; %d thousandths of a core here", s.alternate, s.alternateWait, s.capacity(j.work.Service)),
+		Reason: fmt.Sprintf("to shard %d with an expected wait of %v; usable capacity here: %d thousandths of a core", s.alternate, s.alternateWait, s.capacity(j.work.Service)),
 	})
 }
 
-// movingRecord is what another shard needs to go on with the job.
+// movingRecord returns the record with all that another shard needs to continue the job.
 func (j *job) movingRecord() ledger.Record {
 	r := j.record()
 	r.Work = j.work
 	return r
 }
 
-// retainMove keeps where a job goes or has gone; its outcome is kept already.
+// retainMove records where a job moves or has moved; its outcome is retained already.
 func (s *Scheduler) retainMove(r ledger.Record, age time.Duration) {
 	m := &move{record: r, arrived: r.State == ledger.Moved, age: age, since: s.now}
 	k := s.rows.retained[r.Job]
@@ -156,7 +157,7 @@
 	}
 }
 
-// retainsMove reports whether it is still to be known where a job went.
+// retainsMove reports whether the destination of a job must still be remembered.
 func (s *Scheduler) retainsMove(id workload.JobID) bool {
 	k := s.rows.retained[id]
 	if k.move == nil || k.move.arrived && s.now-k.move.since >= moveRetention {
@@ -179,7 +180,7 @@
 	}
 }
 
-// MoveAcknowledged notes that a job is in the rows of the shard that it was given to.
+// MoveAcknowledged records that a job is in the rows of the shard that it was sent to.
 func (s *Scheduler) MoveAcknowledged(now Time, id workload.JobID) {
 	s.now = now
 	m := s.rows.moving[id]
@@ -197,7 +198,7 @@
 	s.emit(Decision{Event: "stored-job-moved", Job: id, Reason: fmt.Sprintf("to shard %d", m.record.To), Age: now - m.since})
 }
 
-// MovedTo is the shard to which a job goes, and whether it has arrived there.
+// MovedTo returns the shard to which a job moves, and whether it has arrived there.
 func (s *Scheduler) MovedTo(id workload.JobID) (shard int, arrived, moved bool) {
 	k, ok := s.rows.retained[id]
 	if !ok || k.move == nil {
@@ -206,7 +207,7 @@
 	return k.move.record.To, k.move.arrived, true
 }
 
-// AcceptMovedJob takes a job of another shard. One that can't be taken now is given again.
+// AcceptMovedJob accepts a job of another shard. If that isn't possible now, the job is sent again.
 func (s *Scheduler) AcceptMovedJob(now Time, from EntryID, m MovedJob) {
 	s.now = now
 	id := m.Job.ID
@@ -233,11 +234,11 @@
 	s.acceptMoved(from, m)
 }
 
-// returns reports whether a job comes back that has gone from here: it has had more
-// owners since. Else it is the same move once more, whose answer was lost.
+// returns reports whether a job that had moved away comes back: it has had more owners since.
+// Otherwise this is the same move repeated, since its acknowledgement was lost.
 func (k retained) returns(m MovedJob) bool { return k.move != nil && m.Hand > k.move.record.Hand }
 
-// acceptMoved goes on with a job of another shard, and has it saved first.
+// acceptMoved restores a job of another shard and saves it before any of its tasks is started.
 func (s *Scheduler) acceptMoved(from EntryID, m MovedJob) {
 	id := m.Job.ID
 	s.dropRetained(id)
@@ -253,7 +254,7 @@
 	s.emit(Decision{Event: "stored-job-taken", Job: id, Reason: fmt.Sprintf("from shard %d", m.From), Age: m.Age})
 }
 
-// dropRetained forgets that a job has gone, since it is back.
+// dropRetained removes the record of a job's move, since the job is back.
 func (s *Scheduler) dropRetained(id workload.JobID) {
 	if _, ok := s.rows.retained[id]; !ok {
 		return
@@ -263,7 +264,7 @@
 	s.rows.retainedOrder = slices.DeleteFunc(s.rows.retainedOrder, func(o workload.JobID) bool { return o == id })
 }
 
-// acknowledgeMove tells those that have given a job that it is in the store here.
+// acknowledgeMove reports to the senders of a job that it is in the store here.
 func (s *Scheduler) acknowledgeMove(j *job) {
 	for _, g := range j.stored.senders {
 		s.emit(MoveAck{At: s.now, To: g.entry, Shard: g.shard, Job: j.work.ID})
--- a/core/schedule/move_test.go
+++ b/core/schedule/move_test.go
@@ -10,8 +10,8 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// stalledHarness returns a bench whose only runner has left with a job half done, and the
-// record that the job moves to shard 3.
+// stalledHarness returns a harness whose only runner has left with a job half done, and the record that
+// the job moves to shard 3.
 func stalledHarness(t *testing.T) (*harness, *workload.Job, Save) {
 	b := leading(t, testRunner("r1"))
 	b.s.SetAlternate(3, time.Second)
@@ -32,13 +32,13 @@
 	return b, j, saves[0]
 }
 
-// Guards against accepted jobs that stand still for as long as their shard has no
-// runners, while others have room.
+// Guards against accepted jobs that stay stalled while their shard has no runners and others have
+// room.
 func TestStalledJobMovesToAnotherShard(t *testing.T) {
 	b, j, save := stalledHarness(t)
 	b.g.Expect(save.Record.State).To(Equal(ledger.Moving))
 	b.g.Expect(save.Record.To).To(Equal(3))
-	b.g.Expect(take[MoveJob](b)).To(BeEmpty(), "the store doesn't know yet that nobody starts it here")
+	b.g.Expect(take[MoveJob](b)).To(BeEmpty(), "it isn't in the store yet that no task is started here")
 	b.saved(save)
 	b.tick(20 * ms)
 	given := one[MoveJob](b)
@@ -49,7 +49,7 @@
 	b.g.Expect(given.Unseen).To(BeTrue())
 	b.g.Expect(b.s.State(j.ID, b.now).Known).To(BeTrue())
 	b.tick(moveRetryInterval)
-	b.g.Expect(take[MoveJob](b)).To(HaveLen(1), "again, until it has arrived")
+	b.g.Expect(take[MoveJob](b)).To(HaveLen(1), "repeated until it has arrived")
 	b.s.MoveAcknowledged(b.now, j.ID)
 	b.tick(2 * moveRetryInterval)
 	b.g.Expect(take[MoveJob](b)).To(BeEmpty())
@@ -58,8 +58,8 @@
 	b.g.Expect([]any{to, arrived, moved}).To(Equal([]any{3, true, true}))
 }
 
-// Guards against a job that is done twice, by its shard when the runners are back and by
-// the one that it was given to.
+// Guards against a job that runs twice: in its shard when the runners are back, and in the shard
+// that it was sent to.
 func TestMovingJobIsntStartedWhenRunnersAreBack(t *testing.T) {
 	b, _, save := stalledHarness(t)
 	b.saved(save)
@@ -68,7 +68,7 @@
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 }
 
-// Guards against a move that ends with the owner that began it: the next one goes on.
+// Guards against a move that stops with the owner that began it: the next owner continues it.
 func TestMoveOutlivesItsOwner(t *testing.T) {
 	b := newHarness(t, testRunner("r1"))
 	j := storedJob(2, 200*ms)
@@ -86,7 +86,7 @@
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 }
 
-// Guards against jobs that are moved though they would wait elsewhere too.
+// Guards against jobs that are moved although they would wait elsewhere too.
 func TestJobsAreNotMovedToShardsThatWaitToo(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j := storedJob(1, 200*ms)
@@ -102,14 +102,13 @@
 	}
 }
 
-// moved is a job of shard 2, one of whose two tasks is done.
+// moved returns a job of shard 2, one of whose two tasks is done.
 func moved(hand int) MovedJob {
 	j := storedJob(2, 200*ms)
 	return MovedJob{From: 2, Job: j, Hand: hand, Age: time.Second, Done: openRecord(j, 1, 0).Done}
 }
 
-// Guards against a job that gets lost or is done twice when its owners tell each other
-// more than once that it goes to another shard.
+// Guards against a job that is lost or runs twice when the messages of a move are repeated.
 func TestMovedJobIsAcceptedOnce(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	m := moved(2)
@@ -121,7 +120,7 @@
 	b.saved(save)
 	b.g.Expect(one[MoveAck](b)).To(Equal(MoveAck{At: b.now, To: entryA, Shard: 2, Job: m.Job.ID}))
 	start := one[Start](b)
-	b.g.Expect(start.Run).To(Equal(runOf(m.Job, 1, 201)), "the task that isn't done, above all numbers of its owners")
+	b.g.Expect(start.Run).To(Equal(runOf(m.Job, 1, 201)), "the task that isn't done, above all run numbers of previous owners")
 	b.s.AcceptMovedJob(b.now, entryA, m)
 	b.g.Expect(one[MoveAck](b).Job).To(Equal(m.Job.ID))
 	b.started(start, Accepted)
@@ -133,8 +132,8 @@
 	b.g.Expect(b.s.State(m.Job.ID, b.now).Outcome).To(Equal(workload.Completed))
 }
 
-// Guards against a job that comes back to a shard that it had left, by way of others,
-// and is taken for the same move once more.
+// Guards against a job that returns by way of other shards to a shard that it had left, and is
+// taken for a repetition of the earlier move.
 func TestMovedJobComesBack(t *testing.T) {
 	b, j, save := stalledHarness(t)
 	b.saved(save)
@@ -142,7 +141,7 @@
 	b.saved(take[Save](b)...)
 	m := MovedJob{From: 5, Job: j, Hand: save.Record.Hand, Done: save.Record.Done}
 	b.s.AcceptMovedJob(b.now, entryA, m)
-	b.g.Expect(one[MoveAck](b).Job).To(Equal(j.ID), "a move of before")
+	b.g.Expect(one[MoveAck](b).Job).To(Equal(j.ID), "a repetition of the earlier move")
 	b.g.Expect(take[Save](b)).To(BeEmpty())
 	m.Hand += 2
 	b.s.AcceptMovedJob(b.now, entryA, m)
@@ -154,8 +153,8 @@
 	b.g.Expect(one[Start](b).Run.Task.Index).To(Equal(1))
 }
 
-// Guards against a caller who is told that a job is cancelled which another shard is
-// about to do.
+// Guards against a caller who is told that a job is cancelled while another shard is about to run
+// it.
 func TestMovingJobIsntCancelledHere(t *testing.T) {
 	b, j, save := stalledHarness(t)
 	state, done := b.s.Cancel(b.now, j.ID)
@@ -165,8 +164,8 @@
 	b.g.Expect([]any{state.Unsure, done}).To(Equal([]any{true, true}))
 }
 
-// Guards against an end on a runner that was out of sight, which counts for good though
-// the job moved and the task is done again.
+// Guards against an end on a runner that was unreachable which counts as final although the job
+// has moved and the task runs again.
 func TestEndOfAMovedJobIsAcknowledgedAfterLapse(t *testing.T) {
 	for _, kind := range []workload.EndKind{workload.Done, workload.Failed} {
 		b, j, save := stalledHarness(t)
@@ -185,8 +184,8 @@
 	}
 }
 
-// Guards against a job that came back and is forgotten while it is open, as where it had
-// gone isn't kept any more.
+// Guards against a job that came back being forgotten while it is open, when the retention of its
+// earlier move ends.
 func TestMovedJobThatCameBackIsntForgotten(t *testing.T) {
 	b, j, save := stalledHarness(t)
 	b.saved(save)
--- a/core/schedule/offered.go
+++ b/core/schedule/offered.go
@@ -7,26 +7,26 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// A job that has turned late waits for all that hasn't, and for what comes meanwhile. In a
-// burst more comes than the runners can do, so its turn doesn't come while its answer is
-// worth anything. Its caller learns that as soon as it is known, not when the time is up.
+// A late job waits for all jobs that aren't late, and for those that arrive meanwhile. In a burst
+// more work arrives than the runners can do, so its turn doesn't come while its answer has any
+// value. It is refused as soon as that is known, without waiting for its deadline.
 
 const (
-	// offeredWindow is the time over which arriving work is averaged.
+	// offeredWindow is the time constant of the average of arriving work.
 	offeredWindow = 500 * time.Millisecond
-	// minSpareShare is the share of the runners that late jobs are thought to get, however
-	// much arrives: load comes and goes, and late answers are better than none.
+	// minSpareShare is the share of the runners that late jobs are assumed to get, however much
+	// work arrives: load fluctuates, and late answers are better than none.
 	minSpareShare = 0.2
 )
 
-// offeredLoad is the work of a service that arrives, in thousandths of a core, averaged
-// with weights that fall exponentially.
+// offeredLoad is the arriving work of a service in thousandths of a core, as an exponentially
+// weighted average.
 type offeredLoad struct {
 	average float64
 	at      Time
 }
 
-// add notes work that arrives, in time x thousandths of a core.
+// add records arriving work, in time x thousandths of a core.
 func (o *offeredLoad) add(now Time, work time.Duration) {
 	o.average = o.now(now) + float64(work)/float64(offeredWindow)
 	o.at = now
@@ -36,7 +36,7 @@
 	return o.average * math.Exp(-float64(now-o.at)/float64(offeredWindow))
 }
 
-// noteOffered counts a job that has come.
+// noteOffered records a job that has arrived.
 func (s *Scheduler) noteOffered(j *job) {
 	o := s.offered[j.work.Service]
 	if o == nil {
@@ -46,8 +46,8 @@
 	o.add(s.now, s.waitingWork(j))
 }
 
-// refuseLate refuses the late jobs whose turn won't come in time. For a while after
-// taking over it isn't known what the runners can take.
+// refuseLate refuses the late jobs whose turn won't come in time. It does nothing for some time
+// after a takeover, when the runners' capacity isn't known.
 func (s *Scheduler) refuseLate() {
 	if len(s.queue) == 0 || s.now-s.leadingSince < warmUpTime {
 		return
@@ -87,8 +87,8 @@
 	}
 }
 
-// comesInTime reports whether a late job may be done while its answer is worth something,
-// with an amount of work before it and some processors to spare for that.
+// comesInTime reports whether a late job may complete while its answer has value, with the work
+// ahead of it and the spare processors (in thousandths of a core) that do that work.
 func (s *Scheduler) comesInTime(j *job, ahead time.Duration, spare float64) bool {
 	if ahead == 0 {
 		return true
--- a/core/schedule/order.go
+++ b/core/schedule/order.go
@@ -10,39 +10,38 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// The order of service answers bursts of short jobs beside long ones: what must
-// begin first to end within its objective comes first, so that a long job that
-// came first isn't overtaken without end, and a short one isn't held up by its
-// length.
+// The order of service is made for bursts of short jobs beside long ones. The job that must start
+// first to end within its objective comes first, so that a long job isn't overtaken indefinitely
+// by later short ones, and a short one isn't delayed by the length of a long one.
 
-// toleratedWaitPercent is the share of its objective, in percent, that any job may
-// wait: estimates are off by a factor of 1.5.
+// toleratedWaitPercent is the share of its objective that any job may wait: estimates are off by a
+// factor of 1.5.
 const toleratedWaitPercent = 15
 
-// latestStart is when a job must begin to end within its objective, if its
-// estimate is right. It can be before its arrival.
+// latestStart returns when a job must start to end within its objective, if its estimate is right.
+// That can be before its arrival.
 func (j *job) latestStart() Time { return j.due - j.remaining }
 
-// latenessPercent is the share of its estimate, in percent, that a job needs to end
-// within its objective two times in three: estimates spread by estimateSpread.
+// latenessPercent is the share of its estimate that a job needs to end within its objective two
+// times in three, since estimates spread by estimateSpread.
 const latenessPercent = 125
 
-// late reports whether a job has waited too long to end within its objective.
-// One whose estimate leaves it no time to wait isn't late as it arrives: it
-// needs to begin at once, and estimates are often too long.
+// late reports whether a job has waited too long to end within its objective. A job whose estimate
+// leaves it no time to wait isn't late on arrival: it must start at once, and estimates are often
+// too long.
 //
-// It counts as late while it still has an even chance. With more to do than there
-// is room, all jobs would else begin at their latest start, and half of them come
-// late; others, that have just come, would have ended in time in their place.
+// A job counts as late while it still has an even chance. Otherwise, with more work than room, all
+// jobs would start at their latest start and half of them would end late, while jobs that have
+// just arrived would have ended in time in their place.
 func (j *job) late(now Time) bool {
 	latest := j.due - j.remaining*latenessPercent/100
 	return now > max(latest, j.arrived+j.tolerance())
 }
 
-// tolerance is how long any job may wait.
+// tolerance returns how long any job may wait.
 func (j *job) tolerance() time.Duration { return (j.due - j.arrived) * toleratedWaitPercent / 100 }
 
-// enqueue puts a job into the queue, which is in the order of latest starts.
+// enqueue inserts a job into the queue, which is ordered by latest start.
 func (s *Scheduler) enqueue(j *job) {
 	if j.queued || j.ended || j.withdrawn || j.stored != nil && !j.stored.accepted {
 		return
@@ -54,7 +53,7 @@
 	s.queue[at] = j
 }
 
-// before is the order of service: what must begin first comes first.
+// before is the order of service: by latest start, then by id.
 func (j *job) before(o *job) bool {
 	if a, b := j.latestStart(), o.latestStart(); a != b {
 		return a < b
@@ -75,7 +74,7 @@
 	}
 }
 
-// queuedServices lists the services of the jobs that wait, in order.
+// queuedServices lists the services of the queued jobs in order.
 func (s *Scheduler) queuedServices() []string {
 	services := make(map[string]bool)
 	for _, j := range s.queue {
@@ -84,32 +83,30 @@
 	return sortedKeys(services)
 }
 
-// sortedJobs lists the jobs by id, so that what is done to each comes in the
-// same order every time.
+// sortedJobs lists the jobs by id, so that the commands for them come in a fixed order.
 func (s *Scheduler) sortedJobs() []*job {
 	return slices.SortedFunc(maps.Values(s.jobs), func(a, b *job) int { return cmp.Compare(a.work.ID, b.work.ID) })
 }
 
-// worthless reports whether a job, if its estimate is right, ends so late that its
-// answer is worth nothing any more.
+// worthless reports whether a job, if its estimate is right, ends so late that its answer has no
+// value any more.
 func (j *job) worthless(now Time) bool { return now+j.remaining > j.worthlessAt }
 
-// partlyDone reports whether some tasks of a job have been started, so that what they have
-// done would be for nothing if the others came too late.
+// partlyDone reports whether tasks of a job that isn't stored have been started. Their work would
+// be wasted if the other tasks came too late.
 func (j *job) partlyDone() bool { return j.stored == nil && j.begun }
 
-// dispatch starts what can start. Jobs that can still meet their objective, and those
-// of which a part has been done, come first, by their latest start; then those that are
-// late already; then those whose answers will be worth nothing, with what room is left.
+// dispatch starts the tasks that can start. Jobs that can still meet their objective, and those
+// that are partly done, come first, by their latest start; then jobs that are late; then, with the
+// remaining room, those whose answers will have no value.
 //
-// Where tasks need half a runner a wide job gets its places one by one. Put behind all
-// others when it turns late, it would keep the places that it has, and end after its
-// caller has left, who can't be told that nothing was run.
+// Where a task needs half a runner, a job with many tasks gets its places one by one. If it moved
+// behind all others once it is late, it would hold the places that it has and end after its
+// caller has left, and the caller couldn't be told that nothing was run.
 //
-// After half a second without a scheduler, at full load, some hundred jobs that
-// were handed over wait beside the new ones, and the room is made up for only in
-// seconds. Served in the order of their age, nearly all of them and of those behind
-// them would come too late.
+// After half a second without a leader at full load, some hundred handed over jobs wait beside the
+// new ones, and it takes seconds to work off that backlog. Served in the order of their age,
+// nearly all of them, and of the jobs behind them, would come too late.
 func (s *Scheduler) dispatch() {
 	if !s.leading || len(s.queue) == 0 {
 		return
@@ -158,13 +155,13 @@
 	}
 }
 
-// heldBack reports whether nothing of a job is to be started yet, since schedulers
-// before may have started it or another one may have it.
+// heldBack reports whether no task of a job may be started yet, since an earlier scheduler may have
+// started it or another one may have it.
 func (s *Scheduler) heldBack(j *job) bool {
 	switch {
 	case j.stored == nil && s.now-s.lastHeard[j.entry] > maxHeartbeatAge:
-		// Its entry VM may have missed this process before it is missed here, and
-		// have given the job to a scheduler that sees only what runs by now.
+		// Its entry VM may have counted this process as lost before it is counted as lost here,
+		// and have given the job to a scheduler that sees only the runs that exist by then.
 		return true
 	case j.priorSchedulers > 0 && s.now < s.progressWaitUntil:
 		return true
@@ -176,13 +173,13 @@
 	return j.priorSchedulers > 0 && s.now < s.rows.priorRunsOverAt+maxPriorRunLife && !s.allListed(j)
 }
 
-// allListed reports whether all is known that earlier schedulers have started of
-// a job: each runner has listed what it runs since the job came. Had they used a
-// higher token there, it would have refused; and what they haven't started by
-// then they won't, since the job was withdrawn from them before.
+// allListed reports whether all runs of a job that earlier schedulers have started are known: each
+// runner has listed its runs since the job arrived. If those schedulers had used a higher token
+// there, the runner would have refused; and they start nothing later, since the job was withdrawn
+// from them before.
 //
-// That a runner obeys a later term than theirs isn't enough: as a cut heals they
-// may have raised their own and taken the runner back, unknown to this one.
+// That a runner accepts a later term than theirs isn't sufficient: when a partition heals, they may
+// have raised their own term and taken the runner back without this scheduler's knowledge.
 func (s *Scheduler) allListed(j *job) bool {
 	for _, r := range s.runnerList {
 		if r.info.Service != j.work.Service || r.gone {
@@ -204,9 +201,9 @@
 	s.enqueue(t.job)
 }
 
-// requeueUnseen puts a task back whose run is out of sight. That run may have ended
-// well, and another process that takes the shard may see its end, keep the runner's
-// lease alive and acknowledge it. So the store has to know first that the task is
+// requeueUnseen returns a task to the queue after contact with its run was lost. The run may have
+// ended successfully, and another process that takes the shard may read its end, renew the
+// runner's lease and acknowledge the end. So the restart must be in the store before the task is
 // started again.
 func (s *Scheduler) requeueUnseen(t *taskState) {
 	t.unseen = true
@@ -218,8 +215,8 @@
 	s.requeue(t)
 }
 
-// unseenUnsaved reports whether a task waits for the store to know that it is started
-// again. While the store is away for all nobody takes the shard.
+// unseenUnsaved reports whether a task waits until its restart is in the store. While the store is
+// unavailable to all processes none can take the shard, so the task doesn't wait.
 func (s *Scheduler) unseenUnsaved(t *taskState) bool {
 	st := t.job.stored
 	if st == nil || !t.unseen || st.saved >= st.unseenSaved {
@@ -228,7 +225,7 @@
 	return s.rows.failingFor <= storeFailureThreshold || !s.uncontested()
 }
 
-// waitingIDs is for the dump.
+// waitingIDs lists the ids of the queued jobs for the dump.
 func (s *Scheduler) waitingIDs() []workload.JobID {
 	ids := make([]workload.JobID, len(s.queue))
 	for i, j := range s.queue {
--- a/core/schedule/overload_test.go
+++ b/core/schedule/overload_test.go
@@ -11,9 +11,9 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// overload plays jobs of one task that come faster than the runners can do them,
-// with run times that spread about their estimates as they do in service, and
-// returns the share of all jobs that ended within their objective.
+// overload submits jobs of one task faster than the runners can run them, with run times that
+// spread about their estimates as in production, and returns the share of all jobs that ended
+// within their objective.
 func overload(t *testing.T, seed uint64, load float64) float64 {
 	const runners, slots, estimate, step = 10, 2, 100 * ms, 5 * ms
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -65,9 +65,9 @@
 	return float64(inTime) / float64(asked)
 }
 
-// A burst at full load lasts for seconds: a quarter more work comes than the
-// runners can do. Some callers must wait too long; the others are to be answered in
-// time. If all jobs began at their latest start, half of these would come late too.
+// During a burst of some seconds a quarter more work arrives than the runners can do. Some callers
+// must wait too long; the others are to be answered in time. If all jobs started at their latest
+// start, half of the others would be late too.
 func TestOverloadLeavesMostInTime(t *testing.T) {
 	sum := 0.0
 	const runs = 5
--- a/core/schedule/ownership.go
+++ b/core/schedule/ownership.go
@@ -2,22 +2,21 @@
 
 import "time"
 
-// Ownership of runners: fencing tokens, and the orders that renew leases and
-// read what a runner lists.
+// Ownership of runners: fencing tokens, and the orders that renew leases and read the runners'
+// lists.
 
 const (
-	// maxProbeInterval bounds the pause between looks at a silent runner. It grows
-	// with the silence: the first follows at once, since a single order may be
-	// left unanswered while the next is answered in milliseconds.
+	// maxProbeInterval bounds the interval between probes of a silent runner, which grows with
+	// the silence. The first probe follows at once, since a single order may stay unanswered
+	// while the next is answered in milliseconds.
 	maxProbeInterval = 500 * time.Millisecond
-	// immediateProbeSilence is the silence up to which there is no pause.
+	// immediateProbeSilence is the silence up to which probes follow at once.
 	immediateProbeSilence = 400 * time.Millisecond
-	// orphanCheckInterval is how often a runner with runs of unknown jobs is looked
-	// at.
+	// orphanCheckInterval is how often a runner with foreign orphans is asked for its lists.
 	orphanCheckInterval = 30 * time.Millisecond
 )
 
-// acquire asks a runner to obey this scheduler's token from now on.
+// acquire takes a runner under this scheduler's present token.
 func (s *Scheduler) acquire(r *runner) {
 	r.release()
 	r.token = s.token()
@@ -27,7 +26,7 @@
 	s.hold(r)
 }
 
-// hold sends a renewal unless one is on its way.
+// hold sends a Hold unless one is in flight.
 func (s *Scheduler) hold(r *runner) {
 	if r.holdInFlight || r.gone || r.token == 0 {
 		return
@@ -45,9 +44,9 @@
 		Acknowledged: r.ackCursor(s.now),
 		Timeout:      s.callTimeout(),
 	}
-	// A renewal that stays unanswered may still be carried out. So while in
-	// doubt none is given: then the time at which the runs are surely over
-	// doesn't move, and they can be started elsewhere.
+	// A renewal that stays unanswered may still be carried out. So an unresponsive runner gets
+	// none: then the time at which its runs are certainly over stays fixed, and their tasks can
+	// be started elsewhere.
 	if len(r.runs) > 0 && r.owned && !r.unresponsive && !r.hasForeignOrphans() && s.now > r.noLeaseUntil {
 		h.LeaseEnd = r.leaseEnd(s.now, s.cfg.Lease)
 		r.noteLease(s.now, s.cfg.Lease)
@@ -59,8 +58,8 @@
 	s.emit(h)
 }
 
-// requestLists reads the lists of all runners of a service at once, and takes back
-// those that another scheduler had: it has just handed over a job.
+// requestLists requests the lists of all runners of a service at once, and reacquires those that
+// another scheduler had: that scheduler has just handed over a job.
 func (s *Scheduler) requestLists(service string) {
 	if !s.leading {
 		return
@@ -78,7 +77,7 @@
 	}
 }
 
-// requestList reads a runner's lists now, beside a renewal that may wait there.
+// requestList reads a runner's lists now, beside a renewal that may be waiting there.
 func (s *Scheduler) requestList(r *runner) {
 	if r.listInFlight || r.gone || !s.leading || r.token == 0 || s.partitioned(r) {
 		return
@@ -90,7 +89,7 @@
 func (s *Scheduler) scheduleHold(r *runner) {
 	switch {
 	case r.hasForeignOrphans():
-		// Nothing can be started before what runs there is over.
+		// Nothing can be started before the foreign orphans there are over.
 		r.nextHoldAt = s.now + orphanCheckInterval
 	case len(r.ends) > 0 && !s.rows.loaded && !s.rows.noStoredJobs:
 		r.nextHoldAt = s.now + unloadedInterval
@@ -110,8 +109,8 @@
 	r.markUnresponsive(s.now)
 }
 
-// runnerFenced handles a runner that obeys a higher token. What ran there is the other
-// scheduler's now; it is started again only when it must be over.
+// runnerFenced handles a runner that has accepted a higher token. The runs there belong to the
+// other scheduler now; their tasks are restarted only when the runs must be over.
 func (s *Scheduler) runnerFenced(r *runner) {
 	s.ctr.Fenced++
 	s.emit(Decision{Event: "runner-lost", Runner: r.info.ID, Token: r.token, Reason: "fenced"})
@@ -126,7 +125,7 @@
 	switch {
 	case s.yielding:
 	case !owned:
-		// It has obeyed the scheduler before, whose term wasn't known.
+		// It had accepted a token of an earlier scheduler whose term wasn't known here.
 		s.raiseTerm(r)
 		s.acquire(r)
 	case s.now-r.acquiredAt > contestedReacquireDelay:
@@ -136,15 +135,14 @@
 	}
 }
 
-// raiseTerm goes above the term of whoever has taken a runner. The runner doesn't
-// say which that is, so the step doubles with each refusal.
+// raiseTerm raises the term above that of the scheduler that has taken a runner. The runner doesn't
+// report that term, so the step doubles with each refusal.
 //
-// A term that was raised since, for another runner, is tried first. Each of
-// some fifty runners raised it by itself once, and a process that started
-// later, with a term from its own number, then needed many rounds for each
-// runner: at a restart of all, 150 ms in which nothing was served. For the same
-// reason the term goes above all versions of the store's rows that are known: no
-// process that registered before has begun with a higher one.
+// A term that was raised since for another runner is tried first. When each of some fifty runners
+// raised it separately, a process that started later, with a term from its own process number,
+// needed many rounds for each runner: 150 ms without service at a restart of all processes. For
+// the same reason the term goes above all known versions of rows in the store: no process that
+// registered earlier began with a higher one.
 func (s *Scheduler) raiseTerm(r *runner) {
 	if s.term > r.refusedToken>>numberBits {
 		return
@@ -153,8 +151,8 @@
 	r.refusals++
 }
 
-// TakeOverRunners takes the runners back from a scheduler that has yielded to this one,
-// and looks which others it had.
+// TakeOverRunners reacquires the runners from a scheduler that has yielded to this one, and requests
+// the lists of all others.
 func (s *Scheduler) TakeOverRunners(now Time) {
 	s.now = now
 	s.uncertainUntil = now + takeoverWindow
@@ -164,8 +162,8 @@
 	}
 }
 
-// ReacquireRunners takes back the runners that were left to another scheduler, since it
-// turns out that nobody else leads.
+// ReacquireRunners reacquires the runners that were left to another scheduler, since no other one
+// leads.
 func (s *Scheduler) ReacquireRunners(now Time) {
 	s.now = now
 	for _, r := range s.runnerList {
@@ -176,7 +174,7 @@
 	}
 }
 
-// replaced handles a lifetime of a runner that is over, with all that ran.
+// replaced handles a runner whose incarnation has ended, and with it all its runs.
 func (s *Scheduler) replaced(r *runner) {
 	s.emit(Decision{Event: "runner-lost", Runner: r.info.ID, Token: r.token, Reason: "replaced"})
 	r.gone = true
@@ -187,7 +185,7 @@
 	}
 }
 
-// tasks lists the tasks whose runs are on the runner.
+// tasks lists the tasks that have a run on the runner.
 func (r *runner) tasks() []*taskState {
 	var list []*taskState
 	for _, u := range r.sortedRuns() {
@@ -198,7 +196,7 @@
 	return list
 }
 
-// probe looks at a silent runner again, at once or after a pause.
+// probe sends a silent runner another Hold, at once or after an interval.
 func (s *Scheduler) probe(r *runner) {
 	r.nextHoldAt = s.now
 	if silence := s.now - r.clockAt; silence > immediateProbeSilence {
--- a/core/schedule/placement.go
+++ b/core/schedule/placement.go
@@ -8,33 +8,31 @@
 )
 
 const (
-	// missWeight weighs the chance that a task isn't done in time on a runner
-	// against how well it fits there: one in ten counts like a runner left
-	// empty.
+	// missWeight weighs the probability that a task isn't done in time on a runner against the
+	// fit: a probability of one tenth costs as much as a runner that would stay entirely free.
 	missWeight = 10.0
-	// slowRunnerGain is the gain of putting a task that has time on a slower runner,
-	// which leaves the faster ones to those that haven't. Runners slower than
-	// slowPace times the usual aren't sought, and cost slowWeight.
+	// slowRunnerGain is the gain of placing a task that has time on a slower runner, which
+	// leaves the faster ones to more urgent tasks. Runners slower than maxSoughtPace times the
+	// usual gain no more, and cost slowRunnerPenalty.
 	slowRunnerGain    = 0.3
 	maxSoughtPace     = 1.5
 	slowRunnerPenalty = 5.0
-	// remoteDomainPenalty keeps tasks in the failure domain of their caller while there is
-	// room, before all that a fit can gain. If a domain is cut off, what runs on
-	// the other side of the cut has to end before it can be started again, and
-	// callers don't wait for that.
+	// remoteDomainPenalty keeps tasks in the failure domain of their caller while there is room;
+	// it outweighs any gain by fit. If a domain is cut off, runs beyond the partition must end
+	// before their tasks can be restarted, which takes longer than callers wait.
 	remoteDomainPenalty = 1.0
-	// overdueFactor and overdueSlack say when a run is taken for stuck. Run
-	// times spread by a factor of 1.5 about their estimates and these are off
-	// by as much, so three times the estimate is rare for a sound run.
+	// overdueFactor and overdueSlack define when a run counts as stuck. Run times spread by a
+	// factor of 1.5 about their estimates, which are off by as much, so three times the estimate
+	// is rare for a normal run.
 	overdueFactor = 3
 	overdueSlack  = 200 * time.Millisecond
 )
 
-// placer chooses runners during one round of starts.
+// placer chooses runners during one call of dispatch.
 type placer struct {
 	s *Scheduler
-	// smallestUnplaced is the least need that found no room, by service. It spares the
-	// search for tasks that need as much or more.
+	// smallestUnplaced is the smallest need that found no room, by service. Tasks that need as
+	// much or more skip the search.
 	smallestUnplaced map[string]workload.Resources
 	median           map[string]float64
 }
@@ -43,8 +41,7 @@
 	return &placer{s: s, smallestUnplaced: make(map[string]workload.Resources), median: make(map[string]float64)}
 }
 
-// full reports whether tasks that need no more than those of a step have found no
-// room.
+// full reports whether tasks that need no more than those of a step have found no room.
 func (p *placer) full(step *workload.Step, service string) bool {
 	big, ok := p.smallestUnplaced[service]
 	return ok && big.Fits(step.Need)
@@ -52,9 +49,9 @@
 
 // place chooses a runner for a task; nil if there is no room.
 //
-// Best fit: a task of two fifths of a runner leaves room for another one only
-// if both are put on the same runner; spread out, each would leave a hole that
-// is too small for a third. Among runners that fit alike the faster one wins.
+// It uses best fit: a task of two fifths of a runner leaves room for another one only if both are
+// placed on the same runner; on two runners each would leave a gap that is too small for a third.
+// Among runners that fit equally well the faster one is chosen.
 func (p *placer) place(t *taskState) *runner {
 	step := t.step()
 	plain := step.Requires == "" && step.MaxPerRunner == 0 && len(t.failedOn) == 0
@@ -97,7 +94,7 @@
 }
 
 const (
-	// Costs that put a runner behind all sound ones.
+	// Penalties that rank a runner behind all healthy ones.
 	suspectPenalty  = 10.0
 	failedOnPenalty = 100.0
 )
@@ -124,7 +121,7 @@
 	return c
 }
 
-// usualPace is the median pace of a service's runners.
+// usualPace returns the median pace of a service's runners.
 func (p *placer) usualPace(service string) float64 {
 	if m, ok := p.median[service]; ok {
 		return m
@@ -148,7 +145,7 @@
 	return max(paces[len(paces)/2], minPace)
 }
 
-// remoteFactor is how many times as long the task takes there for want of its data.
+// remoteFactor returns the factor by which the task takes longer there for lack of its data.
 func (s *Scheduler) remoteFactor(t *taskState, r *runner) float64 {
 	if rack := t.step().PreferredRack; rack != "" && rack != r.info.Rack {
 		return s.cfg.RemoteFactor
@@ -191,8 +188,8 @@
 func (s *Scheduler) sendStart(u *run) {
 	r := u.runner
 	if u.startAttempts == 0 {
-		// A second order names the same end, so that the moment at which the
-		// run is surely over doesn't move.
+		// A second order has the same lease end, so that the time at which the run is certainly
+		// over stays fixed.
 		u.leaseEnd = r.leaseEnd(s.now, s.cfg.Lease)
 		r.noteLease(s.now, s.cfg.Lease)
 	}
--- a/core/schedule/progress.go
+++ b/core/schedule/progress.go
@@ -6,17 +6,16 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Progress is what a scheduler that retires tells the next one. Runners list an
-// end only until it is acknowledged, so what had ended before would be run again.
+// Progress is what a retiring scheduler reports to the next leader. Runners list an end only until
+// it is acknowledged, so without it tasks whose ends were acknowledged would run again.
 type Progress struct {
-	// Epoch is the ownership of the shard's rows, 0 if the scheduler had none;
-	// and PriorRunsTTL how much longer runs may be alive that owners before it have
-	// started and that it didn't see.
+	// Epoch is the scheduler's ownership of the shard's rows, 0 if it had none. PriorRunsTTL is
+	// how much longer runs may be alive that earlier owners have started and that it didn't see.
 	Epoch        uint64
 	PriorRunsTTL time.Duration
-	// Done are the tasks that have ended well of jobs that haven't ended.
+	// Done are the tasks of jobs in hand that have ended successfully.
 	Done []workload.TaskName
-	// Ended are jobs that have ended of late.
+	// Ended are recently ended jobs.
 	Ended []EndedJob
 }
 
@@ -27,19 +26,18 @@
 }
 
 const (
-	// progressTimeout bounds how long a new leader holds back jobs that another one
-	// had for that one's word on them. The word mostly takes a millisecond or
-	// two, but a busy process may need some hundred, and what the new leader
-	// then starts may have ended already. A process that is about to stop lives
-	// for two and a half seconds more; one that is lost is noticed, and nobody
-	// waits for it. Callers of the shortest jobs wait for a second and a half.
+	// progressTimeout bounds how long a new leader holds back the jobs of its predecessor until
+	// the predecessor's Progress arrives; a task started before may already have ended. It
+	// usually takes a millisecond or two, but a busy process may need some hundred milliseconds.
+	// A process that is about to stop lives for two and a half seconds more; the wait ends when
+	// the process is lost. Callers of the shortest jobs wait for a second and a half.
 	progressTimeout = time.Second
-	// maxEndedJobAge is how long ago a job may have ended of which the next
-	// scheduler is told: callers wait up to 2.7 s.
+	// maxEndedJobAge is how long ago a job may have ended to be included: callers wait up to
+	// 2.7 s.
 	maxEndedJobAge = 4 * time.Second
 )
 
-// Progress returns what the next scheduler should know.
+// Progress returns what the next leader should know.
 func (s *Scheduler) Progress(now Time) Progress {
 	p := Progress{Epoch: s.rows.epoch, PriorRunsTTL: max(0, s.rows.priorRunsOverAt-now)}
 	for _, j := range s.sortedJobs() {
@@ -60,7 +58,7 @@
 	return p
 }
 
-// AwaitProgress holds back jobs that another scheduler had until its Progress comes, or the
+// AwaitProgress holds back jobs that another scheduler had until its Progress arrives or its
 // process is lost.
 func (s *Scheduler) AwaitProgress(now Time, from EntryID) {
 	s.progressFrom = from
@@ -69,7 +67,7 @@
 
 func (s *Scheduler) stopAwaiting() { s.progressFrom, s.progressWaitUntil = "", 0 }
 
-// ApplyProgress takes the Progress of the scheduler before.
+// ApplyProgress applies the Progress of the previous leader.
 func (s *Scheduler) ApplyProgress(now Time, p Progress) {
 	s.now = now
 	s.stopAwaiting()
@@ -89,8 +87,8 @@
 	s.dispatch()
 }
 
-// predecessorRetired notes that the owner before has retired: it starts nothing more, and
-// has told where it may have started something.
+// predecessorRetired records that the previous owner has retired: it starts no more tasks, and its
+// Progress bounds how long runs of earlier owners may live.
 func (s *Scheduler) predecessorRetired(p Progress) {
 	s.rows.predecessor = &p
 	if !s.rows.loaded || p.Epoch == 0 || p.Epoch+1 != s.rows.epoch {
--- a/core/schedule/reach.go
+++ b/core/schedule/reach.go
@@ -2,37 +2,36 @@
 
 import "time"
 
-// Runners out of reach, while other entry VMs are too.
+// Unreachable runners while other entry VMs are unreachable too.
 //
-// As a cut heals, runners answer before the processes of the other side are
-// heard. A scheduler that took them at once, by its higher token, would lose them
-// again a moment later: each side in turn would adopt what runs there, each time
-// without a lease for some tenths of a second. So a runner that
-// was silent for long is only asked whether it is there, by an order that it
-// refuses, until there was time to hear of another scheduler. If there is one that
-// comes first, this one retires and never takes the runner; else it takes it then.
+// When a partition heals, runners answer before the processes of the other side are reachable. A
+// scheduler that acquired them at once, by its higher token, would lose them again shortly after:
+// each side in turn would adopt the runs there, each time without a lease for some tenths of a
+// second. So a runner that was silent for long only gets orders that it refuses, which show
+// whether it is reachable, until there was time to connect to another scheduler. If one that takes
+// precedence is reachable by then, this scheduler retires and never acquires the runner; otherwise
+// it acquires the runner then.
 //
-//	all other VMs are heard | silent  | answers  | orders
+//	all other VMs reachable | silent  | answers  | orders
 //	------------------------|---------|----------|--------------------------------
-//	yes                     | any     | any      | as usual: nobody else schedules
+//	yes                     | any     | any      | as usual: no other scheduler leads
 //	no                      | < 450ms | any      | as usual
-//	no                      | longer  | not yet  | only whether it is there
-//	no                      | longer  | again    | none for hearWait, then as usual
+//	no                      | longer  | not yet  | reachability checks only
+//	no                      | longer  | again    | none for discoveryWait, then as usual
 
 const (
-	// maxSilence is the silence after which a runner may be behind a cut; that of
-	// a process after which it counts as lost.
+	// maxSilence is the silence after which a runner may be beyond a partition. A process counts
+	// as lost after the same time.
 	maxSilence = 450 * time.Millisecond
-	// discoveryWait is how long after it answers again a runner is left alone, unless
-	// all other VMs are heard before: processes dial each other every 250 ms, and
-	// a leader tells at once that it leads.
+	// discoveryWait is how long a runner gets no orders after it answers again, unless all other
+	// VMs are reachable before: processes dial each other every 250 ms, and a leader announces
+	// itself at once.
 	discoveryWait = 600 * time.Millisecond
-	// presenceToken is one that runners refuse: they have all seen a higher one.
+	// presenceToken is refused by all runners, since each has seen a higher one.
 	presenceToken = 0
 )
 
-// partitioned brings up to date, and reports, whether a runner may be led by a process
-// that isn't heard.
+// partitioned updates and reports whether a runner may be led by an unreachable process.
 func (s *Scheduler) partitioned(r *runner) bool {
 	if !s.anyUnreachable {
 		r.partitioned, r.reachableAt = false, 0
@@ -48,7 +47,7 @@
 	return r.partitioned
 }
 
-// checkReachability asks a runner whether it is there.
+// checkReachability sends a runner an order that only shows whether it is reachable.
 func (s *Scheduler) checkReachability(r *runner) {
 	if r.reachableAt > 0 {
 		return
@@ -58,7 +57,7 @@
 	s.emit(Hold{Runner: r.info.ID, Address: r.info.Address, Token: presenceToken, ReachabilityOnly: true, Timeout: s.callTimeout()})
 }
 
-// handleReachability takes what came of it.
+// handleReachability handles the result of checkReachability.
 func (s *Scheduler) handleReachability(r *runner, res HoldResult) {
 	r.holdInFlight = false
 	switch res.Outcome {
--- a/core/schedule/reach_test.go
+++ b/core/schedule/reach_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// partitionedHarness returns a bench whose second runner has been silent for long, with the
-// entry VMs of its failure domain.
+// partitionedHarness returns a harness whose second runner has been silent for long, as have the entry VMs of
+// its failure domain.
 func partitionedHarness(t *testing.T) *harness {
 	b := leading(t, testRunner("near"), testRunner("far"))
 	b.s.SetUnreachable(true)
@@ -16,7 +16,7 @@
 	return b
 }
 
-// silentFor lets time pass in which a runner leaves all orders unanswered.
+// silentFor lets time pass in which a runner answers no order.
 func (b *harness) silentFor(far string, d time.Duration) {
 	for end := b.now + d; b.now < end; {
 		b.tick(20 * ms)
@@ -30,8 +30,7 @@
 	}
 }
 
-// untilReachable lets time pass until the runner answers whether it is there, and another
-// moment.
+// untilReachable lets time pass until the runner answers the reachability check.
 func (b *harness) untilReachable(far string) {
 	for range 100 {
 		b.tick(20 * ms)
@@ -46,12 +45,12 @@
 			return
 		}
 	}
-	b.t.Fatal("it was never asked")
+	b.t.Fatal("no reachability check was sent")
 }
 
-// A cut heals, and a runner of the other side answers before the processes there
-// are heard, one of which leads it. It isn't taken from that one: jobs there would
-// be held up for nothing. If none is heard in time it is taken.
+// A partition heals, and a runner of the other side answers before the processes there are
+// reachable, one of which leads it. It isn't taken from that one, since that would only delay jobs
+// there. If no process becomes reachable in time the runner is acquired.
 func TestPartitionedRunnerIsAcquiredAfterDiscoveryWait(t *testing.T) {
 	b := partitionedHarness(t)
 	b.untilReachable("far")
@@ -66,7 +65,7 @@
 	b.g.Expect(b.s.runners["far"].usable(b.now)).To(BeTrue())
 }
 
-// Once all other VMs are heard nobody else can lead, and it is taken at once.
+// Once all other VMs are reachable no other process can lead, and the runner is acquired at once.
 func TestPartitionedRunnerIsAcquiredWhenAllAreReachable(t *testing.T) {
 	b := partitionedHarness(t)
 	b.s.SetUnreachable(false)
--- a/core/schedule/records.go
+++ b/core/schedule/records.go
@@ -5,7 +5,7 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// What the store has of stored jobs, and what is kept of those that have ended.
+// Records of stored jobs in the store, and retained outcomes of those that have ended.
 
 // retained is the outcome of a stored job.
 type retained struct {
@@ -29,10 +29,10 @@
 	return JobState{Known: k.state != ledger.CancelledEarly, Ended: true, Outcome: outcomeOf(k.state)}
 }
 
-// save has the store keep how far a job is.
+// save writes the state of a job to the store.
 func (s *Scheduler) save(j *job) { j.stored.saving = s.saveRecord(j.record()) }
 
-// saveRecord has the store keep a record, and returns its sequence.
+// saveRecord writes a record to the store, and returns its sequence.
 func (s *Scheduler) saveRecord(r ledger.Record) uint64 {
 	s.rows.sequence++
 	s.emit(Save{At: s.now, Sequence: s.rows.sequence, Record: r})
@@ -60,7 +60,7 @@
 	return r
 }
 
-// Saved notes what is in the store.
+// Saved handles records that are now in the store.
 func (s *Scheduler) Saved(now Time, list []ledger.SavedRecord) {
 	s.now = now
 	for _, rec := range list {
@@ -92,8 +92,8 @@
 	s.publishOutcome(j)
 }
 
-// publishOutcome shows what has come of a job that has ended, when the store has it and an owner
-// before, that may not know yet that it isn't the owner any more, starts nothing of it.
+// publishOutcome reports the outcome of an ended job once it is in the store, and a previous owner
+// that may not know yet that it lost the shard can't start tasks of it any more.
 func (s *Scheduler) publishOutcome(j *job) {
 	if !j.ended || j.stored.saved < j.stored.saving || j.priorSchedulers > 0 && s.now < s.priorOwnerInactiveAt() {
 		return
@@ -113,7 +113,7 @@
 	s.rows.retained[id] = retained{state: state, restarted: restarted, at: s.now}
 }
 
-// expireRetained drops outcomes that nobody may ask for any more.
+// expireRetained drops outcomes that callers may not query any more.
 func (s *Scheduler) expireRetained() {
 	for len(s.rows.retainedOrder) > 0 {
 		id := s.rows.retainedOrder[0]
--- a/core/schedule/restore.go
+++ b/core/schedule/restore.go
@@ -5,9 +5,9 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Taking up the stored jobs of a scheduler before.
+// Restoring the stored jobs of a previous owner.
 
-// Loaded takes all records of the shard, which this process has just taken.
+// Loaded handles the records of the shard, which this process has just taken over.
 func (s *Scheduler) Loaded(now Time, l ledger.Loaded) {
 	s.now = now
 	s.rows.loaded = true
@@ -41,7 +41,7 @@
 	s.dispatch()
 }
 
-// restore takes up a job that another scheduler had.
+// restore adds a job that another scheduler had.
 func (s *Scheduler) restore(r ledger.Record) {
 	if r.Work == nil || s.jobs[r.Job] != nil {
 		return
@@ -53,7 +53,7 @@
 	s.resume(j)
 }
 
-// restored is a job as its record says.
+// restored builds a job from its record.
 func (s *Scheduler) restored(r ledger.Record) *job {
 	j := newJob(r.Work, s.now)
 	j.stored = &stored{epoch: r.Epoch, accepted: true, failures: r.Failures, unseen: r.Unseen, unseenByPredecessor: r.Unseen}
@@ -81,9 +81,9 @@
 	return j
 }
 
-// priorRunsOverAt is when nothing can be alive any more that schedulers before have
-// started and that this one can't see. It sees all on the runners that it knows;
-// there may be others, in a failure domain that is cut off from the store.
+// priorRunsOverAt returns when all runs that earlier owners have started and this one can't see are
+// over. It sees all runs on the runners that it knows; there may be others in a failure domain
+// that is cut off from the store.
 func (s *Scheduler) priorRunsOverAt(claimedAt Time) Time {
 	if p := s.rows.predecessor; p != nil && p.Epoch > 0 && p.Epoch+1 == s.rows.epoch {
 		return s.now + p.PriorRunsTTL
@@ -91,8 +91,8 @@
 	return claimedAt + maxPriorRunLife
 }
 
-// resume goes on with a job that is in the store, or ends it if a scheduler before had
-// no time to write its last record.
+// resume continues a job that is in the store, or ends it if the previous owner had no time to
+// write its last record.
 func (s *Scheduler) resume(j *job) {
 	if j.complete() {
 		s.finish(j, workload.Completed, "all tasks had ended")
--- a/core/schedule/restore_test.go
+++ b/core/schedule/restore_test.go
@@ -12,8 +12,8 @@
 
 // Stored jobs under a scheduler that takes them over, or is about to lose them.
 
-// runsOnOneOfTwo returns a bench with a stored job of one task, and the start of that on
-// one of two runners.
+// runsOnOneOfTwo returns a harness with a stored job of one task, and the start of that task on one
+// of two runners.
 func runsOnOneOfTwo(t *testing.T) (*harness, Start) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	j := storedJob(1, 2*time.Second)
@@ -23,9 +23,8 @@
 	return b, first
 }
 
-// A scheduler is killed. The next one reads its jobs, finds one task done and one
-// running, and starts only the third, when nothing can run any more on runners
-// that it doesn't know of.
+// A scheduler is killed. The next one loads its jobs, finds one task done and one running, and
+// starts only the third, once no run can be alive any more on runners that it doesn't know.
 func TestRestoredJob(t *testing.T) {
 	b := newHarness(t, testRunner("r1"), testRunner("r2"))
 	j := storedJob(3, 500*ms)
@@ -45,11 +44,11 @@
 	}
 	b.wait(80 * ms)
 	start := one[Start](b)
-	b.g.Expect(start.Run).To(Equal(runOf(j, 2, 101)), "above all that the owner before may have used")
+	b.g.Expect(start.Run).To(Equal(runOf(j, 2, 101)), "above all numbers that the previous owner may have used")
 	b.g.Expect(b.s.State(j.ID, b.now).Known).To(BeTrue())
 }
 
-// A scheduler retires in a planned stop and says so. Its jobs go on at once.
+// A scheduler retires in a planned stop and reports its progress. Its jobs continue at once.
 func TestRestoredJobOfARetiredScheduler(t *testing.T) {
 	b := newHarness(t, testRunner("r1"))
 	j := storedJob(1, 500*ms)
@@ -63,8 +62,8 @@
 	b.g.Expect(take[Start](b)).To(HaveLen(1))
 }
 
-// The same, but the owner after it isn't the one that has retired: a third one
-// had the shard between the two, and may live on.
+// The same, but the owner before this one isn't the one that has retired: a third process owned the
+// shard between the two, and may be alive.
 func TestRestoredJobWithAnOwnerBetween(t *testing.T) {
 	b := newHarness(t, testRunner("r1"))
 	j := storedJob(1, 500*ms)
@@ -76,9 +75,9 @@
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 }
 
-// The store can't be reached and a process isn't heard any more: it may have taken
-// the jobs. What runs is stopped before that one starts it again, nothing new is
-// started, and no caller is told that its job is unknown or refused.
+// The store is unavailable and a process is unreachable: it may have taken the jobs. Runs are
+// stopped before that process restarts their tasks, nothing new is started, and no caller is told
+// that its job is unknown or refused.
 func TestOwnershipUncertain(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j := storedJob(1, 2*time.Second)
@@ -95,13 +94,13 @@
 	b.g.Expect(done).To(BeTrue())
 	b.g.Expect(take[Save](b)).To(BeEmpty())
 	b.s.SetAllReachable(true, b.now)
-	b.g.Expect(b.s.ownsRows()).To(BeFalse(), "those that are heard again may have taken the jobs meanwhile")
+	b.g.Expect(b.s.ownsRows()).To(BeFalse(), "a process that is reachable again may have taken the jobs meanwhile")
 	b.s.RowOwnershipVerified(b.now, b.now)
 	b.g.Expect(b.s.ownsRows()).To(BeTrue())
 }
 
-// Another process has taken the jobs. Their ends are its to acknowledge, and
-// callers whose jobs weren't saved yet are told nothing definite.
+// Another process has taken the jobs. Only that process may acknowledge their ends, and callers
+// whose jobs weren't saved yet get no definite answer.
 func TestJobsTakenByAnotherProcess(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j, waits := storedJob(1, 2*time.Second), storedJob(1, 100*ms)
@@ -122,21 +121,21 @@
 	b.g.Expect(one[Save](b).Record.State).To(Equal(ledger.Completed), "the runner still lists the end")
 }
 
-// A runner was behind a cut while a task that it had done was started elsewhere.
-// If its end were acknowledged as it is, the task would have been run again after
-// an end that counts. The runner's lease is let lapse first: then it doesn't.
+// A runner was cut off while a task that it had done was started elsewhere. If its end were
+// acknowledged immediately, the task would have run again after an end that counts. So the runner's
+// lease must expire first: then the end doesn't count.
 func TestEndOfATaskThatWasStartedAgain(t *testing.T) {
 	b, first := runsOnOneOfTwo(t)
 	b.s.runnerFenced(b.s.runners[first.Runner])
 	b.s.runners[first.Runner].info.Draining = true
 	b.wait(b.s.cfg.Resend + 100*ms)
-	b.g.Expect(take[Start](b)).To(BeEmpty(), "the store doesn't know yet")
+	b.g.Expect(take[Start](b)).To(BeEmpty(), "the restart isn't in the store yet")
 	b.saved(one[Save](b))
 	second := one[Start](b)
 	b.g.Expect(second.Runner).NotTo(Equal(first.Runner))
 	b.started(second, Accepted)
 	r := b.s.runners[first.Runner]
-	r.noteLease(b.now, b.s.cfg.Lease) // for something else that runs there
+	r.noteLease(b.now, b.s.cfg.Lease) // as for another run there
 	b.end(first.Runner, 1, first.Run, workload.Done)
 	lapse := r.aliveUntil
 	b.g.Expect(r.noLeaseUntil).To(Equal(lapse))
@@ -147,8 +146,8 @@
 	b.g.Expect(r.acknowledged).To(BeEquivalentTo(1))
 }
 
-// Guards against an owner that starts a task again unknown to the next one, which then
-// acknowledges the good end of the first run.
+// Guards against an owner that restarts a task without the knowledge of the next owner, which then
+// acknowledges the successful end of the first run.
 func TestUnseenTaskRestartsOnceThatIsStored(t *testing.T) {
 	b, first := runsOnOneOfTwo(t)
 	b.s.SetContested(true)
@@ -165,8 +164,8 @@
 	b.g.Expect(one[Start](b).Runner).NotTo(Equal(first.Runner))
 }
 
-// Guards against jobs that stand still for as long as the store is away for all, in
-// which time nobody can take the shard.
+// Guards against jobs that stay stalled while the store is unavailable to all processes, in which
+// time no process can take the shard.
 func TestUnseenTaskRestartsWithoutTheStore(t *testing.T) {
 	b, first := runsOnOneOfTwo(t)
 	b.s.runners[first.Runner].markUnresponsive(b.now)
@@ -177,9 +176,8 @@
 	b.g.Expect(one[Start](b).Runner).NotTo(Equal(first.Runner))
 }
 
-// Guards against a new owner that acknowledges the good end of a run whose task the
-// owner before has started again: the runner lists it, with a lease that the new owner
-// has renewed.
+// Guards against a new owner that acknowledges the successful end of a run whose task the previous
+// owner has restarted: the runner lists that end under a lease that the new owner has renewed.
 func TestEndOfATaskRestartedByThePreviousOwner(t *testing.T) {
 	for _, unseen := range []bool{false, true} {
 		b := newHarness(t, testRunner("r1"))
@@ -199,8 +197,8 @@
 	}
 }
 
-// Guards against a task that the owner before starts after the new one has shown its job
-// as completed: it may believe for a moment more that it owns the shard.
+// Guards against a task that the previous owner starts after the new one has published its job as
+// completed: the previous owner may not know yet that it lost the shard.
 func TestCompletionIsPublishedWhenThePreviousOwnerIsInactive(t *testing.T) {
 	for _, retired := range []bool{false, true} {
 		b := newHarness(t, testRunner("r1"))
@@ -228,8 +226,8 @@
 	}
 }
 
-// A task fails under two schedulers. The attempts of both count, each once, also
-// if the second finds the first one's end still listed.
+// A task fails under two schedulers. The attempts of both count, each once, even if the second
+// finds the first one's end still listed.
 func TestFailuresUnderTwoSchedulers(t *testing.T) {
 	b := newHarness(t, testRunner("r1"))
 	j := storedJob(1, 100*ms)
@@ -251,9 +249,9 @@
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 }
 
-// A scheduler that can't prove its ownership any more must have ended its runs of
-// stored jobs before the next owner starts them again: its doubt, a tick, an order
-// to stop that isn't answered, and a lease on a slow clock.
+// A scheduler that can't prove its ownership any more must have ended its runs of stored jobs before
+// the next owner restarts them: within maxProofAge, a tick, an order to stop that isn't answered,
+// and a lease on a slow clock.
 func TestRowOwnershipEndsBeforeTheNextOwnerStarts(t *testing.T) {
 	const tick = 20 * ms
 	g := NewWithT(t)
--- a/core/schedule/results.go
+++ b/core/schedule/results.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// maxEndsPerList is how many ends a runner lists at most. There may be more
-	// behind a list of that length.
+	// maxEndsPerList is the most ends that a runner lists at once. A list of that length may be
+	// incomplete.
 	maxEndsPerList = 500
-	// stopSlack is added to the longest time that a stop takes.
+	// stopSlack is added to StopTimeout.
 	stopSlack = 20 * time.Millisecond
-	// maxLease is the longest lease that a runner grants to anybody; runs
-	// found under another scheduler's lease live no longer than that.
+	// maxLease is the longest lease that a runner grants to any scheduler, and so bounds the
+	// life of runs found under another scheduler's lease.
 	maxLease = 1000 * time.Millisecond
 )
 
-// Held takes what came of a Hold.
+// Held handles the result of a Hold.
 func (s *Scheduler) Held(now Time, res HoldResult) {
 	s.now = now
 	r := s.runners[res.Runner]
@@ -65,7 +65,7 @@
 	}
 }
 
-// applyLists reads a runner's lists of what ended and what runs.
+// applyLists processes a runner's lists of ended and running runs.
 func (s *Scheduler) applyLists(r *runner, res HoldResult) {
 	first := !r.owned
 	r.owned = true
@@ -96,8 +96,8 @@
 	}
 }
 
-// dropStopped gives up runs that the runner had promised to stop before it was
-// asked for the list, and that aren't on it: they had never come there.
+// dropStopped drops runs whose stop the runner confirmed before it was asked for the list, and
+// that aren't on it: their starts had never arrived.
 func (s *Scheduler) dropStopped(r *runner, listed map[workload.RunKey]bool, sentAt Time) {
 	for _, u := range r.sortedRuns() {
 		if !u.stopped || u.stoppedAt > sentAt || listed[u.key] {
@@ -110,7 +110,7 @@
 	}
 }
 
-// noteListedRun notes a run that a runner lists.
+// noteListedRun records a run that a runner lists.
 func (s *Scheduler) noteListedRun(r *runner, k workload.RunKey) {
 	if u := r.runs[k]; u != nil {
 		u.confirmed = true
@@ -124,8 +124,8 @@
 	}
 }
 
-// noteCheckpoint takes the newest checkpoint of a run. A task that is started
-// again goes on from there.
+// noteCheckpoint records the newest checkpoint of a run. A task that is started again resumes from
+// it.
 func (u *run) noteCheckpoint(checkpoint string) {
 	if checkpoint == "" {
 		return
@@ -136,7 +136,7 @@
 	}
 }
 
-// applyEnd acts on an end that a runner lists, and returns the job if it is known.
+// applyEnd processes an end that a runner lists, and returns the job if it is known.
 func (s *Scheduler) applyEnd(r *runner, e workload.End) *job {
 	u := r.runs[e.Run]
 	if u != nil {
@@ -158,7 +158,7 @@
 	case u != nil && t.run == u:
 		s.runEnded(t, u, e)
 	case e.Kind == workload.Failed && t.job.stored != nil:
-		// A scheduler before this one has started it.
+		// An earlier scheduler had started the run.
 		s.runFailed(t, r, e.Run)
 	}
 	return t.job
@@ -171,7 +171,7 @@
 	}
 }
 
-// runEnded handles the end of a task's run that hasn't done it.
+// runEnded handles an unsuccessful end of a task's run.
 func (s *Scheduler) runEnded(t *taskState, u *run, e workload.End) {
 	switch e.Kind {
 	case workload.Failed:
@@ -186,8 +186,7 @@
 	s.requeue(t)
 }
 
-// taskOf finds the task of a run, which may be one that this scheduler hasn't
-// started.
+// taskOf finds the task of a run, which may have been started by another scheduler.
 func (s *Scheduler) taskOf(u *run, k workload.RunKey) *taskState {
 	if u != nil && u.task != nil {
 		return u.task
@@ -225,8 +224,8 @@
 	}
 }
 
-// runFailed counts a failure against the task and the runner. A task that has
-// failed on two runners is taken to be at fault itself.
+// runFailed counts a failure against the task and the runner. After failures on two runners the
+// task itself counts as the cause.
 func (s *Scheduler) runFailed(t *taskState, r *runner, k workload.RunKey) {
 	if t.job.stored != nil && (t.job.ended || !t.job.storedFailure(k)) {
 		return
@@ -252,7 +251,7 @@
 	}
 }
 
-// Started takes what came of a Start.
+// Started handles the result of a Start.
 func (s *Scheduler) Started(now Time, res StartResult) {
 	s.now = now
 	r := s.runners[res.Runner]
@@ -288,8 +287,8 @@
 	s.dispatch()
 }
 
-// startUnanswered sends a start again, and if that isn't answered either has the
-// run stopped, so that the task can be started on another runner.
+// startUnanswered sends a start again. If that stays unanswered too it stops the run, so that the
+// task can be started on another runner.
 func (s *Scheduler) startUnanswered(r *runner, u *run) {
 	if u.confirmed {
 		return
@@ -304,9 +303,9 @@
 	s.stopRun(u)
 }
 
-// secondStartRejected handles a start that was refused after an earlier order for
-// the same run had stayed unanswered. That one may have been carried out, and the
-// run have ended; or it may come late.
+// secondStartRejected handles a start that was refused after an earlier order for the same run had
+// stayed unanswered. The earlier order may have been carried out, and the run may have ended; or
+// the order may still arrive.
 func (s *Scheduler) secondStartRejected(r *runner, u *run, o CallOutcome) {
 	s.emit(Decision{Event: "start-rejected", Job: u.key.Task.Job, Run: u.key, Runner: r.info.ID, Reason: "second order: " + o.String(), Age: s.now - u.started})
 	if o != Outdated {
@@ -317,8 +316,8 @@
 	s.noteStopped(u, s.now)
 }
 
-// noteStopped notes that a run can't begin any more and has ended, or will in a
-// moment. The runner's list tells how.
+// noteStopped records that a run can't start any more and has ended or is about to. The runner's
+// list shows how.
 func (s *Scheduler) noteStopped(u *run, at Time) {
 	u.stopped = true
 	u.stoppedAt = at
@@ -326,7 +325,7 @@
 	s.requestList(u.runner)
 }
 
-// startRejected handles a start that surely hasn't happened.
+// startRejected handles a start that has certainly not been carried out.
 func (s *Scheduler) startRejected(r *runner, u *run, o CallOutcome) {
 	if u.startAttempts > 1 && u.ofStoredJob() {
 		s.secondStartRejected(r, u, o)
@@ -339,7 +338,7 @@
 	case Unhealthy:
 		r.health.failed(s.now, strikesToClose)
 	case NoRoom:
-		// Something runs there that isn't known here. A look tells what.
+		// Runs unknown to this scheduler are there. The list shows which.
 		r.markUnresponsive(s.now)
 		r.nextHoldAt = s.now
 	case Outdated:
@@ -366,7 +365,7 @@
 	s.emit(Stop{Runner: u.runner.info.ID, Address: u.runner.info.Address, Token: u.runner.token, Run: u.key, Timeout: s.callTimeout()})
 }
 
-// Stopped takes what came of a Stop.
+// Stopped handles the result of a Stop.
 func (s *Scheduler) Stopped(now Time, res StopResult) {
 	s.now = now
 	r := s.runners[res.Runner]
--- a/core/schedule/runner.go
+++ b/core/schedule/runner.go
@@ -7,68 +7,69 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// runner is what the scheduler knows of one lifetime of a runner.
+// runner is the state of one incarnation of a runner as the scheduler knows it.
 type runner struct {
 	info workload.Runner
-	// unlisted runners have left the platform's list.
+	// unlisted runners are no longer in the platform's list.
 	unlisted bool
-	// retainUntil keeps an unlisted runner that another scheduler may have
-	// used.
+	// retainUntil is until when an unlisted runner is kept since another scheduler may have
+	// used it.
 	retainUntil Time
 	// assumedPresentUntil is until when an unlisted runner that answers is used.
 	assumedPresentUntil Time
 	gone                bool
-	// born is when its lifetime began, in milliseconds since 1970; 0 if that isn't known.
+	// born is when its incarnation began, in milliseconds since 1970; 0 if unknown.
 	born int64
 	// evacuated: its failure domain gets no new tasks.
 	evacuated bool
-	// token is the fencing token under which the runner was asked for, and
-	// owned whether it has answered to it.
+	// token is the fencing token under which the runner was acquired; owned is set once it
+	// has answered to that token.
 	token uint64
 	owned bool
-	// refusedToken is the last token that the runner has refusedToken, and refusals how
-	// often it has since it was last owned.
+	// refusedToken is the last token that the runner has refused, and refusals how often it
+	// has refused one since it was last owned.
 	refusedToken uint64
 	refusals     int
-	// reacquireAt is when a runner that was lost to another scheduler is
-	// asked for again.
+	// reacquireAt is when a runner that was lost to another scheduler is to be acquired
+	// again.
 	reacquireAt Time
 	acquiredAt  Time
 
-	// clock is the runner's clock in milliseconds as read at clockAt; 0 if it
-	// isn't known yet.
+	// clock is the runner's clock in milliseconds as read at clockAt; 0 if it isn't known
+	// yet.
 	clock   int64
 	clockAt Time
-	// aliveUntil is the latest time at which something may still run there if
-	// the runner hears nothing more from us.
+	// aliveUntil is the latest time at which a run may still be alive there if the runner
+	// receives no further order from this scheduler.
 	aliveUntil Time
-	// unresponsiveSince is when an order stayed unanswered; an answer to a later
-	// order clears it. Nothing is started on a runner in doubt.
+	// unresponsiveSince is when an order stayed unanswered. An answer to a later order clears
+	// unresponsive. Nothing is started on an unresponsive runner.
 	unresponsiveSince Time
 	unresponsive      bool
-	// holdInFlight is set while a Hold is on its way.
+	// holdInFlight is set while a Hold is unanswered.
 	holdInFlight bool
 	holdSentAt   Time
-	// listInFlight is set while a Hold that doesn't wait is on its way beside it.
+	// listInFlight is set while a Hold with ListOnly is unanswered.
 	listInFlight bool
-	// listAsOf is when the Hold was sent whose answer was the last list.
+	// listAsOf is when the Hold was sent whose answer was the last complete list.
 	listAsOf   Time
 	nextHoldAt Time
-	// partitioned runners are out of reach, and perhaps led by another process;
-	// presentAt is when one has answered again, and askedFrom when it was asked
-	// for or left alone last. See Scheduler.partitioned.
+	// partitioned runners are unreachable, and perhaps led by another process. reachableAt is
+	// when such a runner has answered again. lastAskedAt is when the runner was last acquired
+	// or ceased to be treated as partitioned. See Scheduler.partitioned.
 	partitioned              bool
 	reachableAt, lastAskedAt Time
 
-	// acknowledged is the sequence up to which the runner may forget ends, and
-	// ends are those noted since.
+	// acknowledged is the sequence up to which the runner may forget ends; ends are those
+	// recorded since.
 	acknowledged uint64
 	ends         []listedEnd
-	// noLeaseUntil is when the lease has surely lapsed that isn't renewed.
+	// noLeaseUntil is when a lease that isn't renewed has certainly expired.
 	noLeaseUntil Time
 	runs         map[workload.RunKey]*run
-	// orphanCount is the number of runs without a task, and foreignOrphanCount that of those among
-	// them that another scheduler has started. Each start looks at all runners.
+	// orphanCount is the number of runs without a task, foreignOrphanCount that of those
+	// among them that another scheduler has started. They are counted since each placement
+	// checks all runners.
 	orphanCount, foreignOrphanCount int
 	used                            workload.Resources
 	health                          health
@@ -78,41 +79,41 @@
 type run struct {
 	key    workload.RunKey
 	runner *runner
-	// task is nil for a run whose job isn't known.
+	// task is nil for a run whose job isn't known (an orphan).
 	task    *taskState
 	need    workload.Resources
 	started Time
 	// startAttempts counts how often its start was sent.
 	startAttempts int
-	// leaseEnd is the end of the lease in its start.
+	// leaseEnd is the end of the lease in its start order.
 	leaseEnd int64
-	// checkpoint is that of a run without a job, for the job that may come.
+	// checkpoint is the newest checkpoint of an orphan, used if its job arrives.
 	checkpoint string
 	// confirmed runs were accepted or listed by the runner.
 	confirmed bool
-	// startedElsewhere runs were started by another scheduler.
+	// startedElsewhere: another scheduler has started the run.
 	startedElsewhere bool
-	// stopAt is when a run without a job is stopped.
+	// stopAt is when an orphan is stopped.
 	stopAt Time
-	// stopping: an order to stop it has been sent; stopped: it was answered,
-	// and the run is over at goneAt even if no end is listed.
+	// stopping: an order to stop the run was sent. stopped: the order was answered, and the
+	// run is over at overAt even if no end is listed.
 	stopping  bool
 	stopped   bool
 	stoppedAt Time
 	overAt    Time
-	// overdueAt is when a run has taken so long that it is taken for stuck.
+	// overdueAt is when the run counts as stuck.
 	overdueAt Time
 }
 
-// ofStoredJob reports whether the run is one of a stored job. If it was stopped it
-// may have ended well just before, and only the runner's list tells.
+// ofStoredJob reports whether the run belongs to a stored job. If it was stopped it may have
+// ended successfully just before, and only the runner's list shows which.
 func (u *run) ofStoredJob() bool { return u.task != nil && u.task.job.stored != nil }
 
 func newRunner(info workload.Runner, now Time) *runner {
 	return &runner{info: info, born: info.Born, runs: make(map[workload.RunKey]*run), health: newHealth(), holdSentAt: now}
 }
 
-// release forgets the ownership and all runs.
+// release clears the ownership and all runs.
 func (r *runner) release() {
 	r.owned = false
 	r.holdInFlight = false
@@ -126,9 +127,9 @@
 	r.orphanCount, r.foreignOrphanCount = 0, 0
 }
 
-// updateClock takes a reading. A reading is never ahead of the runner's clock:
-// the answer was written before it came. So lease ends computed from it are
-// never later than meant.
+// updateClock records a clock reading. A reading is never ahead of the runner's clock, since
+// the answer was written before it was received. So lease ends computed from it are never
+// later than intended.
 func (r *runner) updateClock(c ClockReading) {
 	if c.Milliseconds == 0 || c.ReceivedAt < r.clockAt {
 		return
@@ -137,8 +138,8 @@
 	r.clockAt = c.ReceivedAt
 }
 
-// leaseEnd is the end of a lease from now on, on the runner's clock; 0 if that
-// clock isn't known.
+// leaseEnd returns the end of a lease that begins now, on the runner's clock; 0 if that clock
+// isn't known.
 func (r *runner) leaseEnd(now Time, lease time.Duration) int64 {
 	if r.clock == 0 {
 		return 0
@@ -146,12 +147,12 @@
 	return r.clock + (now - r.clockAt + lease).Milliseconds()
 }
 
-// noteLease notes that an order with a lease is sent.
+// noteLease records that an order with a lease is being sent.
 func (r *runner) noteLease(now Time, lease time.Duration) {
 	r.aliveUntil = max(r.aliveUntil, now+maxRunLife(lease))
 }
 
-// maxRunLife is how long a run may live after a lease was sent, by our clock,
+// maxRunLife returns how long a run may live after a lease was sent, by this process's clock,
 // if the runner's clock is slow.
 func maxRunLife(lease time.Duration) time.Duration {
 	return lease*(100+clockDriftPercent)/100 + leaseMargin
@@ -163,15 +164,15 @@
 		!r.health.closed(now) && !r.hasForeignOrphans() && now > r.noLeaseUntil
 }
 
-// hasForeignOrphans reports whether something runs there whose job isn't known.
+// hasForeignOrphans reports whether runs that another scheduler started, and whose jobs aren't
+// known, are on the runner.
 //
-// Another scheduler, cut off from this runner, may wait for the run's lease to
-// end before it starts the task again. A lease holds for all that runs on a
-// runner; so until the run is over, or its job comes, no lease is given there,
-// with a renewal or a start.
+// Another scheduler, cut off from this runner, may wait for such a run's lease to expire
+// before it starts the task again. A lease covers all runs on a runner. So until the run is
+// over, or its job arrives, no order that grants a lease (renewal or start) is sent there.
 func (r *runner) hasForeignOrphans() bool { return r.foreignOrphanCount > 0 }
 
-// countOrphan adds a run of the runner to the counts of those without a task, or takes it away.
+// countOrphan adds a run without a task to the counts of orphans, or removes it.
 func (r *runner) countOrphan(u *run, by int) {
 	if u.task != nil {
 		return
@@ -182,7 +183,7 @@
 	}
 }
 
-// setTask joins a run with a task; nil parts it from the one that it has.
+// setTask assigns a run to a task; nil makes the run an orphan.
 func (u *run) setTask(t *taskState) {
 	if u.runner.runs[u.key] != u {
 		u.task = t
@@ -193,8 +194,8 @@
 	u.runner.countOrphan(u, 1)
 }
 
-// orphansOf lists the runs of a job that aren't joined with a task, by their
-// keys. There are hardly ever any, and each job that comes asks for them.
+// orphansOf lists the orphans of a job by their keys. It is called for each job that arrives,
+// and there are rarely any.
 func (r *runner) orphansOf(id workload.JobID) []*run {
 	if r.orphanCount == 0 {
 		return nil
@@ -231,7 +232,7 @@
 	r.unresponsiveSince = now
 }
 
-// answered clears a doubt if the answer is to an order sent after it arose.
+// answered clears unresponsive if the answer is to an order sent after that was set.
 func (r *runner) answered(sentAt Time) {
 	if sentAt >= r.unresponsiveSince {
 		r.unresponsive = false
--- a/core/schedule/safety_test.go
+++ b/core/schedule/safety_test.go
@@ -10,10 +10,9 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// When a failure domain is cut off, the scheduler there goes on with the runs
-// that it finds, and this one drops the domain's jobs as it misses the entry
-// VMs. If a lease could end before that, this scheduler would start a task of
-// such a job a second time in between.
+// When a failure domain is cut off, the scheduler there continues the runs that it finds, and this
+// one drops the domain's jobs once it counts the entry VMs as lost. If a lease could expire
+// before that, this scheduler would start a task of such a job a second time in between.
 func TestLeaseOutlastsDetection(t *testing.T) {
 	g := NewWithT(t)
 	cfg := DefaultConfig()
@@ -23,12 +22,12 @@
 	g.Expect(lapsed).To(BeNumerically(">", dropped))
 	g.Expect(cfg.Lease).To(BeNumerically(">", cfg.HoldWait+CallTimeout+network), "a renewal fits before the lease ends")
 	g.Expect(abandonedGrace + tick + cfg.StopTimeout + network).To(BeNumerically("<", cfg.Resend))
-	g.Expect(dropped+maxRunLife(cfg.Lease)).To(BeNumerically("<", cfg.Resend), "runs of a silent entry VM are over before its callers come again")
+	g.Expect(dropped+maxRunLife(cfg.Lease)).To(BeNumerically("<", cfg.Resend), "runs of an unreachable entry VM are over before its callers send their jobs again")
 }
 
-// A start is left unanswered: nobody knows whether the task runs. It is sent
-// again under the same number, which starts it once at most, then stopped; only
-// after the runner's word does it start elsewhere.
+// A start stays unanswered, so it is unknown whether the task runs. The start is repeated under the
+// same run number, which starts it at most once, then the run is stopped; the task starts
+// elsewhere only after the runner has answered.
 func TestUnansweredStart(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	b.submit(testJob(1, 100*ms), 2*time.Second)
@@ -45,7 +44,7 @@
 	take[Hold](b)
 	b.now += 2 * ms
 	b.stopped(stop, Accepted)
-	b.g.Expect(take[Start](b)).To(BeEmpty(), "what is stopped may still run for a moment")
+	b.g.Expect(take[Start](b)).To(BeEmpty(), "a run that is being stopped may live on briefly")
 	look := one[Hold](b)
 	b.g.Expect(look.ListOnly).To(BeTrue())
 	b.now += 2 * ms
@@ -54,9 +53,9 @@
 	b.g.Expect(elsewhere.Run.Number).To(BeNumerically(">", first.Run.Number))
 }
 
-// A runner falls silent with a run on it. The task starts on another runner no
-// sooner than the lease must have ended on the slowest clock, and the looks at
-// the silent runner in the meantime renew nothing.
+// A runner becomes unreachable with a run on it. The task starts on another runner no sooner than
+// the lease must have expired on the slowest clock, and the probes of the silent runner in the
+// meantime renew no lease.
 func TestSilentRunner(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	j := testJob(1, 300*ms)
@@ -85,9 +84,9 @@
 	t.Fatal("the task was never started again")
 }
 
-// A failure domain is cut off with the entry VM of a job and a runner on which it
-// runs. The scheduler on that side may go on with the run, so the task isn't
-// started again here while the entry VM is silent.
+// A failure domain is cut off with the entry VM of a job and a runner on which it runs. The
+// scheduler on that side may continue the run, so the task isn't restarted here while the entry
+// VM is unreachable.
 func TestLapseWithASilentEntryVM(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	b.submit(testJob(1, 300*ms), 3*time.Second)
@@ -111,10 +110,9 @@
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 }
 
-// The link between a scheduler and an entry VM is cut while a job of its waits for room.
-// The entry VM misses the scheduler first, and gives the job to another one, which sees
-// that nothing of it runs. So this one starts nothing for an entry VM that it hasn't
-// heard of late.
+// The link between a scheduler and an entry VM fails while one of its jobs waits for room. The entry
+// VM counts the scheduler as lost first, and gives the job to another one, which sees no run of
+// it. So this scheduler starts nothing for an entry VM without a recent message.
 func TestNothingStartsForASilentEntryVM(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	b.submit(testJob(2, 300*ms), 3*time.Second)
@@ -133,8 +131,8 @@
 	b.g.Expect(one[Start](b).Run.Task.Job).To(Equal(waits.ID))
 }
 
-// A runner has crashed and answers under another lifetime. Whatever ran there
-// is over, so its tasks start elsewhere at once.
+// A runner has crashed and answers under another incarnation. All its runs are over, so their tasks
+// start elsewhere at once.
 func TestReplacedRunner(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	b.submit(testJob(1, 300*ms), 3*time.Second)
@@ -148,9 +146,9 @@
 	b.g.Expect(one[Start](b).Runner).NotTo(Equal(start.Runner))
 }
 
-// A new scheduler finds a run that it hasn't started. Its job is handed in a
-// moment later and goes on with the run; until then no lease is given there,
-// since somebody on the other side of a cut may count on the run's end.
+// A new scheduler finds a run that it hasn't started. Its job is handed in shortly afterwards and
+// continues with the run; until then no lease is granted there, since a scheduler on the other
+// side of a partition may rely on the end of the run.
 func TestAdoption(t *testing.T) {
 	b := newHarness(t, testRunner("r1"))
 	j := testJob(1, 500*ms)
@@ -161,7 +159,7 @@
 		b.g.Expect(h.LeaseEnd).To(BeZero())
 	}
 	b.submit(testJob(1, 50*ms), 2*time.Second)
-	b.g.Expect(take[Start](b)).To(BeEmpty(), "a start would renew the lease of all that runs there")
+	b.g.Expect(take[Start](b)).To(BeEmpty(), "a start would renew the lease of all runs there")
 	b.s.Submit(b.now, Submission{Job: j, Entry: entryA, RemainingObjective: time.Second, RemainingTimeout: 2 * time.Second, PriorSubmissions: 1, PriorRunsTTL: time.Second})
 	b.g.Expect(take[Stop](b)).To(BeEmpty())
 	for _, c := range take[Start](b) {
@@ -173,8 +171,8 @@
 	b.g.Expect(answers[0].Outcome).To(Equal(workload.Completed))
 }
 
-// Nobody hands in the job of a run that a new scheduler has found: its entry VM
-// is gone too. It is stopped, well before its caller sends the job again.
+// The job of a run that a new scheduler has found isn't handed in, since its entry VM is lost too.
+// The run is stopped well before the caller sends the job again.
 func TestForeignOrphanIsStopped(t *testing.T) {
 	b := newHarness(t, testRunner("r1"))
 	key := workload.RunKey{Task: workload.TaskName{Job: "00000000000000aa"}, Number: 1}
@@ -186,9 +184,9 @@
 	b.g.Expect(one[Stop](b).Run).To(Equal(key))
 }
 
-// The store can't be read as a scheduler takes over, and it finds a run whose job
-// isn't known. That may be a stored one, so it isn't stopped; and no lease is
-// given, so that it ends by itself before anybody starts it elsewhere.
+// The store can't be read when a scheduler takes over, and it finds a run whose job isn't known.
+// The job may be a stored one, so the run isn't stopped; and no lease is granted, so that the run
+// ends by itself before its task is started elsewhere.
 func TestForeignOrphanWithoutTheStoreIsNotStopped(t *testing.T) {
 	b := newHarness(t, testRunner("r1"))
 	key := workload.RunKey{Task: workload.TaskName{Job: "00000000000000aa"}, Number: 1}
@@ -201,8 +199,8 @@
 	}
 }
 
-// A job comes from another scheduler while one runner can't be reached. It may
-// run there, so it isn't started before that must be over.
+// A job arrives from another scheduler while one runner is unreachable. It may run there, so it
+// isn't started until such a run must be over.
 func TestJobFromAnotherScheduler(t *testing.T) {
 	b := newHarness(t, testRunner("r1"), testRunner("r2"))
 	b.s.Lead(b.now)
@@ -230,9 +228,9 @@
 	t.Fatal("the job was never started")
 }
 
-// A cut heals, and a job comes from the scheduler of the other side. That one has
-// just taken a runner back under a term that this one hasn't heard of, and runs
-// the job there. What was listed before the job came doesn't tell.
+// A partition heals, and a job arrives from the scheduler of the other side. That scheduler has just
+// reacquired a runner under a term that this one doesn't know, and runs the job there. Lists
+// from before the job's arrival can't show that run.
 func TestListsFromBeforeTheJob(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	b.now += ms
@@ -247,8 +245,8 @@
 	b.g.Expect(take[Start](b)).To(HaveLen(1))
 }
 
-// Two schedulers think that they lead. The runner obeys the higher token; the
-// other one must not start what it had there before that is surely over.
+// Two schedulers act as leaders. The runner accepts the higher token; the other scheduler must not
+// restart the tasks that it had there before their runs are certainly over.
 func TestFenced(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	b.submit(testJob(1, 300*ms), 3*time.Second)
@@ -268,12 +266,12 @@
 			taken = h
 		}
 	}
-	b.g.Expect(taken.Token>>numberBits).To(BeNumerically(">", before), "it is taken back under a higher term")
+	b.g.Expect(taken.Token>>numberBits).To(BeNumerically(">", before), "it is reacquired under a higher term")
 }
 
-// Two processes start at the same time, and each leads until they hear of each
-// other. The younger one yields, but it has taken the runners last. If they were
-// left to it for the usual time, every caller of that time would be turned away.
+// Two processes start at the same time, and each leads until they connect. The younger one yields,
+// but it was the last to acquire the runners. If they were left to it for the usual time, every
+// caller in that time would be refused.
 func TestRunnersLeftToNobody(t *testing.T) {
 	b := newHarness(t, testRunner("r1"))
 	b.s.Lead(b.now)
@@ -287,9 +285,9 @@
 	b.g.Expect(one[Hold](b).Token).To(BeNumerically(">", 0))
 }
 
-// A job that another scheduler had is handed in to a process that doesn't lead,
-// by an entry VM whose view is behind. If this one took runners for it, it would
-// take them from the leader, and all callers would wait.
+// A job that another scheduler had is handed in to a process that doesn't lead, by an entry VM with
+// an outdated view. If this process acquired runners for it, it would take them from the leader,
+// and all callers would wait.
 func TestHandInToAFollower(t *testing.T) {
 	b := newHarness(t, testRunner("r1"))
 	b.s.Submit(b.now, Submission{Job: testJob(1, 50*ms), Entry: entryA, RemainingObjective: time.Second, RemainingTimeout: 3 * time.Second, PriorSubmissions: 1, PriorRunsTTL: 1300 * ms})
@@ -297,9 +295,9 @@
 	b.g.Expect(take[Hold](b)).To(BeEmpty())
 }
 
-// The entry VM of a job has fallen silent: it may be cut off and hand the job
-// to a scheduler on its side. What runs here is stopped at once. If the process
-// has said that it ends, its caller comes again and the runs go on for a while.
+// The entry VM of a job is unreachable: it may be cut off and hand the job to a scheduler on its
+// side. The runs here are stopped at once. If the process has announced its end, its caller sends
+// the job again and the runs go on for some time.
 func TestLostEntryVM(t *testing.T) {
 	for name, ended := range map[string]bool{"silent": false, "ended": true} {
 		t.Run(name, func(t *testing.T) {
@@ -314,9 +312,8 @@
 	}
 }
 
-// A caller sends its job again after its entry VM has died. Its tasks ran under
-// a scheduler that has died too, so nothing is known of them. A refusal that
-// said that nothing was run would be a lie.
+// A caller sends its job again after its entry VM has died. Its tasks ran under a scheduler that has
+// died too, so nothing is known of them. The caller must not be told that nothing was run.
 func TestRefusalSoonAfterATakeover(t *testing.T) {
 	b := newHarness(t, testRunner("r1"))
 	b.s.Lead(b.now)
@@ -330,9 +327,9 @@
 	b.g.Expect(refusal.RetryAfter).To(BeNumerically(">=", time.Second))
 }
 
-// The VM was suspended, and the process's clock has missed that. The first
-// orders that it sends as it wakes name a lease that has ended on the runner's
-// clock, so that a task that another scheduler has taken over doesn't start.
+// The VM was suspended, and the process's clock doesn't include that time. The first orders after
+// it resumes name a lease that has expired on the runner's clock, so that a task that another
+// scheduler has taken over isn't started.
 func TestOrdersAfterASuspension(t *testing.T) {
 	const missed = 3500 * ms
 	b := leading(t, testRunner("r1"))
@@ -341,11 +338,10 @@
 	b.g.Expect(one[Start](b).LeaseEnd).To(BeNumerically("<", runnersClock))
 }
 
-// A task has ended well under one scheduler and was started again under the next,
-// which didn't know. A third one finds the end on one runner and the run on
-// another, and is handed the job. The task is done: when the second run's runner
-// is lost the job must not wait for it, nor count the task as done twice and be
-// answered while another task still runs.
+// A task has ended successfully under one scheduler and was started again under the next, which
+// didn't know of that. A third one finds the end on one runner and the run on another, and is
+// handed the job. The task is done: when the second run's runner is lost the job must not wait
+// for it, nor count the task as done twice and be answered while another task still runs.
 func TestDoneAndRunningElsewhere(t *testing.T) {
 	b := newHarness(t, testRunner("r1"), testRunner("r2"))
 	j := testJob(2, 500*ms)
@@ -368,9 +364,9 @@
 	b.g.Expect(take[Answer](b)).To(BeEmpty())
 }
 
-// A job has found no room in its own shard, and runs in another one. Its entry
-// process ends, or takes the job back. Its caller sends it again, and the copy goes to
-// the job's own shard, which can't see what runs here; so that is stopped at once.
+// A job has found no room in its own shard, and runs in another one. Its entry process ends, or
+// withdraws the job. Its caller sends it again, and the copy goes to the job's own shard, which
+// can't see the runs here; so they are stopped at once.
 func TestRunsOfAForeignJobAreStoppedAtOnce(t *testing.T) {
 	for _, gone := range []func(*harness, *workload.Job){
 		func(b *harness, _ *workload.Job) { b.s.EntryLost(b.now, entryA, true) },
@@ -388,9 +384,9 @@
 	}
 }
 
-// A job was refused here for want of room, and ran in another shard. Its entry VM dies,
-// and its caller sends it again: that it was refused here doesn't mean that it wasn't
-// run. While nobody is missed the refusal stands.
+// A job was refused here for lack of room, and ran in another shard. Its entry VM dies, and its
+// caller sends it again: the refusal here doesn't mean that it wasn't run. While all VMs are
+// reachable the refusal stands.
 func TestRefusedJobMayHaveRunElsewhere(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	b.wait(takeoverWindow)
--- a/core/schedule/schedule.go
+++ b/core/schedule/schedule.go
@@ -1,19 +1,18 @@
-// Package schedule decides which task runs where and when. A Scheduler owns
-// runners by fencing tokens and leases, takes whole jobs from entry VMs, starts
-// their tasks, restarts what was lost, and gives the final word on each job.
+// Package schedule decides where and when each task runs. A Scheduler owns runners by
+// fencing tokens and leases, accepts whole jobs from entry VMs, starts their tasks, restarts
+// tasks whose runs were lost, and reports the final outcome of each job.
 //
-// It does no input or output and reads no clock: events and the time go in by
-// its methods, commands come out of Ready, in the order in which they are to be
-// carried out.
+// It does no input or output and reads no clock: its methods take events and the time,
+// and Ready returns the commands in the order in which they must be carried out.
 //
-// What it knows is soft. The runners list what runs and what ended, and entry
-// VMs keep the jobs that they answer for. A scheduler that takes over raises
-// the fencing token of each runner, reads the lists, and is handed the jobs
-// again; it goes on with what runs.
+// Its state can be rebuilt. Runners list what runs and what has ended, and entry VMs keep
+// the jobs that they are responsible for. A scheduler that takes over raises the fencing
+// token of each runner, reads the lists, receives the jobs again and continues with the
+// runs that it finds.
 //
-// Safety rests on leases measured on the runners' own clocks. A task is started
-// again only if its last run is listed as ended, was stopped by an order that
-// the runner answered, or can't be alive any more since its lease has lapsed.
+// Safety rests on leases measured on the runners' own clocks. A task is started again only
+// if its last run is listed as ended, was stopped by an order that the runner answered, or
+// can't be alive any more because its lease has expired.
 package schedule
 
 import (
@@ -30,44 +29,43 @@
 // Time is a reading of the process's monotonic clock.
 type Time = task.Time
 
-// EntryID names one lifetime of an entry process: its VM and its number, with a
-// '#' between.
+// EntryID names one incarnation of an entry process: its VM and its process number,
+// separated by '#'.
 type EntryID string
 
-// VM is the VM of the process.
+// VM returns the VM of the process.
 func (e EntryID) VM() string {
 	vm, _, _ := strings.Cut(string(e), "#")
 	return vm
 }
 
-// Config is the limits of a scheduler.
+// Config holds the limits of a scheduler.
 type Config struct {
-	// ProcessNumber tells this process's fencing tokens from those of all others.
+	// ProcessNumber distinguishes this process's fencing tokens from those of all others.
 	ProcessNumber uint64
-	// Lease is how long a run lives without a renewal, and so the time until
-	// the work of a runner that fell silent is started elsewhere.
+	// Lease is how long a run lives without a renewal, and so the time after which the work
+	// of an unreachable runner is started elsewhere.
 	//
-	// It must be longer than the time after which this process misses an entry
-	// VM, plus HoldWait. Otherwise, when a failure domain is cut off, this
-	// scheduler would start a task of a job from there again shortly before it
-	// drops that job, while the scheduler on the other side goes on with the
-	// run that it found.
+	// It must be longer than HoldWait plus the time after which this process counts an entry
+	// VM as lost. Otherwise, when a failure domain is cut off, this scheduler would restart a
+	// task of a job from there shortly before it drops that job, while the scheduler on the
+	// other side continues with the run that it found.
 	Lease time.Duration
-	// HoldWait is the longest that a runner may keep a renewal unanswered
-	// while nothing ends. Lease must span two renewals and a timeout.
+	// HoldWait is the longest that a runner may delay the answer to a renewal while no run
+	// ends. Lease must span two renewals and a timeout.
 	HoldWait time.Duration
 	// StopTimeout is the longest that a runner takes to stop a run.
 	StopTimeout time.Duration
-	// Resend is the earliest that a caller whose entry VM died sends its job
+	// Resend is the shortest time after which a caller whose entry VM died sends its job
 	// again.
 	Resend time.Duration
-	// Retention is how long callers may ask for the outcome of a stored job.
+	// Retention is how long callers may query the outcome of a stored job.
 	Retention time.Duration
-	// RemoteFactor is how many times as long a task takes away from its rack.
+	// RemoteFactor is the factor by which a task takes longer outside its preferred rack.
 	RemoteFactor float64
 }
 
-// DefaultConfig returns the usual limits.
+// DefaultConfig returns the default limits.
 func DefaultConfig() Config {
 	return Config{
 		Lease:        600 * time.Millisecond,
@@ -80,151 +78,155 @@
 }
 
 const (
-	// CallTimeout is how long an order may stay unanswered. Runners answer
-	// within three milliseconds; each more that is waited is lost to the task.
+	// CallTimeout is the timeout of an order. Runners answer within three milliseconds; any
+	// longer wait delays the task.
 	CallTimeout = 50 * time.Millisecond
-	// timeoutFactor and timeoutMost let the timeout grow with what orders take,
-	// this process's own delays included. A scheduler that falls behind would
-	// otherwise take late answers for none, send more orders and open new
-	// connections, and fall behind for good.
+	// timeoutFactor and maxTimeout let the timeout grow with the measured latency of orders,
+	// which includes this process's own delays. Otherwise a scheduler that falls behind would
+	// treat late answers as missing, send more orders, open new connections and never catch
+	// up.
 	timeoutFactor = 5
 	maxTimeout    = 400 * time.Millisecond
-	// latencyWeight is the weight of the latest order in the average.
+	// latencyWeight is the weight of the latest order in the averaged latency.
 	latencyWeight = 0.05
-	// maxStartAttempts is how often a start is sent to the same runner under the same
-	// run number, which starts it once at most.
+	// maxStartAttempts is how often a start is sent to the same runner under the same run
+	// number. The runner starts that run at most once.
 	maxStartAttempts = 2
-	// clockDriftPercent is how much slower than ours a runner's clock may be.
+	// clockDriftPercent is how much slower than this process's clock a runner's may be.
 	clockDriftPercent = 2
-	// leaseMargin covers the delay between reading our clock and sending.
+	// leaseMargin covers the delay between reading this process's clock and sending.
 	leaseMargin = 50 * time.Millisecond
-	// idleCheckInterval is how often an idle runner is looked at, so that a job
-	// doesn't find out first that it is dead.
+	// idleCheckInterval is how often an idle runner is checked, so that a failed one is
+	// noticed before a job is placed on it.
 	idleCheckInterval = time.Second
-	// reacquireDelay is how long a runner is left to another scheduler that has
-	// taken it. Mostly that one takes over, and says so in its next heartbeat;
-	// taking the runner back at once would only hold it up.
+	// reacquireDelay is how long a runner is left to another scheduler that has taken it.
+	// Usually that scheduler is about to take over, and its next heartbeat says so; taking
+	// the runner back at once would only delay it.
 	reacquireDelay = 150 * time.Millisecond
-	// contestedReacquireDelay is the same for a runner that this scheduler itself took
-	// only a while ago. Two that can't hear each other so change it seldom.
+	// contestedReacquireDelay is the same for a runner that this scheduler acquired only
+	// recently. It limits how often a runner alternates between two schedulers that can't
+	// reach each other.
 	contestedReacquireDelay = 1500 * time.Millisecond
-	// warmUpTime is how long after taking over it isn't known yet what the
-	// runners can take, and their connections aren't open.
+	// warmUpTime is how long after a takeover the runners' capacity is unknown and the
+	// connections to them aren't open yet.
 	warmUpTime = time.Second
-	// warmUpTimeout is CallTimeout for that time: some hundred calls and new
-	// connections at once keep a small VM busy for a tenth of a second.
+	// warmUpTimeout replaces CallTimeout for that time: some hundred calls and new
+	// connections at once occupy a small VM for a tenth of a second.
 	warmUpTimeout = 250 * time.Millisecond
-	// termStep raises the term after a runner has refused a token, and doubles
-	// termDoublings times at most.
+	// termStep is added to the term after a runner has refused a token. It doubles with
+	// each refusal, maxTermDoublings times at most.
 	termStep         = 16
 	maxTermDoublings = 10
-	// orphanGrace is how long a run without a job is kept for the entry VM
-	// that hands its job in again, within some milliseconds of a takeover.
+	// orphanGrace is how long a run without a known job is kept. After a takeover the entry
+	// VM hands the job in again within some milliseconds.
 	orphanGrace = 150 * time.Millisecond
-	// abandonedGrace is how long the runs of a job go on whose entry process
-	// has ended. It must end before the caller sends the job again, perhaps
-	// to a scheduler that can't see these runs.
+	// abandonedGrace is how long the runs of a job go on after its entry process has ended.
+	// It must end before the caller sends the job again, perhaps to a scheduler that can't
+	// see these runs.
 	abandonedGrace = 900 * time.Millisecond
-	// leadershipTimeout is how long a job may wait for this scheduler to lead.
+	// leadershipTimeout is how long a job may wait for this scheduler to become leader.
 	leadershipTimeout = 700 * time.Millisecond
-	// resultRetention is how long outcomes are kept for jobs sent again.
+	// resultRetention is how long outcomes are retained for jobs that are sent again.
 	resultRetention = 60 * time.Second
-	// takeoverWindow is how long after another scheduler was in charge a job may
-	// come that it had: callers wait up to 2.7 s.
+	// takeoverWindow is how long after another scheduler was leader copies of its jobs may
+	// arrive: callers wait up to 2.7 s.
 	takeoverWindow = 4 * time.Second
-	// UnreachableTimeout is how long a silent process is thought to be alive behind a
-	// cut; VMs that are lost for good don't come back.
+	// UnreachableTimeout is how long an unreachable process is presumed to be alive beyond a
+	// network partition; VMs that are lost for good don't come back.
 	UnreachableTimeout = 30 * time.Second
-	// maxHeartbeatAge is how lately an entry VM must have been heard for its tasks to
-	// be started, in heartbeats two: it misses a scheduler after three, counted from
-	// one heartbeat earlier at most. Those that have lapsed wait for entryWait then, in which it is heard again or counts as lost. After a cut a run
-	// lapses 502 ms after the last heartbeat or later.
+	// maxHeartbeatAge is the age of an entry VM's last heartbeat, two intervals, up to which
+	// its tasks are started: an entry VM counts a scheduler as lost after three intervals,
+	// counted from one heartbeat earlier at most. Tasks whose runs have lapsed by then wait
+	// for entryRecoveryDelay, in which the entry VM is heard again or counts as lost. After a
+	// partition a run lapses 502 ms after the last heartbeat or later.
 	maxHeartbeatAge    = 300 * time.Millisecond
 	entryRecoveryDelay = 300 * time.Millisecond
-	// ranRetention is how long it is remembered that something of a job has run:
-	// longer than any caller sends it again.
+	// ranRetention is how long the scheduler remembers that a task of a job has run: longer
+	// than callers go on sending the job again.
 	ranRetention = 15 * time.Second
-	// numberBits is the part of a fencing token that names its holder. Two
-	// live processes would need start numbers 2^20 apart to share it.
+	// numberBits is the width of the process number in a fencing token. Two live processes
+	// would need process numbers 2^20 apart to share a token.
 	numberBits = 20
 )
 
-// Scheduler is the state machine. It isn't safe for concurrent use.
+// Scheduler is the state machine of one shard. It isn't safe for concurrent use.
 type Scheduler struct {
 	cfg  Config
 	now  Time
 	term uint64
-	// version is the newest version of a row in the store that is known.
+	// version is the newest known version of a row in the store.
 	version uint64
 	leading bool
-	// yielding: another process is about to take over.
+	// yielding is set while another process is about to take over.
 	yielding     bool
 	leadingSince Time
-	// callLatency is how long orders take that don't wait, averaged.
+	// callLatency is the averaged latency of orders that runners answer at once.
 	callLatency time.Duration
 
 	runners map[workload.RunnerID]*runner
-	// runnerList is the runners in the order of their ids.
+	// runnerList holds the runners in the order of their ids.
 	runnerList []*runner
 	// evacuated are the failure domains that get no new tasks.
 	evacuated []string
 
 	jobs  map[workload.JobID]*job
 	queue []*job
-	// offered is the work that arrives, by service.
+	// offered is the arriving work, by service.
 	offered map[string]*offeredLoad
-	// results are the outcomes of jobs that have ended, oldest first.
+	// results are the outcomes of ended jobs that aren't stored; resultOrder has their ids,
+	// oldest first.
 	results     map[workload.JobID]result
 	resultOrder []workload.JobID
-	// cancelled are ids that were cancelled before their jobs came.
+	// cancelled are ids that were cancelled before their jobs arrived.
 	cancelled map[workload.JobID]Time
-	// uncertainUntil is when this scheduler knows again of all jobs that may come
-	// a second time.
+	// uncertainUntil is when copies of jobs that an earlier scheduler had can't arrive any
+	// more.
 	uncertainUntil Time
-	// progressWaitUntil is how long jobs that another scheduler had wait for the word of
-	// awaited, its process.
+	// progressWaitUntil is until when jobs that another scheduler had wait for the Progress
+	// of the process progressFrom.
 	progressWaitUntil Time
 	progressFrom      EntryID
-	// latestHandoverAt is when the latest job came that another scheduler had.
-	// Runners that haven't listed their runs since are looked at.
+	// latestHandoverAt is when the latest job arrived that another scheduler had. Runners
+	// whose last list is older are asked for a new one.
 	latestHandoverAt Time
-	// unreachable are VMs whose processes fell silent, by when, and that haven't
-	// come back. They may lead on the other side of a cut.
+	// unreachable holds the VMs whose processes became unreachable and haven't come back,
+	// and since when. They may lead on the other side of a network partition.
 	unreachable map[string]Time
-	// anyUnreachable: a VM that may be alive isn't heard, perhaps never was.
+	// anyUnreachable: a VM that may be alive is unreachable, perhaps since its start.
 	anyUnreachable bool
-	// otherCellUnreachable: a VM of another cell is missing, or was of late.
+	// otherCellUnreachable: a VM of another cell is unreachable, or was recently.
 	otherCellUnreachable bool
-	// allReachable: all processes of the deployment are heard, without a break since
-	// allHeardSince.
+	// allReachable: all processes of the deployment have been reachable since
+	// allReachableSince without a break.
 	allReachable bool
-	// contested: another process is about to lead.
+	// contested is set while another process is about to become leader.
 	contested         bool
 	allReachableSince Time
-	// lastHeard is when each entry process was last lastHeard.
+	// lastHeard is when each entry process last sent a message.
 	lastHeard map[EntryID]Time
-	// ranJobs are jobs without an outcome of which something is known to have run.
+	// ranJobs are jobs without an outcome that are known to have run in part, and when that
+	// was last seen.
 	ranJobs map[workload.JobID]Time
-	// unstored are jobs that are known not to be stored ones, for a while after
-	// they have ended.
+	// unstored are jobs that are known not to be stored ones, for a while after they have
+	// ended.
 	unstored  map[workload.JobID]Time
 	expiredAt Time
-	// doneWithoutJob are ends of tasks whose jobs aren't known, by the runners' lists.
+	// doneWithoutJob are tasks that runners list as done and whose jobs aren't known.
 	doneWithoutJob map[workload.TaskName]Time
 
 	rows rows
-	// alternate is the other shard in which a job would wait least, -1 if none, and
-	// alternateWait for how long.
+	// alternate is the other shard in which a job would wait least, for alternateWait; -1 if
+	// there is none.
 	alternate     int
 	alternateWait time.Duration
-	// epochMs is the time of day, in milliseconds since 1970, at time 0.
+	// epochMs is the time of day at time 0, in milliseconds since 1970.
 	epochMs int64
 
 	out []Command
 	ctr Counters
 }
 
-// Counters are totals since the start.
+// Counters are totals since the start of the process.
 type Counters struct {
 	Submitted, Completed, Failed, Cancelled, Refused, GaveUp uint64
 	Starts, Done, FailedRuns, Lapsed, Adopted, Overstayed    uint64
@@ -247,7 +249,7 @@
 	at      Time
 }
 
-// New returns a scheduler that leads nothing yet.
+// New returns a scheduler that isn't leader.
 func New(cfg Config) *Scheduler {
 	return &Scheduler{
 		cfg:            cfg,
@@ -267,17 +269,17 @@
 	}
 }
 
-// Term is the highest term seen; tokens of a higher term win.
+// Term returns the highest term seen. Tokens of a higher term take precedence.
 func (s *Scheduler) Term() uint64 { return s.term }
 
-// ObserveTerm notes the term of another scheduler.
+// ObserveTerm records the term of another scheduler.
 func (s *Scheduler) ObserveTerm(term uint64) { s.term = max(s.term, term) }
 
-// ObserveVersion notes a version of a row of the store that was given out of late. The
-// numbers of processes, where terms begin, are such versions.
+// ObserveVersion records a recent version of a row of the store. Process numbers, from which
+// terms begin, are such versions.
 func (s *Scheduler) ObserveVersion(version uint64) { s.version = max(s.version, version) }
 
-// SetProcessNumber sets the number that a process learns when it registers.
+// SetProcessNumber sets the number that a process receives when it registers.
 func (s *Scheduler) SetProcessNumber(n uint64) {
 	s.cfg.ProcessNumber = n
 	s.term = max(s.term, n)
@@ -293,7 +295,7 @@
 	return s.term<<numberBits | s.cfg.ProcessNumber&(1<<numberBits-1)
 }
 
-// Ready returns the commands since the last call.
+// Ready returns the commands since the last call and removes them.
 func (s *Scheduler) Ready() []Command {
 	out := s.out
 	s.out = nil
@@ -302,7 +304,7 @@
 
 func (s *Scheduler) emit(c Command) { s.out = append(s.out, c) }
 
-// Lead makes the scheduler take all runners that it knows.
+// Lead makes the scheduler leader: it acquires all runners that it knows.
 func (s *Scheduler) Lead(now Time) {
 	s.now = now
 	if s.leading {
@@ -319,11 +321,11 @@
 	s.dispatch()
 }
 
-// Yield keeps the scheduler from taking back runners that another one takes,
-// since that is to take over.
+// Yield keeps the scheduler from reacquiring runners that another one takes, since that one
+// is about to become leader.
 func (s *Scheduler) Yield() { s.yielding = true }
 
-// callTimeout is how long an order may stay unanswered now.
+// callTimeout returns the present timeout of an order.
 func (s *Scheduler) callTimeout() time.Duration {
 	least := CallTimeout
 	if s.now-s.leadingSince < warmUpTime {
@@ -332,17 +334,17 @@
 	return min(max(least, timeoutFactor*s.callLatency), maxTimeout)
 }
 
-// recordLatency notes how long an order recordLatency; one without an answer counts as the time
-// that it was waited for.
+// recordLatency updates the averaged latency. An order without an answer counts with the
+// time that was spent waiting.
 func (s *Scheduler) recordLatency(sentAt Time) {
 	if d := s.now - sentAt; d >= 0 {
 		s.callLatency += time.Duration(latencyWeight * float64(d-s.callLatency))
 	}
 }
 
-// Retire gives up all runners and jobs without a word to them: another
-// scheduler takes the runners with what runs there, and entry VMs hand their
-// jobs in to it. Stopping the runs would throw away work that it goes on with.
+// Retire releases all runners and drops all jobs without stopping their runs: the next
+// leader takes the runners with what runs there and continues with it, and entry VMs hand
+// their jobs in to that leader.
 func (s *Scheduler) Retire(now Time) {
 	s.now = now
 	if !s.leading {
@@ -361,7 +363,7 @@
 	s.dropRows()
 }
 
-// Pending is the number of jobs of each queue of which no task has started.
+// Pending returns the number of jobs of each queue of which no task has started.
 func (s *Scheduler) Pending() map[string]int {
 	n := make(map[string]int)
 	for _, j := range s.queue {
