--- a/core/schedule/simulation_test.go
+++ b/core/schedule/simulation_test.go
@@ -11,11 +11,11 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// A simulation plays a load against schedulers in virtual time, without faults: jobs come
-// at random, runners carry out what they are given, and callers count what they get.
+// A simulation plays a load against schedulers in virtual time, without faults: jobs arrive at
+// random, runners carry out their orders, and the answers to callers are counted.
 
-// jobKind is a kind of job, with the means of what its jobs ask for. Work, width and need
-// of a job spread about them as sampled from logarithmic normal distributions.
+// jobKind is a kind of job, with the means of its jobs' requirements. Work, width and need of a job
+// are sampled from log-normal distributions about the means.
 type jobKind struct {
 	name      string
 	perSecond float64
@@ -25,8 +25,8 @@
 	value     float64
 }
 
-// Standard deviations of logarithms: of work and width from job to job, of needs, of a
-// caller's estimate about the work, and of tasks about their job's work.
+// Standard deviations of logarithms: of work and width between jobs, of needs, of a caller's
+// estimate about the work, and of tasks about their job's work.
 const (
 	workSpread  = 0.4
 	widthSpread = 0.4
@@ -37,17 +37,17 @@
 
 const (
 	simStep = 2 * time.Millisecond
-	// orderTime is the time of an order to a runner and of its answer.
+	// orderTime is the round trip time of an order to a runner.
 	orderTime = 2 * time.Millisecond
-	// A job's objective is objectiveTimes its work and objectiveBase more; its caller
-	// waits for three times that and patienceBase more.
+	// A job's objective is objectiveTimes its work plus objectiveBase; its caller waits for three
+	// times that plus patienceBase.
 	objectiveTimes = 1.6
 	objectiveBase  = 100 * time.Millisecond
 	patienceBase   = 1500 * time.Millisecond
 )
 
-// unequalWork is a load whose tasks need half a runner, where the longest kind works
-// fifteen times as long as the shortest.
+// unequalWork is a load whose tasks need half a runner, and whose longest kind takes fifteen times
+// as long as the shortest.
 func unequalWork() []jobKind {
 	return []jobKind{
 		{name: "short", perSecond: 154, tasks: 8, work: 60 * ms, milliCPU: 32000, value: 4.85},
@@ -66,9 +66,9 @@
 	now     Time
 	events  []simEvent
 	jobs    map[workload.JobID]*simJob
-	// load is the present rate over the usual one, by kind.
+	// load returns the present rate relative to the usual one, by kind.
 	load func(at time.Duration, kind string) float64
-	// route picks a job's shard.
+	// route chooses a job's shard.
 	route func(w *workload.Job) int
 	last  int
 }
@@ -84,7 +84,7 @@
 	work    *workload.Job
 	tasks   []time.Duration
 	arrived Time
-	// objective is the caller's own, by the work and not by the estimate.
+	// objective is the caller's own, computed from the work and not from the estimate.
 	objective time.Duration
 	answered  bool
 	outcome   workload.Outcome
@@ -93,10 +93,10 @@
 	ran bool
 }
 
-// tally is what the callers of a kind have got.
+// tally counts the answers that the callers of a kind got.
 type tally struct {
 	asked, inTime, late, refusedAtOnce, refused, gaveUp, tooLate int
-	// falseRefusals refusals are of jobs of which something was run.
+	// falseRefusals counts refusals of jobs of which a task was started.
 	falseRefusals int
 	owed, earned  float64
 }
@@ -138,7 +138,7 @@
 	s.events = slices.Insert(s.events, i, e)
 }
 
-// idle lets time pass without jobs, so that runners are owned and settled.
+// idle lets time pass without jobs, so that the schedulers own their runners and have warmed up.
 func (s *simulation) idle(d time.Duration) { s.play(d, false) }
 
 func (s *simulation) play(d time.Duration, arrivals bool) {
@@ -225,7 +225,7 @@
 	}
 }
 
-// running lists what a runner runs, as the scheduler believes.
+// running lists the runs on a runner by the scheduler's state.
 func (s *simulation) running(sch *Scheduler, id workload.RunnerID) []workload.RunKey {
 	var keys []workload.RunKey
 	for _, u := range sch.runners[id].sortedRuns() {
@@ -244,7 +244,7 @@
 	})
 }
 
-// end has a runner list the end of a run, unless it has ended already.
+// end makes a runner list the end of a run, unless it has ended already.
 func (s *simulation) end(sch *Scheduler, id workload.RunnerID, k workload.RunKey, kind workload.EndKind) {
 	r := sch.runners[id]
 	if r == nil || r.runs[k] == nil {
@@ -265,7 +265,7 @@
 	j.answered, j.outcome, j.took = true, a.Outcome, s.now-j.arrived
 }
 
-// tallies counts what callers got, by kind and in all.
+// tallies counts the answers to callers, by kind and in total.
 func (s *simulation) tallies() map[string]*tally {
 	sums := map[string]*tally{"all": {}}
 	for _, k := range s.kinds {
--- a/core/schedule/stored.go
+++ b/core/schedule/stored.go
@@ -9,75 +9,71 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Stored jobs. Their callers are answered as soon as the job is in the store;
-// from then on it must be done, whoever schedules.
+// Stored jobs. Their callers are answered as soon as the job is in the store; from then on it must
+// be completed, whichever scheduler leads.
 //
-// What a runner lists as ended is acknowledged only when the store has it: the
-// runner forgets it then, and a scheduler that didn't know would start the task
-// again.
+// An end that a runner lists is acknowledged only when it is in the store: the runner forgets an
+// acknowledged end, and a scheduler that doesn't know of it would start the task again.
 
 const (
-	// maxPriorRunLife is how long after a shard was taken from a scheduler that
-	// isn't heard runs may be alive that it has started: it doubts its
-	// ownership custodyAge after it was last sure of it, stops its runs within
-	// a tick, and those on runners that don't answer live as long as a lease.
+	// maxPriorRunLife is how long runs of the previous owner may live after a shard was taken
+	// from a scheduler that isn't reachable: that one treats its ownership as lost maxProofAge
+	// after the last proof, stops its runs within a tick, and the runs on runners that don't
+	// answer live as long as a lease.
 	maxPriorRunLife = 1300 * time.Millisecond
-	// maxProofAge is how old the last proof of the ownership may be while a
-	// process is missing that may have taken the shard.
+	// maxProofAge is the age up to which a proof of the ownership holds while a process that may
+	// have taken the shard is unreachable.
 	maxProofAge = 450 * time.Millisecond
-	// priorOwnerSlack is what an owner's doubt may come late, by its ticks and by the way
-	// of its last order.
+	// priorOwnerSlack covers the tick interval of a previous owner and the transit of its last
+	// order.
 	priorOwnerSlack = 50 * time.Millisecond
-	// storeFailureThreshold is how long all calls to the store must have failed until
-	// new stored jobs are refused at arrival: a call that was turned away is
-	// repeated within a tenth of a second.
+	// storeFailureThreshold is how long all calls to the store must have failed until new stored
+	// jobs are refused on arrival: a rejected call is repeated within a tenth of a second.
 	storeFailureThreshold = 300 * time.Millisecond
-	// unsavedEndsInterval is how often a runner is asked for its lists while some of
-	// its ends are being saved. It answers at once then, since it lists these
-	// ends again, and saving takes some milliseconds.
+	// unsavedEndsInterval is how often a runner is asked for its lists while some of its ends
+	// are being saved. It answers at once then, since it lists these ends again, and saving takes
+	// some milliseconds.
 	unsavedEndsInterval = 25 * time.Millisecond
-	// unloadedInterval is the same while the jobs aren't known to which its ends
-	// belong.
+	// unloadedInterval is the same while the jobs that the ends belong to aren't loaded.
 	unloadedInterval = 150 * time.Millisecond
-	// refusalTimeout is how long a refusal waits for a proof of the ownership, which
-	// takes a check every tenth of a second and its answer.
+	// refusalTimeout is how long a refusal waits for a proof of the ownership, which takes a
+	// check every tenth of a second and its answer.
 	refusalTimeout = 400 * time.Millisecond
 	// storeDemandWindow is how long after the last stored job more are expected.
 	storeDemandWindow = 5 * time.Second
-	// extraRetention is how much longer outcomes are kept than callers may ask.
+	// extraRetention is how much longer outcomes are retained than callers may query them.
 	extraRetention = 30 * time.Second
 )
 
-// never is later than all times.
+// never is later than all other times.
 const never = Time(math.MaxInt64 / 4)
 
-// stored is what the scheduler knows of a stored job beside its tasks.
+// stored is the state of a stored job apart from its tasks.
 type stored struct {
-	// epoch is the ownership under which it was accepted.
+	// epoch is the ownership under which the job was accepted.
 	epoch uint64
-	// accepted: it is in the store.
+	// accepted: the job is in the store.
 	accepted bool
-	// saving is the sequence of the newest record, saved that of the newest one
-	// in the store.
+	// saving is the sequence of the newest record, saved that of the newest one in the store.
 	saving, saved uint64
 	failures      []ledger.Failure
-	// unseen: a run went out of sight and may have ended well, and its task is to be
-	// started again. unseenSaved is the sequence of the record that says so.
+	// unseen: contact with a run was lost, the run may have ended successfully, and its task is
+	// to be started again. unseenSaved is the sequence of the record that says so.
 	unseen      bool
 	unseenSaved uint64
-	// unseenByPredecessor: so did the owner before.
+	// unseenByPredecessor: the same had happened under the previous owner.
 	unseenByPredecessor bool
-	// state is what the job has come to; to and hand are set for one that moves, as in
+	// state is the job's state in the store; to and hand are set for a job that moves, as in
 	// ledger.Record.
 	state    ledger.State
 	to, hand int
-	// waiters are to be told of the acceptance, until the times given.
+	// waiters are the entry processes to be told of the acceptance, with their deadlines.
 	waiters map[EntryID]Time
-	// senders are to be told that a job of their shard has arrived here.
+	// senders are the processes to be told that a job of their shard has arrived here.
 	senders []sender
 }
 
-// setDue gives a stored job its times. However late it is, it must be done.
+// setDue sets the times of a stored job. It has no deadline: it must be completed however late.
 func (j *job) setDue(arrived Time, objective time.Duration) {
 	j.arrived = arrived
 	j.due = arrived + objective
@@ -85,7 +81,7 @@
 	j.deadline = never
 }
 
-// tickStored does what is due for stored jobs.
+// tickStored does the periodic work for stored jobs.
 func (s *Scheduler) tickStored() {
 	s.expireEarly()
 	s.resolveRefusals()
@@ -99,8 +95,8 @@
 	}
 }
 
-// tickStoredJob answers callers whose patience has ended before the store has
-// answered. The job may be in the store, or come there.
+// tickStoredJob answers callers whose timeout has ended before the store has answered. The job may
+// be in the store, or get there later.
 func (s *Scheduler) tickStoredJob(j *job) {
 	s.publishOutcome(j)
 	s.updateDue(j)
@@ -112,15 +108,15 @@
 	}
 }
 
-// cancelStored ends a stored job for its caller. done is false if an OutcomeSaved
-// follows when the store has it.
+// cancelStored ends a stored job for its caller. done is false if an OutcomeSaved follows once it is
+// in the store.
 func (s *Scheduler) cancelStored(id workload.JobID) (state JobState, done bool) {
 	if !s.ownsRows() {
 		return JobState{Unsure: true}, true
 	}
 	if k, ok := s.rows.retained[id]; ok {
 		if k.move != nil {
-			// The other shard's owner decides, once it has the job.
+			// The other shard's owner decides once it has the job.
 			return JobState{Unsure: true}, true
 		}
 		return k.jobState(), k.saving == 0
@@ -137,7 +133,7 @@
 	return JobState{}, false
 }
 
-// retainAndSave keeps the outcome of a job that isn't in hand.
+// retainAndSave retains and saves the outcome of a job that this scheduler doesn't have.
 func (s *Scheduler) retainAndSave(id workload.JobID, state ledger.State) {
 	s.retain(id, state, false)
 	k := s.rows.retained[id]
@@ -145,7 +141,7 @@
 	s.rows.retained[id] = k
 }
 
-// finishStored ends a stored job. It is shown as ended when the store has it.
+// finishStored ends a stored job. Its outcome is published once it is in the store.
 func (s *Scheduler) finishStored(j *job, o workload.Outcome, reason string) {
 	j.stored.state = stateOf(o)
 	j.ended = true
@@ -188,8 +184,8 @@
 	}
 }
 
-// storedFailure counts a failed run of a stored job once, whoever has started
-// it, and reports whether it is new.
+// storedFailure counts a failed run of a stored job once, whichever scheduler started it, and
+// reports whether it is new.
 func (j *job) storedFailure(k workload.RunKey) bool {
 	f := ledger.Failure{Step: j.stepIndex(k.Task), Index: k.Task.Index, Run: k.Number}
 	for _, known := range j.stored.failures {
--- a/core/schedule/stored_test.go
+++ b/core/schedule/stored_test.go
@@ -16,21 +16,21 @@
 	return j
 }
 
-// saved tells the scheduler that a record is in the store.
+// saved reports to the scheduler that records are in the store.
 func (b *harness) saved(list ...Save) {
 	for _, c := range list {
 		b.s.Saved(b.now, []ledger.SavedRecord{{Job: c.Record.Job, Sequence: c.Sequence}})
 	}
 }
 
-// accepted submits a stored job and has it saved.
+// accepted submits a stored job and saves it.
 func (b *harness) accepted(j *workload.Job) {
 	b.submit(j, 2*time.Second)
 	b.saved(one[Save](b))
 	b.g.ExpectWithOffset(1, one[Answer](b).Outcome).To(Equal(workload.Accepted))
 }
 
-// openRecord is what the store has of a job that another scheduler had accepted.
+// openRecord returns the store's record of a job that another scheduler had accepted.
 func openRecord(j *workload.Job, epoch uint64, done ...int) ledger.Record {
 	bits := ledger.NewBits(j.Steps[0].Tasks)
 	for _, n := range done {
@@ -43,9 +43,9 @@
 	return workload.RunKey{Task: workload.TaskName{Job: j.ID, Index: index}, Number: number}
 }
 
-// A caller is told that its job is accepted, and all processes lose power at that
-// moment. So the job must be in the store before the answer, and before anything
-// of it is started: a refusal must stay possible until then.
+// A caller is told that its job is accepted, and all processes lose power at that moment. So the
+// job must be in the store before the answer, and before any task is started: it may still be
+// refused until then.
 func TestAcceptedMeansSaved(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j := storedJob(1, 100*ms)
@@ -63,8 +63,8 @@
 	b.g.Expect(take[Save](b)).To(BeEmpty())
 }
 
-// A runner forgets an end that is acknowledged. If the store doesn't have it and
-// the scheduler is lost, the next one starts the task a second time.
+// A runner forgets an end that is acknowledged. If the store doesn't have it and the scheduler is
+// lost, the next one starts the task a second time.
 func TestEndIsSavedBeforeItIsAcknowledged(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j := storedJob(2, 100*ms)
@@ -80,11 +80,11 @@
 	b.tick(60 * ms)
 	for _, h := range take[Hold](b) {
 		b.g.Expect(h.Acknowledged).To(BeZero())
-		b.g.Expect(h.LeaseEnd).NotTo(BeZero(), "the other task runs on")
+		b.g.Expect(h.LeaseEnd).NotTo(BeZero(), "the other task is still running")
 		b.g.Expect(h.Wait).To(BeZero(), "the runner lists the end again, and answers at once")
 		b.end("r1", 1, runOf(j, 0, 1), workload.Done)
 	}
-	b.g.Expect(take[Save](b)).To(BeEmpty(), "listed again, it is no news")
+	b.g.Expect(take[Save](b)).To(BeEmpty(), "an end that is listed again changes nothing")
 	b.saved(save)
 	b.tick(unsavedEndsInterval + 20*ms)
 	held := take[Hold](b)
@@ -92,8 +92,8 @@
 	b.g.Expect(held[len(held)-1].Acknowledged).To(BeEquivalentTo(1))
 }
 
-// The last task ends. The job is shown as completed only when the store has that:
-// after a power loss it would else be run once more.
+// The last task ends. The job is shown as completed only when that is in the store: otherwise it
+// would run once more after a power loss.
 func TestCompletedMeansSaved(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j := storedJob(1, 100*ms)
@@ -109,8 +109,7 @@
 	b.g.Expect(b.s.State(j.ID, b.now)).To(Equal(JobState{Known: true, Ended: true, Outcome: workload.Completed}))
 }
 
-// A job is cancelled. That is in the store before its caller is told, and what
-// runs is stopped.
+// A job is cancelled. That is in the store before its caller is told, and its runs are stopped.
 func TestCancelledStoredJob(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j := storedJob(1, 2*time.Second)
@@ -128,8 +127,8 @@
 	b.g.Expect(state.Known).To(BeTrue())
 }
 
-// A job is cancelled before it comes, which its caller is told. The late copy is
-// taken and never runs; until it comes nobody finds such a job.
+// A job is cancelled before it arrives, and its caller is told so. The late copy is accepted and
+// never runs; until it arrives queries don't find such a job.
 func TestCancelledBeforeItArrives(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j := storedJob(1, 100*ms)
@@ -144,8 +143,8 @@
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 }
 
-// The store has been away for a while. A new job is refused as it arrives, which
-// is true; one that waits for its record is not, since that may be written yet.
+// The store has been unavailable for some time. A new job is refused on arrival, which is safe; one
+// that waits for its record isn't refused, since the record may still be written.
 func TestStoreUnavailable(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	waits, late := storedJob(1, 100*ms), storedJob(1, 100*ms)
@@ -163,8 +162,8 @@
 	b.g.Expect(b.s.State(waits.ID, b.now).Known).To(BeTrue())
 }
 
-// A burst has left stored jobs behind that are late already. They run when nothing
-// else waits, so they are no reason to refuse a new job that can be in time.
+// A burst has left stored jobs that are late already. They run when no other job waits, so they are
+// no reason to refuse a new job that can be in time.
 func TestLateStoredJobsDontBlockNewOnes(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	for range 4 {
@@ -183,7 +182,7 @@
 	b.g.Expect(take[Save](b)).NotTo(BeEmpty())
 }
 
-// Nobody may ask for an outcome any more. It is dropped here and in the store.
+// Callers may not query an outcome any more. It is dropped here and in the store.
 func TestOutcomesAreForgotten(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j := storedJob(1, 100*ms)
@@ -197,9 +196,9 @@
 	b.g.Expect(b.s.State(j.ID, b.now).Known).To(BeFalse())
 }
 
-// A start stays unanswered, so the run is stopped to be started elsewhere. It had
-// begun and ended well before the stop came; the runner answers both and lists
-// the end. The task is started again only after a look at that list.
+// A start stays unanswered, so the run is stopped in order to start the task elsewhere. The run had
+// begun and ended successfully before the stop arrived; the runner answers both orders and lists
+// the end. The task is started again only after that list was read.
 func TestStoppedRunThatHadEnded(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	j := storedJob(1, 20*ms)
@@ -215,8 +214,8 @@
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 }
 
-// Jobs come at three times what the runners can do, for ten seconds. What is
-// accepted beyond that would pile up for good, since it can't be dropped.
+// For ten seconds jobs arrive at three times the rate that the runners can do. Without a bound the
+// accepted work would pile up, since it can't be dropped.
 func TestAcceptedWorkIsBounded(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	accepted := 0
@@ -233,9 +232,9 @@
 	b.g.Expect(len(b.s.queue)).To(BeNumerically("<", 8))
 }
 
-// The answer to a start is lost, and the start is sent again. Meanwhile the run
-// has ended well, so the runner refuses the second order as outdated. That isn't
-// a start that never happened; the runner's list tells how the run has ended.
+// The answer to a start is lost, and the start is repeated. Meanwhile the run has ended
+// successfully, so the runner refuses the second order as outdated. The start must not count as
+// never carried out; the runner's list shows how the run has ended.
 func TestSecondOrderForARunThatHasEnded(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	j := storedJob(1, 20*ms)
@@ -249,9 +248,8 @@
 	b.g.Expect(one[Save](b).Record.State).To(Equal(ledger.Completed))
 }
 
-// The same, and the runner has no room for the second order: the first may be
-// what takes it, or may come late. It is stopped for good before the task is
-// started elsewhere.
+// The same, but the runner has no room for the second order: the first one may occupy the room, or
+// may arrive late. The run is stopped for good before the task is started elsewhere.
 func TestSecondOrderThatIsRefused(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	j := storedJob(1, 20*ms)
@@ -264,8 +262,8 @@
 	b.g.Expect(take[Start](b)).To(HaveLen(1))
 }
 
-// A runner drains or falls silent with a long task on it. The task goes on
-// elsewhere from its last checkpoint instead of beginning anew.
+// A runner drains or becomes unreachable with a long task on it. The task resumes elsewhere from
+// its last checkpoint instead of starting from the beginning.
 func TestTaskGoesOnFromItsCheckpoint(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j := storedJob(1, 2*time.Second)
@@ -289,24 +287,24 @@
 	b.g.Expect(one[Start](b).Checkpoint).To(Equal("more"))
 }
 
-// Another process is about to lead, as this one has said that its VM is slow. It
-// may have taken the jobs and accepted one that this process is asked about before
-// it hears of that. All are heard, but that doesn't prove any more that nobody has.
+// Another process is about to become leader, since this one has reported that its VM is slow. The
+// other may have taken the jobs and accepted one that this process is asked about before it
+// learns of that. That all processes are reachable doesn't prove any more that none has.
 func TestUnknownJobIsNotDeniedWhileContested(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	asked := b.now
 	b.s.RowOwnershipVerified(asked, asked)
 	b.g.Expect(b.s.State("00000000000000ff", asked).Unsure).To(BeFalse())
-	b.g.Expect(b.s.State("00000000000000ff", asked+ms).Unsure).To(BeTrue(), "all are heard, which proves nothing")
+	b.g.Expect(b.s.State("00000000000000ff", asked+ms).Unsure).To(BeTrue(), "that all are reachable proves nothing")
 	b.s.SetContested(true)
 	b.g.Expect(b.s.State("00000000000000ff", asked+ms).Unsure).To(BeTrue())
 	b.s.RowOwnershipVerified(asked+10*ms, asked+5*ms)
-	b.g.Expect(b.s.State("00000000000000ff", asked+ms).Unsure).To(BeFalse(), "the store has proved it since")
+	b.g.Expect(b.s.State("00000000000000ff", asked+ms).Unsure).To(BeFalse(), "the store has proved the ownership since")
 }
 
-// A process was frozen and wakes. In its buffers is a stored job that was handed in long
-// ago by an entry VM whose connection has ended since. That one has given it to another
-// scheduler, which refused it; so it must not be accepted here when this process leads.
+// A process was suspended and resumes. Its buffers hold a stored job that was handed in long ago by
+// an entry VM whose connection has ended since. That VM has given the job to another scheduler,
+// which refused it; so it must not be accepted here when this process leads.
 func TestSubmissionsFromBeforeADisconnectAreDropped(t *testing.T) {
 	b := newHarness(t, testRunner("r1"))
 	b.submit(storedJob(1, 100*ms), 2*time.Second)
--- a/core/schedule/submit.go
+++ b/core/schedule/submit.go
@@ -10,31 +10,30 @@
 type Submission struct {
 	Job   *workload.Job
 	Entry EntryID
-	// RemainingObjective and RemainingTimeout are the rest of the latency objective and of the time
-	// that the caller waits.
+	// RemainingObjective and RemainingTimeout are what is left of the latency objective and of
+	// the time that the caller waits.
 	RemainingObjective time.Duration
 	RemainingTimeout   time.Duration
 	// PriorSubmissions counts how often the entry VM handed the job in before, to this
 	// scheduler or others.
 	PriorSubmissions int
-	// PriorRunsTTL is how much longer runs may be alive that an earlier scheduler
-	// has started.
+	// PriorRunsTTL is how much longer runs that an earlier scheduler has started may be alive.
 	PriorRunsTTL time.Duration
 	// Domain is the failure domain of the entry VM; "" if it isn't known.
 	Domain string
-	// Foreign: the job belongs to another shard, to which copies of it go.
+	// Foreign: the job belongs to another shard, which receives copies of it.
 	Foreign bool
 }
 
-// worthlessFactor times its objective is when a job's answer is worth nothing any
-// more, by the users' terms.
+// worthlessFactor times its objective is the time after which a job's answer has no value, by the
+// users' terms.
 const worthlessFactor = 3
 
-// runsPerScheduler is the distance between the run numbers of successive
-// schedulers: each starts above all that the one before may have used.
+// runsPerScheduler is the distance between the run numbers of successive schedulers: each starts
+// above all numbers that the previous one may have used.
 const runsPerScheduler = 100
 
-// Submit takes a job, or another copy of one that is known.
+// Submit handles the submission of a job, which may be a copy of a known one.
 func (s *Scheduler) Submit(now Time, sub Submission) {
 	s.now = now
 	s.lastHeard[sub.Entry] = now
@@ -64,10 +63,9 @@
 	j := newJob(sub.Job, now)
 	j.entry, j.domain, j.foreign = sub.Entry, sub.Domain, sub.Foreign
 	j.deadline = now + sub.RemainingTimeout
-	// What isn't done when its caller has left is worth nothing, however long
-	// its objective.
+	// A job that isn't done when its caller has left has no value, however long its objective.
 	j.due = min(now+sub.RemainingObjective, j.deadline)
-	// The objective counts from the caller's first send; a part of it may be over.
+	// The objective counts from the caller's first send, so a part of it may be over.
 	j.worthlessAt = min(now+sub.RemainingObjective+(worthlessFactor-1)*sub.Job.Objective, j.deadline)
 	s.handedBefore(j, sub)
 	if _, ok := s.ranJobs[id]; ok {
@@ -89,7 +87,7 @@
 	s.dispatch()
 }
 
-// handedBefore notes what other schedulers may have started of a job.
+// handedBefore records that other schedulers may have started tasks of a job.
 func (s *Scheduler) handedBefore(j *job, sub Submission) {
 	if sub.PriorSubmissions <= j.priorSchedulers {
 		return
@@ -103,8 +101,7 @@
 	s.requestLists(j.work.Service)
 }
 
-// attach joins a job with runs and ends that runners list for it, and reports
-// whether it found ends.
+// attach assigns the runs and ends that runners list for a job, and reports whether it found ends.
 func (s *Scheduler) attach(j *job) bool {
 	found := false
 	j.eachTask(func(t *taskState) {
@@ -123,8 +120,7 @@
 	return found
 }
 
-// adopt makes a run without a job the current run of its task, or stops it if
-// the task has another.
+// adopt makes an orphan the current run of its task, or stops it if the task has another run.
 func (s *Scheduler) adopt(j *job, u *run) {
 	t := j.task(u.key.Task)
 	if t == nil || t.phase != waiting || j.ended {
@@ -146,7 +142,7 @@
 	s.emit(Decision{Event: "run-adopted", Job: j.work.ID, Run: u.key, Runner: u.runner.info.ID, Token: u.runner.token})
 }
 
-// reserve corrects the room that a run takes.
+// reserve corrects the resources that a run uses.
 func (r *runner) reserve(u *run, need workload.Resources) {
 	r.used = r.used.Minus(u.need).Plus(need)
 	u.need = need
@@ -156,7 +152,7 @@
 	s.emit(Answer{At: s.now, Entry: to, Job: id, Outcome: o, Reason: reason})
 }
 
-// finish gives the final word on a job and stops what still runs of it.
+// finish reports the final outcome of a job and stops its remaining runs.
 func (s *Scheduler) finish(j *job, o workload.Outcome, reason string) {
 	if j.ended {
 		return
@@ -184,26 +180,24 @@
 	s.emit(a)
 }
 
-// mayHaveRun reports whether something of a job has run, or nobody can tell.
+// mayHaveRun reports whether a task of a job has run, or may have.
 //
-// A caller whose entry VM has died sends its job again. If the scheduler that
-// had it is gone too, nothing may be left of it: the ends that it acknowledged
-// aren't listed any more. Or that scheduler is cut off, and the caller isn't. So
-// for a while after a takeover, and while another process is missing, such a job
-// can't be told from a new one, and its caller must not be told that nothing was
-// run.
+// A caller whose entry VM has died sends its job again. If the scheduler that had the job is lost
+// too, no trace of it may be left: the ends that it acknowledged aren't listed any more. Or that
+// scheduler is cut off, and the caller isn't. So for some time after a takeover, and while another
+// process is unreachable, such a job can't be distinguished from a new one, and its caller must
+// not be told that nothing was run.
 func (s *Scheduler) mayHaveRun(j *job) bool {
 	return j.started || s.uncertain()
 }
 
-// uncertain reports whether a copy of a job may come here of which something has run
-// elsewhere.
+// uncertain reports whether a copy of a job may arrive here that has run elsewhere.
 func (s *Scheduler) uncertain() bool {
 	return s.now < s.uncertainUntil || len(s.unreachable) > 0 || s.anyUnreachable || s.otherCellUnreachable
 }
 
-// outcomeForCopy is what a copy of a job is told that has ended here. One that was refused here
-// may have found room in another shard, before its entry VM was lost.
+// outcomeForCopy returns the answer to a copy of a job that has ended here. A job that was refused
+// here may have found room in another shard before its entry VM was lost.
 func (s *Scheduler) outcomeForCopy(r result) workload.Outcome {
 	if r.outcome == workload.NotRun && s.uncertain() {
 		return workload.GaveUp
@@ -211,8 +205,7 @@
 	return r.outcome
 }
 
-// forget drops a job and stops its runs. They stay known as runs without a job
-// until they have ended.
+// forget drops a job and stops its runs, which stay known as orphans until they have ended.
 func (s *Scheduler) forget(j *job) {
 	j.ended = true
 	s.noteRan(j)
@@ -233,8 +226,8 @@
 	})
 }
 
-// noteRan remembers that something of a job has run. Its caller may send it
-// again, and must not be told then that nothing was run.
+// noteRan remembers that tasks of a job have run. Its caller may send it again, and must not be told
+// then that nothing was run.
 func (s *Scheduler) noteRan(j *job) {
 	if j.started {
 		s.ranJobs[j.work.ID] = s.now
@@ -266,9 +259,8 @@
 	s.results[id] = result{outcome: o, at: s.now}
 }
 
-// Cancel ends a job for its caller, and tells what has come of it. A job
-// that comes later under the id doesn't run. done is false if that is yet to be
-// written to the store; an OutcomeSaved follows then.
+// Cancel ends a job for its caller, and returns its state. A job that arrives later under the id
+// doesn't run. done is false if the outcome isn't in the store yet; an OutcomeSaved follows then.
 func (s *Scheduler) Cancel(now Time, id workload.JobID) (state JobState, done bool) {
 	s.now = now
 	if j := s.jobs[id]; j != nil && j.stored == nil {
@@ -282,14 +274,14 @@
 	return s.cancelStored(id)
 }
 
-// JobState is how far a job is.
+// JobState is the state of a job as reported to callers.
 type JobState struct {
-	// Unsure: it can't be told at present whether there is such a job.
+	// Unsure: it is not known at present whether there is such a job.
 	Unsure bool
 	Known  bool
-	// Begun: a start of one of its tasks is known of.
+	// Begun: a start of one of its tasks is known to have been ordered.
 	Begun bool
-	// Ending: it has ended, and that is being written to the store.
+	// Ending: it has ended, and its outcome is being written to the store.
 	Ending bool
 	// Running: none of its tasks waits for a runner.
 	Running bool
@@ -298,11 +290,10 @@
 	Outcome workload.Outcome
 }
 
-// Open reports whether the state may change in a moment: the job hasn't ended, or
-// nothing is certain yet.
+// Open reports whether the state may still change: the job hasn't ended, or isn't known for certain.
 func (s JobState) Open() bool { return s.Unsure || s.Known && !s.Ended }
 
-// State tells how far a job is, for a caller who has asked at a time.
+// State returns the state of a job for a caller who asked at the given time.
 func (s *Scheduler) State(id workload.JobID, asked Time) JobState {
 	if r, ok := s.results[id]; ok {
 		return JobState{Known: true, Ended: true, Outcome: r.outcome}
--- a/core/schedule/tick.go
+++ b/core/schedule/tick.go
@@ -9,7 +9,7 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Tick does what is due. It is called every few tens of milliseconds.
+// Tick does the periodic work. It is called every few tens of milliseconds.
 func (s *Scheduler) Tick(now Time) {
 	s.now = now
 	s.expire()
@@ -30,8 +30,8 @@
 	s.dispatch()
 }
 
-// refuseWithoutLeader refuses jobs that were handed in to a process that doesn't come to
-// lead.
+// refuseWithoutLeader answers GaveUp to jobs that were handed in to a process that doesn't become
+// leader in time.
 func (s *Scheduler) refuseWithoutLeader() {
 	for _, j := range s.sortedJobs() {
 		if j.stored == nil && s.now-j.arrived > leadershipTimeout {
@@ -54,7 +54,7 @@
 	case !j.started && (s.hopeless(j) || j.worthless(s.now) && j.late(s.now)):
 		s.finish(j, workload.NotRun, "too little time is left")
 	case j.idle() && s.hopeless(j):
-		// Its caller waits for nothing, and learns that now.
+		// Its caller would wait in vain, and is told at once.
 		s.finish(j, workload.NotRun, "too little time is left")
 	}
 }
@@ -82,8 +82,7 @@
 	}
 }
 
-// lapseRuns gives up the runs of a runner that has been silent for longer than
-// their leases can last.
+// lapseRuns drops the runs of a runner that has been silent for longer than their leases can last.
 func (s *Scheduler) lapseRuns(r *runner) {
 	for _, u := range r.sortedRuns() {
 		r.drop(u)
@@ -93,9 +92,8 @@
 		s.ctr.Lapsed++
 		s.emit(Decision{Event: "run-lapsed", Job: u.key.Task.Job, Run: u.key, Runner: r.info.ID, Reason: "runner is silent", Age: s.now - r.clockAt})
 		if s.now-s.lastHeard[u.task.job.entry] > maxHeartbeatAge {
-			// The entry VM may be cut off together with the runner. Then the
-			// scheduler on that side may have taken the run over, and the job
-			// will be dropped here in a moment.
+			// The entry VM may be cut off together with the runner. Then the scheduler on that
+			// side may have adopted the run, and the job will shortly be dropped here.
 			u.task.notBefore = s.now + entryRecoveryDelay
 		}
 		s.requeueUnseen(u.task)
@@ -110,8 +108,7 @@
 			s.requeue(u.task)
 		}
 	case u.startedElsewhere && u.task == nil && !s.rows.loaded && !s.rows.noStoredJobs:
-		// It may be that of a stored job, which will be known in a moment. No
-		// lease is given meanwhile.
+		// It may belong to a stored job that isn't loaded yet. No lease is granted meanwhile.
 	case u.task == nil && u.stopAt > 0 && s.now >= u.stopAt:
 		s.stopRun(u)
 	case u.task != nil && !u.stopping && !u.confirmed && u.stopAt > 0:
@@ -121,9 +118,8 @@
 	}
 }
 
-// stopOverdue stops a run that takes far longer than estimated, so that it is
-// started on another runner: tasks stand still on some runners that are
-// otherwise healthy.
+// stopOverdue stops a run that takes far longer than estimated, so that its task is started on
+// another runner: tasks hang on some runners that are otherwise healthy.
 func (s *Scheduler) stopOverdue(r *runner, u *run) {
 	t := u.task
 	if s.now+t.step().Estimate > t.job.deadline {
@@ -137,11 +133,11 @@
 	s.stopRun(u)
 }
 
-// expireInterval is how often old entries are looked for among some thousand; nothing is
-// harmed if they are kept for that much longer.
+// expireInterval is how often some thousand entries are checked for expiry; keeping an entry for
+// that much longer does no harm.
 const expireInterval = time.Second
 
-// expire forgets old outcomes.
+// expire drops old outcomes and other entries whose retention is over.
 func (s *Scheduler) expire() {
 	for len(s.resultOrder) > 0 {
 		id := s.resultOrder[0]
--- a/core/schedule/timed_test.go
+++ b/core/schedule/timed_test.go
@@ -10,10 +10,10 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// dayStart is the time of day at time 0 of a bench, in milliseconds since 1970.
+// dayStart is the time of day at time 0 of a harness, in milliseconds since 1970.
 const dayStart = 1_700_000_000_000
 
-// timedJob is due first in a while, and then every interval.
+// timedJob returns a job that is due first after a time, and then at each interval.
 func (b *harness) timedJob(times int, first, interval time.Duration) *workload.Job {
 	b.s.SetTimeOfDay(b.now, dayStart+b.now.Milliseconds())
 	j := storedJob(1, 100*ms)
@@ -22,14 +22,14 @@
 	return j
 }
 
-// A timed job runs each time when it is due, also while the time before still
-// runs, and is completed when all have ended.
+// A timed job runs each time that it is due, also while an earlier occurrence still runs, and is
+// completed when all occurrences have ended.
 func TestTimedJob(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j := b.timedJob(3, 500*ms, 300*ms)
 	b.accepted(j)
 	b.wait(480 * ms)
-	b.g.Expect(take[Start](b)).To(BeEmpty(), "half a second too early")
+	b.g.Expect(take[Start](b)).To(BeEmpty(), "it isn't due yet")
 	b.g.Expect(b.s.State(j.ID, b.now)).To(Equal(JobState{Known: true}))
 	b.wait(40 * ms)
 	first := one[Start](b)
@@ -39,7 +39,7 @@
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 	b.wait(60 * ms)
 	second := one[Start](b)
-	b.g.Expect(second.Run.Task.String()).To(Equal(string(j.ID)+".1.0.0"), "beside the first")
+	b.g.Expect(second.Run.Task.String()).To(Equal(string(j.ID)+".1.0.0"), "while the first still runs")
 	b.started(second, Accepted)
 	b.end("r1", 1, first.Run, workload.Done)
 	b.end("r1", 2, second.Run, workload.Done)
@@ -53,8 +53,8 @@
 	b.g.Expect(saves[len(saves)-1].Record.State).To(Equal(ledger.Completed))
 }
 
-// A scheduler is lost between two times of a job. The next one knows which have
-// been, and runs the rest when they are due.
+// A scheduler is lost between two occurrences of a job. The next one knows which have ended, and
+// runs the rest when they are due.
 func TestRestoredTimedJob(t *testing.T) {
 	b := newHarness(t, testRunner("r1"))
 	j := b.timedJob(3, -400*ms, 2*time.Second)
@@ -69,7 +69,7 @@
 	b.g.Expect(one[Start](b).Run.Task.Occurrence).To(Equal(1))
 }
 
-// Much is to be run tomorrow. That is no reason to refuse a job of today.
+// Much work is due tomorrow. That is no reason to refuse a job that is due now.
 func TestFutureOccurrencesDontBlockNewJobs(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	for range 10 {
--- a/core/schedule/unequal_test.go
+++ b/core/schedule/unequal_test.go
@@ -10,14 +10,15 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// shardRunners is the size of a shard, and shardShare its part of the load of unequalWork.
+// shardRunners is the number of runners of a shard, and shardShare its share of the load of
+// unequalWork.
 const (
 	shardRunners = 58
 	shardShare   = 1.0 / 6
 )
 
-// overloaded plays a wave at 1.3 times the usual load to one shard, with a burst of all
-// kinds of job and one of the usual kind, and returns what callers got.
+// overloaded plays a wave of load around 1.3 times the usual one against one shard, with a burst
+// of all kinds of job and one of the usual kind, and returns the tallies by kind.
 func overloaded(seeds int) map[string]*tally {
 	sums := make(map[string]*tally)
 	for seed := range uint64(seeds) {
@@ -58,8 +59,8 @@
 	t.earned += o.earned
 }
 
-// Guards against work that is begun and then given up, in a burst of jobs whose tasks need
-// half a runner: callers wait for seconds, and can't be told that nothing was run.
+// Guards against work that is started and then given up in a burst of jobs whose tasks need half a
+// runner: callers would wait for seconds, and couldn't be told that nothing was run.
 func TestWorkThatIsBegunIsFinishedInABurst(t *testing.T) {
 	g := NewWithT(t)
 	all := overloaded(3)["all"]
@@ -71,8 +72,8 @@
 	g.Expect(all.falseRefusals).To(BeZero())
 }
 
-// Guards against callers who wait for most of their time in a burst, and are refused then:
-// it is known as a job turns late that more comes than the runners can do.
+// Guards against callers who wait for most of their time in a burst and are then refused: when a
+// job turns late it is known that more work arrives than the runners can do.
 func TestBurstIsRefusedEarlyOrServed(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	for _, c := range fill(b, 4, 300*ms) {
@@ -96,7 +97,7 @@
 	b.g.Expect(waited).To(BeNumerically("<", late.Objective))
 }
 
-// fill gives the runners as many tasks as they have places for.
+// fill gives the runners as many tasks as they have room for.
 func fill(b *harness, tasks int, estimate time.Duration) []Start {
 	b.submit(testJob(tasks, estimate), 5*time.Second)
 	starts := take[Start](b)
@@ -104,8 +105,8 @@
 	return starts
 }
 
-// Guards against late jobs that are refused in a lull: nothing waits before them that
-// would keep the runners busy, and a late answer is better than none.
+// Guards against late jobs that are refused when load is low: too little waits ahead of them to
+// keep the runners busy, and a late answer is better than none.
 func TestALateJobIsServedInALull(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	starts := fill(b, 2, 300*ms)
