--- a/core/fleet/evacuation.go
+++ b/core/fleet/evacuation.go
@@ -11,9 +11,9 @@
 // The operator's word on failure domains goes with each heartbeat, so that a leader which
 // the store turns away hears of it, and a new one knows what the one before knew.
 
-// Evacuated takes the operator's word on which failure domains get no new tasks, if it
+// ApplyEvacuations takes the operator's word on which failure domains get no new tasks, if it
 // is later than what is known.
-func (n *Node) Evacuated(now Time, e routing.Evacuations, source string) {
+func (n *Node) ApplyEvacuations(now Time, e routing.Evacuations, source string) {
 	first := n.evacuations.Version == 0 && e.Version > 0
 	changed := n.evacuations.Apply(e)
 	if first {
--- a/core/fleet/handover_test.go
+++ b/core/fleet/handover_test.go
@@ -66,11 +66,11 @@
 	n.Registered(0, "a#1", 1)
 	for now := time.Duration(0); now < 5*time.Second; now += fleet.TickInterval {
 		n.Tick(now)
-		g.Expect(n.Widened()).To(BeZero(), "at %v", now)
+		g.Expect(n.SeatDoublings()).To(BeZero(), "at %v", now)
 	}
-	n.Layout(5*time.Second, layout.Pooled(1))
-	n.Declared(5*time.Second, &routing.Declaration{Version: 1}, "store")
-	n.Evacuated(5*time.Second, routing.Evacuations{Version: 1}, "store")
+	n.ApplyLayout(5*time.Second, layout.Pooled(1))
+	n.ApplyDeclaration(5*time.Second, &routing.Declaration{Version: 1}, "store")
+	n.ApplyEvacuations(5*time.Second, routing.Evacuations{Version: 1}, "store")
 	n.RunnersRead(5*time.Second, fleet.RunnerList{Revision: 1})
 	follows := leader.Report{Number: 2, Able: true, Shards: 1, Follows: []leader.Follow{{Leader: "c#3"}}}
 	for now := 5 * time.Second; now < 7*time.Second; now += fleet.TickInterval {
@@ -78,7 +78,7 @@
 		n.Receive(now, "b#2", fleet.Heartbeat{Report: follows})
 		n.Tick(now)
 	}
-	g.Expect(n.Widened()).To(BeNumerically(">", 0))
+	g.Expect(n.SeatDoublings()).To(BeNumerically(">", 0))
 }
 
 // Two processes tell each other that they live. One answers the heartbeat of the
--- a/core/fleet/jobs.go
+++ b/core/fleet/jobs.go
@@ -34,8 +34,8 @@
 	n.gateway.Arrive(now, request, n.ofJob(job), job, patience)
 }
 
-// Left notes that a caller has gone.
-func (n *Node) Left(now Time, request uint64) {
+// CallerLeft notes that a caller has gone.
+func (n *Node) CallerLeft(now Time, request uint64) {
 	n.leftEarly(request)
 	n.gateway.Left(now, request)
 }
--- a/core/fleet/lapsed_test.go
+++ b/core/fleet/lapsed_test.go
@@ -44,9 +44,9 @@
 func newLister() *lister {
 	n := &lister{Node: fleet.New(schedule.DefaultConfig(), grace, 400, 0)}
 	n.Registered(0, "a#1", 1)
-	n.Layout(0, layout.Pooled(1))
-	n.Declared(0, &routing.Declaration{Version: 1}, "store")
-	n.Evacuated(0, routing.Evacuations{Version: 1}, "store")
+	n.ApplyLayout(0, layout.Pooled(1))
+	n.ApplyDeclaration(0, &routing.Declaration{Version: 1}, "store")
+	n.ApplyEvacuations(0, routing.Evacuations{Version: 1}, "store")
 	l := listOf(1, "a", "b", "c")
 	l.Runners[2].Draining = true
 	n.RunnersRead(0, l)
--- a/core/fleet/large_test.go
+++ b/core/fleet/large_test.go
@@ -65,12 +65,12 @@
 	leaders := make(map[int]map[string]bool)
 	for _, n := range w.nodes {
 		g.Expect(n.node.Serves()).To(BeTrue(), n.name)
-		g.Expect(n.node.Widened()).To(BeZero(), n.name)
+		g.Expect(n.node.SeatDoublings()).To(BeZero(), n.name)
 		if !n.large() {
 			g.Expect(n.node.Leads()).To(BeFalse(), n.name)
 			g.Expect(len(n.wanted)).To(BeNumerically("<=", largePerDomain+outsideLinks), n.name)
 		}
-		for i, s := range n.node.Shards(w.now) {
+		for i, s := range n.node.DumpShards(w.now) {
 			if s.Scheduler == nil {
 				continue
 			}
--- a/core/fleet/members.go
+++ b/core/fleet/members.go
@@ -74,7 +74,7 @@
 // configuration and the shards are known nobody can lead, and looking would be for
 // nothing.
 func (n *Node) lookFurther(now Time) {
-	if n.ReachesAll() || !n.view.Informed() {
+	if n.ReachesAllLeaders() || !n.view.Informed() {
 		n.reachedAt = now
 	}
 	step := aloneAfter
@@ -90,33 +90,33 @@
 	n.connect()
 }
 
-// Place is where a process stands in its fleet, for dumps and metrics.
-type Place struct {
+// MembershipStatus is where a process stands in its fleet, for dumps and metrics.
+type MembershipStatus struct {
 	// Cell is the process's own; "" if runners are pooled.
 	Cell string `json:"cell,omitempty"`
 	// Seated: the VM is one of those that schedule first.
 	Seated bool `json:"seated"`
-	// Widened is how often the number of seats was doubled.
-	Widened int `json:"widened"`
-	// Members is the number of registered processes, and Unheard that of the VMs
+	// SeatDoublings is how often the number of seats was doubled.
+	SeatDoublings int `json:"widened"`
+	// Members is the number of registered processes, and UnreachableVMs that of the VMs
 	// of the cell that aren't heard.
-	Members int `json:"members"`
-	Unheard int `json:"unheard"`
-	// Wanted is the number of connections asked for.
-	Wanted int `json:"wanted_connections"`
+	Members        int `json:"members"`
+	UnreachableVMs int `json:"unheard"`
+	// WantedConnections is the number of connections asked for.
+	WantedConnections int `json:"wanted_connections"`
 }
 
-// Place describes this process.
-func (n *Node) Place() Place {
-	return Place{
-		Cell: n.cell, Seated: n.seated, Widened: n.widened,
-		Members: len(n.members), Unheard: len(n.unheard), Wanted: len(n.links),
+// MembershipStatus describes this process.
+func (n *Node) MembershipStatus() MembershipStatus {
+	return MembershipStatus{
+		Cell: n.cell, Seated: n.seated, SeatDoublings: n.widened,
+		Members: len(n.members), UnreachableVMs: len(n.unheard), WantedConnections: len(n.links),
 	}
 }
 
-// Widened is how often the number of seats was doubled; 0 while a scheduler is in
+// SeatDoublings is how often the number of seats was doubled; 0 while a scheduler is in
 // reach.
-func (n *Node) Widened() int { return n.widened }
+func (n *Node) SeatDoublings() int { return n.widened }
 
 // noteUnheard notes since when no process of a VM is heard. One that isn't may
 // live behind a cut, and lead there, also if this process has never heard it.
--- a/core/fleet/message.go
+++ b/core/fleet/message.go
@@ -33,11 +33,11 @@
 	// Pending is, from the leader, the jobs of each queue of which no task has
 	// started.
 	Pending map[string]int
-	// Wait is, from a process that leads, how long what waits in its shards would
+	// BacklogTime is, from a process that leads, how long what waits in its shards would
 	// take their runners.
-	Wait time.Duration
-	// Doubt is how much longer the sender doubts that all VMs are heard by somebody.
-	Doubt time.Duration
+	BacklogTime time.Duration
+	// UncertainFor is how much longer the sender doubts that all VMs are heard by somebody.
+	UncertainFor time.Duration
 	// Evacuations are the failure domains that get no new tasks, as the sender knows.
 	Evacuations routing.Evacuations
 }
--- a/core/fleet/moved.go
+++ b/core/fleet/moved.go
@@ -97,7 +97,7 @@
 // queried takes another process's question.
 func (n *Node) queried(now Time, from leader.ID, m JobQuery) {
 	q := question{from: from, request: m.Request, cancel: m.Cancel, shard: m.Shard, hops: m.Hops}
-	if m.Hops == 0 && n.LaidOut() {
+	if m.Hops == 0 && n.LayoutKnown() {
 		q.shard = n.layout.OfStoredJob(m.Job)
 	}
 	n.ask(now, q, m.Job)
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -291,8 +291,8 @@
 	n.membersChanged(now)
 }
 
-// Declared takes a configuration into force if it is newer.
-func (n *Node) Declared(now Time, d *routing.Declaration, source string) {
+// ApplyDeclaration takes a configuration into force if it is newer.
+func (n *Node) ApplyDeclaration(now Time, d *routing.Declaration, source string) {
 	if !n.table.Apply(d) {
 		return
 	}
@@ -375,23 +375,23 @@
 // Table is the configuration in force.
 func (n *Node) Table() routing.Table { return n.table }
 
-// Version is that of the configuration in force; 0 before the first.
-func (n *Node) Version() uint64 { return n.table.Version() }
+// ConfigVersion is that of the configuration in force; 0 before the first.
+func (n *Node) ConfigVersion() uint64 { return n.table.Version() }
 
 // RunnersRevision is that of the list of runners that is known.
 func (n *Node) RunnersRevision() uint64 { return n.runners.Revision }
 
-// InHand is the number of jobs whose callers wait here.
-func (n *Node) InHand() int { return n.gateway.InHand() }
+// JobsInFlight is the number of jobs whose callers wait here.
+func (n *Node) JobsInFlight() int { return n.gateway.InHand() }
 
 // Serves reports whether new callers should come here: a job finds a scheduler,
 // though perhaps not that of its home.
 func (n *Node) Serves() bool {
-	return n.stopAt == 0 && n.table.Current() != nil && (n.ReachesAll() || n.gateway.Reaches())
+	return n.stopAt == 0 && n.table.Current() != nil && (n.ReachesAllLeaders() || n.gateway.Reaches())
 }
 
-// ReachesAll reports whether the leader of each shard of the own cell is in reach.
-func (n *Node) ReachesAll() bool {
+// ReachesAllLeaders reports whether the leader of each shard of the own cell is in reach.
+func (n *Node) ReachesAllLeaders() bool {
 	for _, s := range n.own {
 		if s.choice.Leader == "" || !s.choice.Reachable {
 			return false
--- a/core/fleet/peers.go
+++ b/core/fleet/peers.go
@@ -108,19 +108,19 @@
 	case JobTaken:
 		n.taken(now, m)
 	case Declaration:
-		n.Declared(now, m.Declaration, string(from))
+		n.ApplyDeclaration(now, m.Declaration, string(from))
 	case Progress:
 		if s := n.ownShard(m.Shard); s != nil {
 			s.schedule.Learn(now, m.Progress)
 		}
 	case Layout:
-		n.Layout(now, m.Layout)
+		n.ApplyLayout(now, m.Layout)
 	case RunnerList:
 		if m.Handover {
 			n.suspect(now, m.Runners)
 			return
 		}
-		if n.LaidOut() && !n.inCell(from) {
+		if n.LayoutKnown() && !n.inCell(from) {
 			return
 		}
 		n.noteLapsed(now, m)
@@ -134,7 +134,7 @@
 	if before.Number == 0 {
 		n.noteUnheard(now)
 	}
-	if h.Report.Shards == 0 && n.LaidOut() {
+	if h.Report.Shards == 0 && n.LayoutKnown() {
 		n.emit(Send{To: from, Message: Layout{n.layout}})
 	}
 	n.learnStored(now, h.StoredJobs)
@@ -145,12 +145,12 @@
 		n.emit(Send{To: from, Message: Declaration{d}})
 	}
 	n.updateRunners(from, h)
-	n.hearDoubt(now, h.Doubt)
-	n.Evacuated(now, h.Evacuations, string(from))
+	n.hearDoubt(now, h.UncertainFor)
+	n.ApplyEvacuations(now, h.Evacuations, string(from))
 	n.pending[from] = h.Pending
 	for _, s := range n.shards {
 		if h.Report.Leader(s.index) == from {
-			n.gateway.SetWait(s.index, h.Wait)
+			n.gateway.SetWait(s.index, h.BacklogTime)
 		}
 	}
 	if now-n.sent[from] >= leader.HeartbeatInterval/2 {
@@ -217,9 +217,9 @@
 		h.RunnersDigest = n.digest
 	}
 	h.Report.Term = n.term()
-	h.Doubt = max(0, n.doubtUntil-now)
+	h.UncertainFor = max(0, n.doubtUntil-now)
 	if n.Leads() {
-		h.Pending, h.Wait = n.ownPending(), n.wait
+		h.Pending, h.BacklogTime = n.ownPending(), n.wait
 	}
 	n.emit(Send{To: to, Message: h})
 }
--- a/core/fleet/processes_test.go
+++ b/core/fleet/processes_test.go
@@ -82,7 +82,7 @@
 		}
 		w.link(n)
 		w.do(n, func() { n.node.Tick(w.now) })
-		if n.node.Done(w.now) {
+		if n.node.StopComplete(w.now) {
 			w.do(n, func() { n.node.GiveUp(w.now) })
 			w.endProcess(n, true)
 			return
@@ -189,17 +189,17 @@
 	}
 	if w.storeReached(n) {
 		w.do(n, func() {
-			n.node.StoreRead(w.now, w.store.any())
+			n.node.StoredJobsRead(w.now, w.store.any())
 			if w.now >= w.layoutAt {
-				n.node.Layout(w.now, w.layout())
+				n.node.ApplyLayout(w.now, w.layout())
 			}
 			if n.met != w.numbers || !w.cells {
 				n.met = w.numbers
 				n.node.SetMembers(w.now, slices.Clone(w.members))
 			}
-			n.node.Evacuated(w.now, w.evacuations.newest(), "store")
-			n.node.Declared(w.now, &routing.Declaration{Version: 1}, "store")
-			if !n.node.ToldRunners() {
+			n.node.ApplyEvacuations(w.now, w.evacuations.newest(), "store")
+			n.node.ApplyDeclaration(w.now, &routing.Declaration{Version: 1}, "store")
+			if !n.node.ReceivesRunnerList() {
 				n.node.RunnersRead(w.now, w.list())
 			}
 		})
--- a/core/fleet/queries.go
+++ b/core/fleet/queries.go
@@ -14,7 +14,7 @@
 // the request's number follows.
 func (n *Node) Query(now Time, request uint64, id workload.JobID, cancel bool) {
 	n.checkPause(now)
-	if !n.LaidOut() {
+	if !n.LayoutKnown() {
 		n.emit(StateAnswer{Request: request, Unreachable: true})
 		return
 	}
@@ -30,8 +30,8 @@
 	}
 }
 
-// Forget drops a question whose caller has left.
-func (n *Node) Forget(request uint64) { delete(n.queries, request) }
+// ForgetQuery drops a question whose caller has left.
+func (n *Node) ForgetQuery(request uint64) { delete(n.queries, request) }
 
 func (n *Node) answerQuery(m JobAnswer) {
 	if r, ok := n.relays[m.Request]; ok {
--- a/core/fleet/runners.go
+++ b/core/fleet/runners.go
@@ -49,14 +49,14 @@
 // reads reports whether this process is that one: it leads the cell's first shard.
 func (n *Node) reads() bool { return len(n.own) > 0 && n.own[0].leading() }
 
-// ReadOften reports whether the list should be read often here: for the cell, or for
+// ShouldPollRunners reports whether the list should be read often here: for the cell, or for
 // a process that should and can't.
-func (n *Node) ReadOften() bool { return n.reads() || len(n.askedFor) > 0 }
+func (n *Node) ShouldPollRunners() bool { return n.reads() || len(n.askedFor) > 0 }
 
-// ToldRunners reports whether this process needn't read the list, since the one that
+// ReceivesRunnerList reports whether this process needn't read the list, since the one that
 // reads it for the cell is in reach. Before anybody can lead the VMs with seats read.
-func (n *Node) ToldRunners() bool {
-	if !n.LaidOut() {
+func (n *Node) ReceivesRunnerList() bool {
+	if !n.LayoutKnown() {
 		return !n.seated
 	}
 	c := n.own[0].choice
--- a/core/fleet/shards.go
+++ b/core/fleet/shards.go
@@ -21,10 +21,10 @@
 	questions map[workload.JobID][]question
 }
 
-// Layout sets how the runners are divided, once: it is kept in the platform's
+// ApplyLayout sets how the runners are divided, once: it is kept in the platform's
 // store and the same in all processes.
-func (n *Node) Layout(now Time, l layout.Layout) {
-	if n.LaidOut() || len(l) == 0 {
+func (n *Node) ApplyLayout(now Time, l layout.Layout) {
+	if n.LayoutKnown() || len(l) == 0 {
 		return
 	}
 	n.layout = l
@@ -69,8 +69,8 @@
 	return o
 }
 
-// LaidOut reports whether the number of shards is known.
-func (n *Node) LaidOut() bool { return len(n.shards) > 0 }
+// LayoutKnown reports whether the number of shards is known.
+func (n *Node) LayoutKnown() bool { return len(n.shards) > 0 }
 
 // setAble says whether this process could schedule: it knows the shards, the
 // configuration, which failure domains are evacuated, and a list of runners. One that
@@ -78,7 +78,7 @@
 // without it, it would refuse all jobs. A VM without a seat leaves scheduling to those
 // that have one, until none of them has been in reach for a while.
 func (n *Node) setAble() {
-	able := n.LaidOut() && n.table.Current() != nil && n.evacuations.Version > 0 && n.listKnown
+	able := n.LayoutKnown() && n.table.Current() != nil && n.evacuations.Version > 0 && n.listKnown
 	n.view.SetAble(able, !n.seated && !n.Leads())
 }
 
@@ -222,8 +222,8 @@
 	return list
 }
 
-// Shards describes each shard as this process sees it, for dumps.
-func (n *Node) Shards(now Time) []ShardDump {
+// DumpShards describes each shard as this process sees it, for dumps.
+func (n *Node) DumpShards(now Time) []ShardDump {
 	var list []ShardDump
 	for _, s := range n.shards {
 		d := ShardDump{Cell: n.layout[s.index], Leader: string(s.choice.Leader), Reachable: s.choice.Reachable}
--- a/core/fleet/stop.go
+++ b/core/fleet/stop.go
@@ -39,8 +39,8 @@
 	n.follow(now)
 }
 
-// Done reports whether a planned stop is over.
-func (n *Node) Done(now Time) bool {
+// StopComplete reports whether a planned stop is over.
+func (n *Node) StopComplete(now Time) bool {
 	if n.stopAt == 0 {
 		return false
 	}
--- a/core/fleet/storedjobs.go
+++ b/core/fleet/storedjobs.go
@@ -24,8 +24,8 @@
 // String is for logs.
 func (k StoredJobs) String() string { return storedJobsNames[k] }
 
-// StoreRead tells whether the store has any stored jobs, as it was read.
-func (n *Node) StoreRead(now Time, any bool) {
+// StoredJobsRead tells whether the store has any stored jobs, as it was read.
+func (n *Node) StoredJobsRead(now Time, any bool) {
 	if any {
 		n.learnStored(now, HasStoredJobs)
 		return
--- a/core/fleet/strain.go
+++ b/core/fleet/strain.go
@@ -20,12 +20,12 @@
 	strainSettle = 1500 * time.Millisecond
 )
 
-// Strained takes how long work that was ready has waited for the processor in the
+// RecordCPUWait takes how long work that was ready has waited for the processor in the
 // last moments. A leader whose VM has turned slow lets another one lead. It isn't
 // lost, so without this it would be taken for lost while it is late, and as the
 // oldest take the lead back when it is heard again, time and again; its callers
 // and those of all others would wait.
-func (n *Node) Strained(now Time, wait time.Duration) {
+func (n *Node) RecordCPUWait(now Time, wait time.Duration) {
 	twice := n.strained
 	n.strained = wait >= strainMost
 	if !n.strained || !twice && wait < strainSure {
--- a/core/fleet/strain_test.go
+++ b/core/fleet/strain_test.go
@@ -20,15 +20,15 @@
 		w.run(1500 * time.Millisecond)
 		slow := w.leader()
 		w.lag[slow.name] = 100 * time.Millisecond
-		w.do(slow, func() { slow.node.Strained(w.now, 20*time.Millisecond) })
+		w.do(slow, func() { slow.node.RecordCPUWait(w.now, 20*time.Millisecond) })
 		w.run(10 * time.Millisecond)
 		g.Expect(w.leader()).To(Equal(slow), "a short wait is no reason")
-		w.do(slow, func() { slow.node.Strained(w.now, 40*time.Millisecond) })
-		w.do(slow, func() { slow.node.Strained(w.now, 20*time.Millisecond) })
-		w.do(slow, func() { slow.node.Strained(w.now, 40*time.Millisecond) })
+		w.do(slow, func() { slow.node.RecordCPUWait(w.now, 40*time.Millisecond) })
+		w.do(slow, func() { slow.node.RecordCPUWait(w.now, 20*time.Millisecond) })
+		w.do(slow, func() { slow.node.RecordCPUWait(w.now, 40*time.Millisecond) })
 		w.run(10 * time.Millisecond)
 		g.Expect(w.leader()).To(Equal(slow), "neither is a burst")
-		w.do(slow, func() { slow.node.Strained(w.now, 80*time.Millisecond) })
+		w.do(slow, func() { slow.node.RecordCPUWait(w.now, 80*time.Millisecond) })
 		w.run(300 * time.Millisecond)
 		next := w.leader()
 		g.Expect(next).NotTo(Equal(slow))
@@ -51,7 +51,7 @@
 	changes, leader := 0, w.leader()
 	for range 40 {
 		for _, n := range w.nodes {
-			w.do(n, func() { n.node.Strained(w.now, 80*time.Millisecond) })
+			w.do(n, func() { n.node.RecordCPUWait(w.now, 80*time.Millisecond) })
 		}
 		w.run(100 * time.Millisecond)
 		if l := w.leader(); l != nil && l != leader {
@@ -86,7 +86,7 @@
 	}
 	for range 10 {
 		for _, n := range w.nodes {
-			w.do(n, func() { n.node.Strained(w.now, 80*time.Millisecond) })
+			w.do(n, func() { n.node.RecordCPUWait(w.now, 80*time.Millisecond) })
 		}
 		w.run(200 * time.Millisecond)
 	}
@@ -99,7 +99,7 @@
 	g := NewWithT(t)
 	w := deployment(1, 1)
 	n := w.leader()
-	w.do(n, func() { n.node.Strained(w.now, 80*time.Millisecond) })
+	w.do(n, func() { n.node.RecordCPUWait(w.now, 80*time.Millisecond) })
 	w.run(100 * time.Millisecond)
 	g.Expect(w.leader()).To(Equal(n))
 }
--- a/entry/dump.go
+++ b/entry/dump.go
@@ -8,16 +8,16 @@
 
 // Dump is the state of a process, for operators.
 type Dump struct {
-	ID              string            `json:"id"`
-	Ready           bool              `json:"ready"`
-	Stopping        bool              `json:"stopping"`
-	Configuration   uint64            `json:"configuration"`
-	Evacuated       []string          `json:"evacuated"`
-	Peers           []string          `json:"peers"`
-	Place           fleet.Place       `json:"place"`
-	JobsInHand      int               `json:"jobs_in_hand"`
-	RunnersRevision uint64            `json:"runners_revision"`
-	Shards          []fleet.ShardDump `json:"shards"`
+	ID              string                 `json:"id"`
+	Ready           bool                   `json:"ready"`
+	Stopping        bool                   `json:"stopping"`
+	Configuration   uint64                 `json:"configuration"`
+	Evacuated       []string               `json:"evacuated"`
+	Peers           []string               `json:"peers"`
+	Place           fleet.MembershipStatus `json:"place"`
+	JobsInHand      int                    `json:"jobs_in_hand"`
+	RunnersRevision uint64                 `json:"runners_revision"`
+	Shards          []fleet.ShardDump      `json:"shards"`
 }
 
 // Dump returns the state; it is empty if the process has ended.
@@ -41,9 +41,9 @@
 		Configuration:   table.Version(),
 		Evacuated:       p.node.Evacuations().Domains,
 		Peers:           p.mesh.Connected(),
-		Place:           p.node.Place(),
-		JobsInHand:      p.node.InHand(),
+		Place:           p.node.MembershipStatus(),
+		JobsInHand:      p.node.JobsInFlight(),
 		RunnersRevision: p.node.RunnersRevision(),
-		Shards:          p.node.Shards(now),
+		Shards:          p.node.DumpShards(now),
 	}
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -93,11 +93,11 @@
 	if n.Leads() {
 		m.leading.Set(1)
 	}
-	m.inHand.Set(float64(n.InHand()))
-	place := n.Place()
-	m.widened.Set(float64(place.Widened))
+	m.inHand.Set(float64(n.JobsInFlight()))
+	place := n.MembershipStatus()
+	m.widened.Set(float64(place.SeatDoublings))
 	m.evacuated.Set(float64(len(n.Evacuations().Domains)))
-	m.connections.WithLabelValues("wanted").Set(float64(place.Wanted))
+	m.connections.WithLabelValues("wanted").Set(float64(place.WantedConnections))
 	m.connections.WithLabelValues("standing").Set(float64(n.Connections()))
 	m.count(n.Counters())
 }
--- a/entry/process.go
+++ b/entry/process.go
@@ -158,7 +158,7 @@
 			p.publish()
 		}
 		p.carryOut(ctx)
-		if p.node.Done(p.clock.now()) {
+		if p.node.StopComplete(p.clock.now()) {
 			p.node.GiveUp(p.clock.now())
 			p.carryOut(ctx)
 			return
@@ -233,17 +233,17 @@
 // publish shows others what the node knows.
 func (p *Process) publish() {
 	p.ready.Store(p.node.Serves())
-	p.laidOut.Store(p.node.LaidOut())
+	p.laidOut.Store(p.node.LayoutKnown())
 	now := p.clock.now()
-	p.readOften.Store(p.node.ReadOften())
-	p.toldRunners.Store(p.node.ToldRunners())
+	p.readOften.Store(p.node.ShouldPollRunners())
+	p.toldRunners.Store(p.node.ReceivesRunnerList())
 	p.leads.Store(p.node.Leads())
 	if now-p.pendingAt >= pendingInterval {
 		p.pendingAt = now
 		pending := p.node.Pending()
 		p.pending.Store(&pending)
 	}
-	if p.declared.Load().Version() != p.node.Version() {
+	if p.declared.Load().Version() != p.node.ConfigVersion() {
 		first := p.declared.Load().Current() == nil
 		table := p.node.Table()
 		p.declared.Store(&table)
--- a/entry/requests.go
+++ b/entry/requests.go
@@ -44,7 +44,7 @@
 	case <-ctx.Done():
 		p.post(func(now Time) {
 			delete(p.replies, id)
-			p.node.Left(now, id)
+			p.node.CallerLeft(now, id)
 		})
 		p.log.Info().Str("job", string(job.ID)).Str("queue", job.Queue).Msg("caller-left")
 		return Reply{}, errors.Wrap(ctx.Err(), "the caller left")
@@ -97,7 +97,7 @@
 	case <-ctx.Done():
 		p.post(func(Time) {
 			delete(p.queries, id)
-			p.node.Forget(id)
+			p.node.ForgetQuery(id)
 		})
 		return schedule.JobState{}, errors.Wrap(ctx.Err(), "ask the scheduler")
 	}
--- a/entry/strain.go
+++ b/entry/strain.go
@@ -46,7 +46,7 @@
 		runtime.Gosched()
 		end := time.Now()
 		if median, whole := meter.add(end, end.Sub(begin)); whole {
-			p.post(func(now Time) { p.node.Strained(now, median) })
+			p.post(func(now Time) { p.node.RecordCPUWait(now, median) })
 		}
 	}
 }
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -147,9 +147,9 @@
 		p.log.Warn().Msg("configuration-unreadable")
 	}
 	p.post(func(now Time) {
-		p.node.Evacuated(now, o.Evacuations, "store")
+		p.node.ApplyEvacuations(now, o.Evacuations, "store")
 		if o.Declaration != nil {
-			p.node.Declared(now, o.Declaration, "store")
+			p.node.ApplyDeclaration(now, o.Declaration, "store")
 		}
 	})
 }
@@ -212,8 +212,8 @@
 		return err
 	}
 	p.post(func(now Time) {
-		p.node.StoreRead(now, any)
-		p.node.Layout(now, l)
+		p.node.StoredJobsRead(now, any)
+		p.node.ApplyLayout(now, l)
 	})
 	return nil
 }
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -257,8 +257,8 @@
 		StoredJobs:         uint32(h.StoredJobs),
 		Standby:            h.Report.Standby,
 		Cell:               h.Report.Cell,
-		WaitMs:             uint32(h.Wait.Milliseconds()),
-		DoubtMs:            uint32(h.Doubt.Milliseconds()),
+		WaitMs:             uint32(h.BacklogTime.Milliseconds()),
+		DoubtMs:            uint32(h.UncertainFor.Milliseconds()),
 		EvacuationsVersion: h.Evacuations.Version,
 		Evacuated:          h.Evacuations.Domains,
 	}
@@ -301,8 +301,8 @@
 		RunnersStale:       m.GetRunnersStale(),
 		StoredJobs:         fleet.StoredJobs(min(m.GetStoredJobs(), uint32(fleet.HasStoredJobs))),
 		Pending:            make(map[string]int, len(m.GetPending())),
-		Wait:               milliseconds(int64(m.GetWaitMs())),
-		Doubt:              milliseconds(int64(m.GetDoubtMs())),
+		BacklogTime:        milliseconds(int64(m.GetWaitMs())),
+		UncertainFor:       milliseconds(int64(m.GetDoubtMs())),
 		Evacuations:        routing.Evacuations{Version: m.GetEvacuationsVersion(), Domains: m.GetEvacuated()},
 	}
 	h.Report.Follows = followsOf(m)
