--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -248,7 +248,7 @@
 // Ready says whether the process may be given new work: it has settings and
 // the list of VMs, and isn't stopping.
 func (c *Core) Ready() bool {
-	return c.settings.Version() > 0 && c.view.Listed() && !c.draining
+	return c.settings.Version() > 0 && c.view.HasList() && !c.draining
 }
 
 // IssueIDs hands out a block of ids held by this incarnation; nil while it
--- a/core/dispatch/members.go
+++ b/core/dispatch/members.go
@@ -54,7 +54,7 @@
 
 // membersChanged takes a list from the platform or a peer if it is newer.
 func (c *Core) membersChanged(m task.Members) {
-	if !c.view.Offer(c.now, m) {
+	if !c.view.ApplyList(c.now, m) {
 		return
 	}
 	c.forgetAbsent(m)
@@ -67,7 +67,7 @@
 // have changed.
 func (c *Core) refreshMembers() {
 	live, changed := c.view.Live(c.now)
-	if !changed || !c.view.Listed() {
+	if !changed || !c.view.HasList() {
 		return
 	}
 	c.pool.SetMembers(live)
@@ -145,7 +145,7 @@
 }
 
 func (c *Core) sendMembers(to task.Incarnation) {
-	if c.view.Listed() {
+	if c.view.HasList() {
 		c.send(to, &pb.PeerMessage{Body: &pb.PeerMessage_Members{Members: membership.ToProto(c.view.List())}})
 	}
 }
--- a/core/fleet/denial_test.go
+++ b/core/fleet/denial_test.go
@@ -133,7 +133,7 @@
 		old, other = other, old
 	}
 	job := w.storedJob()
-	for w.divided.OfStoredJob(job.work.ID) != 0 {
+	for w.divided.StoredJobShard(job.work.ID) != 0 {
 		job = w.storedJob()
 	}
 	w.parted[[2]string{old.name, other.name}] = true
@@ -148,7 +148,7 @@
 	for w.now < old.frozen || !old.node.Leads() {
 		w.run(time.Millisecond)
 	}
-	g.Expect(w.now - old.frozen).To(BeNumerically("<", leader.LostAfter))
+	g.Expect(w.now - old.frozen).To(BeNumerically("<", leader.HeartbeatTimeout))
 	w.run(time.Second)
 	g.Expect(w.store.rows(0).records).NotTo(HaveKey(job.work.ID))
 }
--- a/core/fleet/doubt.go
+++ b/core/fleet/doubt.go
@@ -28,7 +28,7 @@
 // doubts reports whether copies of jobs may come of which something has run in another
 // cell, and notes the reasons that this process sees itself.
 func (n *Node) doubts(now Time, misses bool) bool {
-	if !n.layout.Divided() {
+	if !n.layout.HasCells() {
 		return false
 	}
 	maps.DeleteFunc(n.lost, func(_ string, since Time) bool { return now-since >= schedule.MissingMost })
--- a/core/fleet/early.go
+++ b/core/fleet/early.go
@@ -29,7 +29,7 @@
 // admitEarly hands those requests on, now that the shards are known.
 func (n *Node) admitEarly(now Time) {
 	for _, e := range n.early {
-		n.gateway.Arrive(now, e.request, n.ofJob(e.job), e.job, e.patience-(now-e.arrived))
+		n.gateway.Submit(now, e.request, n.ofJob(e.job), e.job, e.patience-(now-e.arrived))
 	}
 	n.early = nil
 }
@@ -43,7 +43,7 @@
 		}
 		n.emit(Answer{gateway.Reply{
 			Request: e.request, Job: e.job, Outcome: workload.GaveUp, RetryAfter: retryStopping,
-			Reason: "the shards aren't known yet", Took: now - e.arrived,
+			Reason: "the shards aren't known yet", Elapsed: now - e.arrived,
 		}})
 		return true
 	})
--- a/core/fleet/jobs.go
+++ b/core/fleet/jobs.go
@@ -31,13 +31,13 @@
 		n.arriveEarly(now, request, job, patience)
 		return
 	}
-	n.gateway.Arrive(now, request, n.ofJob(job), job, patience)
+	n.gateway.Submit(now, request, n.ofJob(job), job, patience)
 }
 
 // Left notes that a caller has gone.
 func (n *Node) Left(now Time, request uint64) {
 	n.leftEarly(request)
-	n.gateway.Left(now, request)
+	n.gateway.CallerLeft(now, request)
 }
 
 // verdict passes the scheduler's word to the process that has the caller.
@@ -51,7 +51,7 @@
 		Field{"estimate", ms(a.Estimate)}, Field{"runs", a.Runs}, Field{"retry-after", ms(a.RetryAfter)}, Field{"reason", a.Reason})
 	v := gateway.Verdict{From: n.Self(), Job: a.Job, Outcome: a.Outcome, RetryAfter: a.RetryAfter, Reason: a.Reason, NoRoom: a.NoRoom}
 	if leader.ID(a.Entry) == n.Self() {
-		n.gateway.Decide(a.At, v)
+		n.gateway.HandleVerdict(a.At, v)
 		return
 	}
 	n.emit(Send{To: leader.ID(a.Entry), Message: Verdict{v}})
--- a/core/fleet/large_test.go
+++ b/core/fleet/large_test.go
@@ -260,7 +260,7 @@
 	cells := make(map[string]bool)
 	for _, j := range jobs {
 		g.Expect(j.accepted).NotTo(BeZero(), string(j.work.ID))
-		cells[w.divided[w.divided.OfStoredJob(j.work.ID)]] = true
+		cells[w.divided[w.divided.StoredJobShard(j.work.ID)]] = true
 	}
 	g.Expect(len(cells)).To(BeNumerically(">", 2))
 	w.run(4 * time.Second)
--- a/core/fleet/members.go
+++ b/core/fleet/members.go
@@ -22,7 +22,7 @@
 // SetMembers says which processes are registered. Some may be gone for good.
 func (n *Node) SetMembers(now Time, list []topology.Member) {
 	n.members = list
-	n.view.Found(now)
+	n.view.PeersDiscovered(now)
 	n.membersChanged(now)
 }
 
@@ -37,7 +37,7 @@
 	list := slices.DeleteFunc(slices.Clone(n.members), func(m topology.Member) bool { return m.VM == n.member.VM })
 	n.fleet = topology.New(n.layout, n.stored == HasStoredJobs, append(list, n.member))
 	n.vms = nil
-	for _, m := range n.fleet.InCell(n.member) {
+	for _, m := range n.fleet.CellMembers(n.member) {
 		n.vms = append(n.vms, m.VM)
 	}
 	for vm := range n.unheard {
@@ -54,7 +54,7 @@
 	if n.fleet == nil {
 		return
 	}
-	n.seated = n.fleet.Seated(n.member, n.widened)
+	n.seated = n.fleet.HasSeat(n.member, n.widened)
 	links := n.fleet.Links(n.member, n.widened)
 	for _, s := range n.own {
 		l := topology.Link{ID: string(s.choice.Leader)}
@@ -74,11 +74,11 @@
 // configuration and the shards are known nobody can lead, and looking would be for
 // nothing.
 func (n *Node) lookFurther(now Time) {
-	if n.ReachesAll() || !n.view.Informed() {
+	if n.ReachesAll() || !n.view.CanSchedule() {
 		n.reachedAt = now
 	}
 	step := aloneAfter
-	if n.gateway.Reaches() {
+	if n.gateway.HasReachableScheduler() {
 		step = aloneServed
 	}
 	widened := int((now - n.reachedAt) / step)
@@ -135,7 +135,7 @@
 			n.unheard[vm] = now
 		}
 	}
-	n.view.SetComplete(n.hearsAll())
+	n.view.SetAllVMsReachable(n.hearsAll())
 }
 
 // meetsStrangers reports whether an older process that could lead this one's cell is
@@ -147,8 +147,8 @@
 	}
 	for _, m := range n.fleet.Seats(n.cell, n.widened) {
 		id := leader.ID(m.ID)
-		heard := n.view.LastHeard(id)
-		if m.Number < n.number && heard > 0 && now-heard <= leader.LostAfter && n.view.Report(id).Number == 0 {
+		heard := n.view.LastContact(id)
+		if m.Number < n.number && heard > 0 && now-heard <= leader.HeartbeatTimeout && n.view.Report(id).Number == 0 {
 			return true
 		}
 	}
--- a/core/fleet/moved.go
+++ b/core/fleet/moved.go
@@ -38,7 +38,7 @@
 		if o == s || n.leaderOf(o.index) == "" {
 			continue
 		}
-		wait := n.gateway.Wait(o.index)
+		wait := n.gateway.ExpectedWait(o.index)
 		if o.leading() {
 			wait = o.schedule.Wait()
 		}
@@ -98,7 +98,7 @@
 func (n *Node) queried(now Time, from leader.ID, m JobQuery) {
 	q := question{from: from, request: m.Request, cancel: m.Cancel, shard: m.Shard, hops: m.Hops}
 	if m.Hops == 0 && n.LaidOut() {
-		q.shard = n.layout.OfStoredJob(m.Job)
+		q.shard = n.layout.StoredJobShard(m.Job)
 	}
 	n.ask(now, q, m.Job)
 }
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -148,7 +148,7 @@
 		digest:    digestOf(nil),
 		lastRelay: firstRelay,
 	}
-	n.view.SetProcessor(milliCPU)
+	n.view.SetMilliCPU(milliCPU)
 	n.member.MilliCPU = milliCPU
 	return n
 }
@@ -268,7 +268,7 @@
 // StoreAnswered takes what came of a StoreCall.
 func (n *Node) StoreAnswered(now Time, shard int, r ledger.Result) {
 	n.checkPause(now)
-	n.shards[shard].ledger.Take(now, r)
+	n.shards[shard].ledger.HandleResult(now, r)
 }
 
 // SetTimeOfDay says what the time of day is, in milliseconds since 1970.
@@ -305,11 +305,11 @@
 func (n *Node) Tick(now Time) {
 	n.checkPause(now)
 	n.lastTick = now
-	for _, id := range n.view.Silent(now) {
+	for _, id := range n.view.ExpirePeers(now) {
 		n.peerLost(now, id, false)
 	}
 	n.watchStore(now)
-	n.view.SetStrangers(n.meetsStrangers(now))
+	n.view.SetOlderPeerPending(n.meetsStrangers(now))
 	n.follow(now)
 	n.lookFurther(now)
 	n.expireEarly(now)
@@ -346,7 +346,7 @@
 // checkPause notes that the process stood still. It comes before all else: what
 // arrived meanwhile would be answered from a state of long ago.
 func (n *Node) checkPause(now Time) {
-	if pause := now - n.lastTick; pause > leader.StallLimit {
+	if pause := now - n.lastTick; pause > leader.StallThreshold {
 		n.lastTick = now
 		n.stalled(now, pause)
 	}
@@ -357,14 +357,14 @@
 // taken over.
 func (n *Node) stalled(now Time, pause time.Duration) {
 	n.warn("process-stalled", Field{"pause", ms(pause)}, Field{"leading", n.Leads()})
-	n.view.Stalled(now, n.Leads())
+	n.view.RecordStall(now, n.Leads())
 	n.disconnectAll(now)
 	for _, s := range n.shards {
 		if s.schedule != nil {
 			s.retire(now)
 		}
 		s.choice = leader.Choice{}
-		n.gateway.Follow(now, s.index, s.choice)
+		n.gateway.SetLeader(now, s.index, s.choice)
 	}
 	n.reachedAt = now
 }
@@ -382,12 +382,12 @@
 func (n *Node) RunnersRevision() uint64 { return n.runners.Revision }
 
 // InHand is the number of jobs whose callers wait here.
-func (n *Node) InHand() int { return n.gateway.InHand() }
+func (n *Node) InHand() int { return n.gateway.InFlight() }
 
 // Serves reports whether new callers should come here: a job finds a scheduler,
 // though perhaps not that of its home.
 func (n *Node) Serves() bool {
-	return n.stopAt == 0 && n.table.Current() != nil && (n.ReachesAll() || n.gateway.Reaches())
+	return n.stopAt == 0 && n.table.Current() != nil && (n.ReachesAll() || n.gateway.HasReachableScheduler())
 }
 
 // ReachesAll reports whether the leader of each shard of the own cell is in reach.
--- a/core/fleet/peers.go
+++ b/core/fleet/peers.go
@@ -13,7 +13,7 @@
 func (n *Node) PeerUp(now Time, id leader.ID) {
 	n.checkPause(now)
 	n.linked[id] = true
-	n.view.Heard(now, id, nil)
+	n.view.RecordContact(now, id, nil)
 	n.heartbeat(now, id)
 	for _, s := range n.own {
 		s.schedule.EntryReset(now, schedule.EntryID(id))
@@ -35,7 +35,7 @@
 		}
 		return
 	}
-	n.view.Ended(id)
+	n.view.RemovePeer(id)
 	n.peerLost(now, id, true)
 	n.follow(now)
 }
@@ -90,13 +90,13 @@
 		n.heard(now, from, h)
 		return
 	}
-	n.view.Heard(now, from, nil)
+	n.view.RecordContact(now, from, nil)
 	switch m := m.(type) {
 	case HandIn:
 		n.handedIn(now, from, m.HandIn)
 	case Verdict:
 		m.From = from
-		n.gateway.Decide(now, m.Verdict)
+		n.gateway.HandleVerdict(now, m.Verdict)
 	case DropJob:
 		n.dropJob(now, from, m)
 	case JobQuery:
@@ -130,7 +130,7 @@
 
 func (n *Node) heard(now Time, from leader.ID, h Heartbeat) {
 	before := n.view.Report(from)
-	n.view.Heard(now, from, &h.Report)
+	n.view.RecordContact(now, from, &h.Report)
 	if before.Number == 0 {
 		n.noteUnheard(now)
 	}
@@ -150,7 +150,7 @@
 	n.pending[from] = h.Pending
 	for _, s := range n.shards {
 		if h.Report.Leader(s.index) == from {
-			n.gateway.SetWait(s.index, h.Wait)
+			n.gateway.SetExpectedWait(s.index, h.Wait)
 		}
 	}
 	if now-n.sent[from] >= leader.HeartbeatInterval/2 {
@@ -206,7 +206,7 @@
 func (n *Node) heartbeat(now Time, to leader.ID) {
 	n.sent[to] = now
 	h := Heartbeat{
-		Report:             n.view.Own(now, n.choices()),
+		Report:             n.view.OwnReport(now, n.choices()),
 		DeclarationVersion: n.table.Version(),
 		RunnersRevision:    n.runners.Revision,
 		RunnersStale:       n.stale,
--- a/core/fleet/queries.go
+++ b/core/fleet/queries.go
@@ -18,7 +18,7 @@
 		n.emit(StateAnswer{Request: request, Unreachable: true})
 		return
 	}
-	home := n.layout.OfStoredJob(id)
+	home := n.layout.StoredJobShard(id)
 	switch c := n.shards[home].choice; {
 	case c.Leader == "" || !c.Reachable:
 		n.emit(StateAnswer{Request: request, Unreachable: true})
--- a/core/fleet/runner_test.go
+++ b/core/fleet/runner_test.go
@@ -94,7 +94,7 @@
 			r.ends[i].lapsed = true
 		}
 		for _, k := range r.w.sortedRuns(r) {
-			r.end(k, workload.Lapsed)
+			r.end(k, workload.LeaseExpired)
 		}
 	})
 }
--- a/core/fleet/runners.go
+++ b/core/fleet/runners.go
@@ -81,7 +81,7 @@
 // ofCell picks the runners of the own cell. Those of others are none of this
 // process's business; before the layout is known all may be.
 func (n *Node) ofCell(list []workload.Runner) []workload.Runner {
-	if !n.layout.Divided() {
+	if !n.layout.HasCells() {
 		return list
 	}
 	return slices.DeleteFunc(slices.Clone(list), func(r workload.Runner) bool { return n.layout.Cell(r.Domain) != n.cell })
--- a/core/fleet/shards.go
+++ b/core/fleet/shards.go
@@ -37,7 +37,7 @@
 		}
 	}
 	n.view.SetLayout(now, l, n.cell)
-	n.gateway.SetOthers(n.otherShards())
+	n.gateway.SetFallbackShards(n.otherShards())
 	n.membersChanged(now)
 	n.notice("layout-known", Field{"shards", len(l)}, Field{"cell", n.cell}, Field{"own", len(n.own)})
 	n.reachedAt = now
@@ -57,13 +57,13 @@
 }
 
 // otherShards are the shards to which jobs may go but their home.
-func (n *Node) otherShards() gateway.Shards {
-	var o gateway.Shards
+func (n *Node) otherShards() gateway.FallbackShards {
+	var o gateway.FallbackShards
 	for i, cell := range n.layout {
 		if cell == n.cell {
-			o.Near = append(o.Near, i)
+			o.SameCell = append(o.SameCell, i)
 		} else {
-			o.Far = append(o.Far, i)
+			o.OtherCells = append(o.OtherCells, i)
 		}
 	}
 	return o
@@ -85,9 +85,9 @@
 // ofJob is the shard of a job that comes from a caller here.
 func (n *Node) ofJob(job *workload.Job) int {
 	if job.Stored {
-		return n.layout.OfStoredJob(job.ID)
+		return n.layout.StoredJobShard(job.ID)
 	}
-	return n.layout.OfJob(job.ID, n.cell)
+	return n.layout.JobShard(job.ID, n.cell)
 }
 
 // ownShard is the shard of a job that another process has handed in here; nil if
@@ -103,7 +103,7 @@
 func (n *Node) runnersOf(s *shard, list []workload.Runner) []workload.Runner {
 	var own []workload.Runner
 	for _, r := range list {
-		if n.layout.OfRunner(r.ID, r.Domain) == s.index {
+		if n.layout.RunnerShard(r.ID, r.Domain) == s.index {
 			own = append(own, r)
 		}
 	}
@@ -171,7 +171,7 @@
 	if s.schedule != nil {
 		n.leadOrRetire(now, s, before)
 	}
-	n.gateway.Follow(now, s.index, c)
+	n.gateway.SetLeader(now, s.index, c)
 	n.connect()
 	return true
 }
@@ -190,7 +190,7 @@
 	} else {
 		n.retire(now, s)
 	}
-	if c.Reachable && n.gateway.InHand() > 0 {
+	if c.Reachable && n.gateway.InFlight() > 0 {
 		n.handOver(now, s)
 	}
 }
@@ -210,7 +210,7 @@
 // retire drops all that the process knows as the shard's leader.
 func (s *shard) retire(now Time) {
 	s.schedule.Retire(now)
-	s.ledger.Retire()
+	s.ledger.Release()
 	clear(s.questions)
 }
 
--- a/core/fleet/stop.go
+++ b/core/fleet/stop.go
@@ -29,9 +29,9 @@
 	if n.stopAt > 0 {
 		return
 	}
-	n.notice("process-stopping", Field{"jobs", n.gateway.InHand()})
+	n.notice("process-stopping", Field{"jobs", n.gateway.InFlight()})
 	n.stopAt = now
-	n.view.Stop()
+	n.view.SetStopping()
 	for _, s := range n.own {
 		s.schedule.Yield()
 	}
@@ -47,7 +47,7 @@
 	if now-n.stopAt > n.grace-stopReserve {
 		return true
 	}
-	return now-n.stopAt > stopLeast && n.gateway.InHand() == 0 && now-n.lastArrival > stopQuiet
+	return now-n.stopAt > stopLeast && n.gateway.InFlight() == 0 && now-n.lastArrival > stopQuiet
 }
 
 // GiveUp answers all callers, as the process ends.
@@ -60,5 +60,5 @@
 		return true
 	}
 	left := n.stopAt + n.grace - stopReserve - now
-	return left > stopEstimates*job.Chain()+stopMargin
+	return left > stopEstimates*job.CriticalPath()+stopMargin
 }
--- a/core/fleet/store_test.go
+++ b/core/fleet/store_test.go
@@ -65,8 +65,8 @@
 			delete(r.records, rec.Job)
 			continue
 		}
-		if rec.Work == nil {
-			rec.Work = r.records[rec.Job].Work
+		if rec.Definition == nil {
+			rec.Definition = r.records[rec.Job].Definition
 		}
 		r.records[rec.Job] = rec
 	}
@@ -89,7 +89,7 @@
 				return ledger.Superseded
 			}
 			if call.Renew == 0 && w.now < rows.excludedUntil && slices.Contains(rows.excluded, n.name) {
-				return ledger.Turned
+				return ledger.Rejected
 			}
 			rows.excluded, rows.excludedUntil = call.Excluded, w.now+ledger.ExclusionTime
 			rows.ownership.Version++
@@ -126,7 +126,7 @@
 	life := n.life
 	if !w.storeReached(n) {
 		if w.rng.IntN(2) == 0 {
-			w.after(travel, func() { answered(ledger.Turned) })
+			w.after(travel, func() { answered(ledger.Rejected) })
 			return
 		}
 		w.after(travel, silent)
--- a/core/fleet/storedjobs.go
+++ b/core/fleet/storedjobs.go
@@ -49,7 +49,7 @@
 // ownRows takes the rows of a shard that this process leads, if it may have some.
 func (n *Node) ownRows(now Time, s *shard) {
 	if s.schedule.Leading() && n.stored != NoStoredJobs {
-		s.ledger.Lead(now)
+		s.ledger.Acquire(now)
 	}
 }
 
--- a/core/fleet/storewatch.go
+++ b/core/fleet/storewatch.go
@@ -60,7 +60,7 @@
 		n.store.probing, n.store.probedAt = true, now
 		n.emit(ProbeStore{})
 	}
-	n.view.SetStore(trouble, asked && n.store.reachedAt > 0 && now-n.store.reachedAt <= probeFresh)
+	n.view.SetStoreStatus(trouble, asked && n.store.reachedAt > 0 && now-n.store.reachedAt <= probeFresh)
 	switch {
 	case !n.store.failed:
 		n.store.lost = false
--- a/core/fleet/strain.go
+++ b/core/fleet/strain.go
@@ -32,12 +32,12 @@
 		return
 	}
 	recent := n.strainedAt > 0 && now-n.strainedAt < strainPause
-	if !n.Leads() || recent || now-n.ledAt < strainSettle || !n.view.Relief(now) {
+	if !n.Leads() || recent || now-n.ledAt < strainSettle || !n.view.HasIdleSuccessor(now) {
 		return
 	}
 	n.strainedAt = now
-	n.warn("process-strained", Field{"wait", ms(wait)}, Field{"jobs", n.gateway.InHand()})
-	n.view.Strain()
+	n.warn("process-strained", Field{"wait", ms(wait)}, Field{"jobs", n.gateway.InFlight()})
+	n.view.RecordStarvation()
 	n.heartbeatAll(now)
 	n.follow(now)
 }
--- a/core/fleet/strain_test.go
+++ b/core/fleet/strain_test.go
@@ -80,7 +80,7 @@
 	g.Expect(leaders()).To(HaveLen(6))
 	changed := false
 	w.onSend = func(_ *fakeNode, c fleet.Send) {
-		if h, ok := c.Message.(fleet.Heartbeat); ok && h.Report.Strains > 0 {
+		if h, ok := c.Message.(fleet.Heartbeat); ok && h.Report.Starvations > 0 {
 			changed = true
 		}
 	}
--- a/core/gateway/elsewhere_test.go
+++ b/core/gateway/elsewhere_test.go
@@ -14,9 +14,9 @@
 // of which only 2 has a leader in reach.
 func cells() *Gateway {
 	g := New()
-	g.SetOthers(Shards{Near: []int{0, 1}, Far: []int{2, 3}})
+	g.SetFallbackShards(FallbackShards{SameCell: []int{0, 1}, OtherCells: []int{2, 3}})
 	for shard, id := range map[int]leader.ID{0: "a", 1: "b", 2: "c"} {
-		g.Follow(0, shard, leader.Choice{Leader: id, Reachable: true})
+		g.SetLeader(0, shard, leader.Choice{Leader: id, Reachable: true})
 	}
 	return g
 }
@@ -30,16 +30,16 @@
 func TestBurstGoesWhereRoomIs(t *testing.T) {
 	g := NewWithT(t)
 	gw := cells()
-	gw.SetWait(1, 300*ms)
-	gw.Arrive(0, 1, 0, testJob("j"), time.Second)
+	gw.SetExpectedWait(1, 300*ms)
+	gw.Submit(0, 1, 0, testJob("j"), time.Second)
 	g.Expect(handIns(gw.Ready())).To(HaveLen(1))
-	gw.Decide(5*ms, noRoom("a", "j", workload.NotRun))
+	gw.HandleVerdict(5*ms, noRoom("a", "j", workload.NotRun))
 	again := handIns(gw.Ready())
 	g.Expect(again).To(HaveLen(1))
 	g.Expect(again[0].Shard).To(Equal(2), "in shard 1 others wait, and 3 has no leader")
 	g.Expect(again[0].Handed).To(BeZero(), "nothing has run")
 	g.Expect(again[0].Patience).To(Equal(995 * ms))
-	gw.Decide(10*ms, noRoom("c", "j", workload.NotRun))
+	gw.HandleVerdict(10*ms, noRoom("c", "j", workload.NotRun))
 	answers := replies(gw.Ready())
 	g.Expect(answers).To(HaveLen(1))
 	g.Expect(answers[0].Outcome).To(Equal(workload.NotRun))
@@ -50,10 +50,10 @@
 func TestNobodyHasRoom(t *testing.T) {
 	g := NewWithT(t)
 	gw := cells()
-	gw.SetWait(1, 10*ms)
-	gw.SetWait(2, 10*ms)
-	gw.Arrive(0, 1, 0, testJob("j"), time.Second)
-	gw.Decide(5*ms, noRoom("a", "j", workload.NotRun))
+	gw.SetExpectedWait(1, 10*ms)
+	gw.SetExpectedWait(2, 10*ms)
+	gw.Submit(0, 1, 0, testJob("j"), time.Second)
+	gw.HandleVerdict(5*ms, noRoom("a", "j", workload.NotRun))
 	g.Expect(replies(gw.Ready())).To(HaveLen(1))
 }
 
@@ -62,10 +62,10 @@
 func TestRefusalElsewhereIsNoMoreThanWasKnown(t *testing.T) {
 	g := NewWithT(t)
 	gw := cells()
-	gw.Arrive(0, 1, 0, testJob("j"), time.Second)
-	gw.Decide(5*ms, noRoom("a", "j", workload.GaveUp))
+	gw.Submit(0, 1, 0, testJob("j"), time.Second)
+	gw.HandleVerdict(5*ms, noRoom("a", "j", workload.GaveUp))
 	g.Expect(handIns(gw.Ready())).To(HaveLen(2))
-	gw.Decide(10*ms, noRoom("b", "j", workload.NotRun))
+	gw.HandleVerdict(10*ms, noRoom("b", "j", workload.NotRun))
 	answers := replies(gw.Ready())
 	g.Expect(answers).To(HaveLen(1))
 	g.Expect(answers[0].Outcome).To(Equal(workload.GaveUp))
@@ -77,12 +77,12 @@
 func TestJobsOfALostScheduler(t *testing.T) {
 	g := NewWithT(t)
 	gw := cells()
-	gw.Follow(0, 1, leader.Choice{})
-	gw.Arrive(0, 1, 0, testJob("had"), 3*time.Second)
+	gw.SetLeader(0, 1, leader.Choice{})
+	gw.Submit(0, 1, 0, testJob("had"), 3*time.Second)
 	g.Expect(handIns(gw.Ready())).To(HaveLen(1))
-	gw.Follow(100*ms, 0, leader.Choice{})
-	gw.Arrive(100*ms, 2, 0, testJob("new"), 3*time.Second)
-	g.Expect(gw.Reaches()).To(BeTrue())
+	gw.SetLeader(100*ms, 0, leader.Choice{})
+	gw.Submit(100*ms, 2, 0, testJob("new"), 3*time.Second)
+	g.Expect(gw.HasReachableScheduler()).To(BeTrue())
 	list := handIns(gw.Ready())
 	g.Expect(list).To(HaveLen(1))
 	g.Expect(list[0].Job.ID).To(BeEquivalentTo("new"))
@@ -100,13 +100,13 @@
 func TestStoredJobsStayWithTheirShard(t *testing.T) {
 	g := NewWithT(t)
 	gw := cells()
-	gw.Follow(0, 0, leader.Choice{})
+	gw.SetLeader(0, 0, leader.Choice{})
 	job := testJob("j")
 	job.Stored = true
-	gw.Arrive(0, 1, 0, job, time.Second)
+	gw.Submit(0, 1, 0, job, time.Second)
 	g.Expect(gw.Ready()).To(BeEmpty())
-	gw.Follow(10*ms, 0, leader.Choice{Leader: "a", Reachable: true})
+	gw.SetLeader(10*ms, 0, leader.Choice{Leader: "a", Reachable: true})
 	g.Expect(handIns(gw.Ready())).To(HaveLen(1))
-	gw.Decide(20*ms, noRoom("a", "j", workload.NotRun))
+	gw.HandleVerdict(20*ms, noRoom("a", "j", workload.NotRun))
 	g.Expect(replies(gw.Ready())).To(HaveLen(1))
 }
--- a/core/gateway/gateway.go
+++ b/core/gateway/gateway.go
@@ -79,7 +79,7 @@
 	// Took is the time in this process.
 	Scheduler leader.ID
 	Handed    int
-	Took      time.Duration
+	Elapsed   time.Duration
 }
 
 func (HandIn) command() {}
@@ -98,10 +98,10 @@
 	NoRoom bool
 }
 
-// Shards are those that an entry process hands jobs to.
-type Shards struct {
-	// Near are the shards of its own cell, and Far those of other cells.
-	Near, Far []int
+// FallbackShards are those that an entry process hands jobs to.
+type FallbackShards struct {
+	// SameCell are the shards of its own cell, and OtherCells those of other cells.
+	SameCell, OtherCells []int
 }
 
 type inHand struct {
@@ -131,7 +131,7 @@
 	byReq   map[uint64]workload.JobID
 	domain  string
 	// others are set if jobs may go to another shard than their home.
-	others Shards
+	others FallbackShards
 	// waits is how long a new job would wait in a shard, by the last word.
 	waits map[int]time.Duration
 	out   []Command
@@ -147,20 +147,20 @@
 	}
 }
 
-// SetOthers says to which shards jobs may go but their home.
-func (g *Gateway) SetOthers(s Shards) { g.others = s }
+// SetFallbackShards says to which shards jobs may go but their home.
+func (g *Gateway) SetFallbackShards(s FallbackShards) { g.others = s }
 
-// SetWait notes how long a new job would wait in a shard.
-func (g *Gateway) SetWait(shard int, d time.Duration) { g.waits[shard] = d }
+// SetExpectedWait notes how long a new job would wait in a shard.
+func (g *Gateway) SetExpectedWait(shard int, d time.Duration) { g.waits[shard] = d }
 
-// Wait is how long a new job would wait in a shard, by the last word; 0 if there was
+// ExpectedWait is how long a new job would wait in a shard, by the last word; 0 if there was
 // none.
-func (g *Gateway) Wait(shard int) time.Duration { return g.waits[shard] }
+func (g *Gateway) ExpectedWait(shard int) time.Duration { return g.waits[shard] }
 
-// Reaches reports whether a new job finds a scheduler: that of its home, or any
+// HasReachableScheduler reports whether a new job finds a scheduler: that of its home, or any
 // that takes jobs of other shards.
-func (g *Gateway) Reaches() bool {
-	for _, s := range append(slices.Clone(g.others.Near), g.others.Far...) {
+func (g *Gateway) HasReachableScheduler() bool {
+	for _, s := range append(slices.Clone(g.others.SameCell), g.others.OtherCells...) {
 		if g.led(s) {
 			return true
 		}
@@ -183,12 +183,12 @@
 	return out
 }
 
-// InHand is the number of jobs that wait for an answer.
-func (g *Gateway) InHand() int { return len(g.jobs) }
+// InFlight is the number of jobs that wait for an answer.
+func (g *Gateway) InFlight() int { return len(g.jobs) }
 
-// Arrive takes a caller's request for a job of a shard. A second one with the
+// Submit takes a caller's request for a job of a shard. A second one with the
 // same id gets the same answer.
-func (g *Gateway) Arrive(now Time, request uint64, shard int, job *workload.Job, patience time.Duration) {
+func (g *Gateway) Submit(now Time, request uint64, shard int, job *workload.Job, patience time.Duration) {
 	g.now = now
 	if h := g.jobs[job.ID]; h != nil {
 		h.requests = append(h.requests, request)
@@ -205,8 +205,8 @@
 	}
 }
 
-// Left notes that a caller has gone.
-func (g *Gateway) Left(now Time, request uint64) {
+// CallerLeft notes that a caller has gone.
+func (g *Gateway) CallerLeft(now Time, request uint64) {
 	g.now = now
 	id, ok := g.byReq[request]
 	if !ok {
@@ -229,9 +229,9 @@
 	}
 }
 
-// Follow takes the choice of a shard's leader. The one before has heard this process
+// SetLeader takes the choice of a shard's leader. The one before has heard this process
 // until now at most.
-func (g *Gateway) Follow(now Time, shard int, c leader.Choice) {
+func (g *Gateway) SetLeader(now Time, shard int, c leader.Choice) {
 	g.now = now
 	if c == g.choices[shard] {
 		return
@@ -277,10 +277,10 @@
 	if g.led(h.home) {
 		return h.home, true
 	}
-	if s, ok := g.shortest(h, g.others.Near); ok {
+	if s, ok := g.shortest(h, g.others.SameCell); ok {
 		return s, true
 	}
-	return g.shortest(h, g.others.Far)
+	return g.shortest(h, g.others.OtherCells)
 }
 
 // shortest is the shard of some in which a job would wait least. Jobs with the same
@@ -323,10 +323,10 @@
 	})
 }
 
-// Decide takes a scheduler's word. The word of one that no longer has the job
+// HandleVerdict takes a scheduler's word. The word of one that no longer has the job
 // counts only if the job is complete, or in the store: a ready answer is
 // delivered, but another scheduler may yet complete what this one gave up.
-func (g *Gateway) Decide(now Time, v Verdict) {
+func (g *Gateway) HandleVerdict(now Time, v Verdict) {
 	g.now = now
 	h := g.jobs[v.Job]
 	if h == nil || h.scheduler != v.From && v.Outcome != workload.Completed && v.Outcome != workload.Accepted {
@@ -349,7 +349,7 @@
 		return false
 	}
 	h.refused = append(h.refused, h.shard)
-	for _, shards := range [][]int{g.others.Near, g.others.Far} {
+	for _, shards := range [][]int{g.others.SameCell, g.others.OtherCells} {
 		if s, ok := g.shortest(h, shards); ok && g.waits[s] == 0 {
 			g.handTo(h, s)
 			return true
@@ -370,7 +370,7 @@
 			Reason:     v.Reason,
 			Scheduler:  v.From,
 			Handed:     h.handed,
-			Took:       g.now - h.arrived,
+			Elapsed:    g.now - h.arrived,
 		})
 	}
 }
--- a/core/gateway/gateway_test.go
+++ b/core/gateway/gateway_test.go
@@ -42,13 +42,13 @@
 func TestOneAnswerForCopies(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.Follow(0, 0, toA)
-	w.Arrive(0, 1, 0, testJob("j"), time.Second)
-	w.Arrive(10*ms, 2, 0, testJob("j"), time.Second)
+	w.SetLeader(0, 0, toA)
+	w.Submit(0, 1, 0, testJob("j"), time.Second)
+	w.Submit(10*ms, 2, 0, testJob("j"), time.Second)
 	g.Expect(handIns(w.Ready())).To(HaveLen(1))
-	w.Decide(50*ms, Verdict{From: "a", Job: "j", Outcome: workload.Completed})
+	w.HandleVerdict(50*ms, Verdict{From: "a", Job: "j", Outcome: workload.Completed})
 	g.Expect(replies(w.Ready())).To(HaveLen(2))
-	g.Expect(w.InHand()).To(BeZero())
+	g.Expect(w.InFlight()).To(BeZero())
 }
 
 // The scheduler is lost. Its jobs are handed to the next one with a word that
@@ -56,10 +56,10 @@
 func TestNextScheduler(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.Follow(0, 0, toA)
-	w.Arrive(0, 1, 0, testJob("j"), 2*time.Second)
+	w.SetLeader(0, 0, toA)
+	w.Submit(0, 1, 0, testJob("j"), 2*time.Second)
 	w.Ready()
-	w.Follow(100*ms, 0, toB)
+	w.SetLeader(100*ms, 0, toB)
 	out := w.Ready()
 	g.Expect(out).To(ContainElement(Drop{At: 100 * ms, To: "a", Job: "j", HandedOver: true}))
 	again := handIns(out)
@@ -69,9 +69,9 @@
 	g.Expect(again[0].Unknown).To(Equal(unknownLife))
 	g.Expect(again[0].Patience).To(Equal(1900 * ms))
 
-	w.Decide(200*ms, Verdict{From: "a", Job: "j", Outcome: workload.GaveUp})
+	w.HandleVerdict(200*ms, Verdict{From: "a", Job: "j", Outcome: workload.GaveUp})
 	g.Expect(replies(w.Ready())).To(BeEmpty(), "the one that has the job decides")
-	w.Decide(300*ms, Verdict{From: "a", Job: "j", Outcome: workload.Completed})
+	w.HandleVerdict(300*ms, Verdict{From: "a", Job: "j", Outcome: workload.Completed})
 	g.Expect(replies(w.Ready())).To(HaveLen(1), "but a ready answer is delivered")
 }
 
@@ -80,11 +80,11 @@
 func TestRefusalAfterAHandover(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.Follow(0, 0, toA)
-	w.Arrive(0, 1, 0, testJob("j"), 2*time.Second)
-	w.Follow(100*ms, 0, toB)
+	w.SetLeader(0, 0, toA)
+	w.Submit(0, 1, 0, testJob("j"), 2*time.Second)
+	w.SetLeader(100*ms, 0, toB)
 	w.Ready()
-	w.Decide(200*ms, Verdict{From: "b", Job: "j", Outcome: workload.NotRun})
+	w.HandleVerdict(200*ms, Verdict{From: "b", Job: "j", Outcome: workload.NotRun})
 	r := replies(w.Ready())
 	g.Expect(r).To(HaveLen(1))
 	g.Expect(r[0].Outcome).To(Equal(workload.GaveUp))
@@ -95,28 +95,28 @@
 func TestNoScheduler(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.Arrive(0, 1, 0, testJob("j"), 2*time.Second)
+	w.Submit(0, 1, 0, testJob("j"), 2*time.Second)
 	w.Tick(leaderWait)
 	g.Expect(replies(w.Ready())).To(BeEmpty())
 	w.Tick(leaderWait + ms)
 	r := replies(w.Ready())
 	g.Expect(r).To(HaveLen(1))
 	g.Expect(r[0].RetryAfter).To(Equal(retryNoLeader))
-	w.Follow(time.Second, 0, leader.Choice{Leader: "a"})
-	w.Arrive(time.Second, 2, 0, testJob("k"), 2*time.Second)
+	w.SetLeader(time.Second, 0, leader.Choice{Leader: "a"})
+	w.Submit(time.Second, 2, 0, testJob("k"), 2*time.Second)
 	g.Expect(replies(w.Ready())).To(HaveLen(1))
 }
 
 func TestCallerLeaves(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.Follow(0, 0, toA)
-	w.Arrive(0, 1, 0, testJob("j"), time.Second)
-	w.Arrive(0, 2, 0, testJob("j"), time.Second)
+	w.SetLeader(0, 0, toA)
+	w.Submit(0, 1, 0, testJob("j"), time.Second)
+	w.Submit(0, 2, 0, testJob("j"), time.Second)
 	w.Ready()
-	w.Left(10*ms, 1)
+	w.CallerLeft(10*ms, 1)
 	g.Expect(w.Ready()).To(BeEmpty(), "another caller still waits")
-	w.Left(20*ms, 2)
+	w.CallerLeft(20*ms, 2)
 	g.Expect(w.Ready()).To(ConsistOf(Drop{At: 20 * ms, To: "a", Job: "j"}))
 }
 
@@ -124,8 +124,8 @@
 func TestNoWord(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.Follow(0, 0, toA)
-	w.Arrive(0, 1, 0, testJob("j"), time.Second)
+	w.SetLeader(0, 0, toA)
+	w.Submit(0, 1, 0, testJob("j"), time.Second)
 	w.Ready()
 	w.Tick(time.Second + answerSlack + ms)
 	r := replies(w.Ready())
@@ -136,8 +136,8 @@
 func TestEndOfTheProcess(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.Follow(0, 0, toA)
-	w.Arrive(0, 1, 0, testJob("j"), time.Second)
+	w.SetLeader(0, 0, toA)
+	w.Submit(0, 1, 0, testJob("j"), time.Second)
 	w.Ready()
 	w.GiveUp(10*ms, "the process ends")
 	g.Expect(replies(w.Ready())).To(HaveLen(1))
--- a/core/layout/layout.go
+++ b/core/layout/layout.go
@@ -104,8 +104,8 @@
 	return max(1, (runners+each-1)/each)
 }
 
-// Divided reports whether there are cells.
-func (l Layout) Divided() bool { return len(l) > 0 && l[0] != "" }
+// HasCells reports whether there are cells.
+func (l Layout) HasCells() bool { return len(l) > 0 && l[0] != "" }
 
 // Cells lists the cells in the order of their names.
 func (l Layout) Cells() []string { return slices.Compact(slices.Sorted(slices.Values(l))) }
@@ -113,7 +113,7 @@
 // Cell is the cell of a failure domain. A domain without one, as it has no
 // runners, belongs to that of another domain.
 func (l Layout) Cell(domain string) string {
-	if !l.Divided() {
+	if !l.HasCells() {
 		return ""
 	}
 	if slices.Contains(l, domain) {
@@ -133,19 +133,19 @@
 	return list
 }
 
-// OfRunner is the shard of a runner.
-func (l Layout) OfRunner(id workload.RunnerID, domain string) int {
+// RunnerShard is the shard of a runner.
+func (l Layout) RunnerShard(id workload.RunnerID, domain string) int {
 	return l.pick(string(id), l.Cell(domain))
 }
 
-// OfJob is the shard of a job that is handed in from a cell. It follows from the
+// JobShard is the shard of a job that is handed in from a cell. It follows from the
 // job's id, so that a copy of the job that another entry VM of the cell takes
 // comes to the same scheduler.
-func (l Layout) OfJob(id workload.JobID, cell string) int { return l.pick(string(id), cell) }
+func (l Layout) JobShard(id workload.JobID, cell string) int { return l.pick(string(id), cell) }
 
-// OfStoredJob is the shard of a stored job. It is the same wherever the job comes
+// StoredJobShard is the shard of a stored job. It is the same wherever the job comes
 // from, since only the owner of the shard's rows may say what became of it.
-func (l Layout) OfStoredJob(id workload.JobID) int { return int(hash(string(id)) % uint64(len(l))) }
+func (l Layout) StoredJobShard(id workload.JobID) int { return int(hash(string(id)) % uint64(len(l))) }
 
 func (l Layout) pick(name, cell string) int {
 	shards := l.Shards(cell)
--- a/core/layout/layout_test.go
+++ b/core/layout/layout_test.go
@@ -37,8 +37,8 @@
 func TestNoCellsIfADomainLacksAService(t *testing.T) {
 	g := NewWithT(t)
 	list := append(runners("labels", "a", 300), runners("labels", "b", 300)...)
-	g.Expect(For(list, VM{}).Divided()).To(BeTrue())
-	g.Expect(For(append(list, runners("maps", "a", 300)...), VM{}).Divided()).To(BeFalse())
+	g.Expect(For(list, VM{}).HasCells()).To(BeTrue())
+	g.Expect(For(append(list, runners("maps", "a", 300)...), VM{}).HasCells()).To(BeFalse())
 }
 
 // Jobs and runners of a domain come to shards of its cell, and copies of a job that
@@ -49,9 +49,9 @@
 	domains := map[string]bool{}
 	for i := range 200 {
 		id := workload.JobID(fmt.Sprintf("%016x", i))
-		g.Expect(l[l.OfJob(id, "b")]).To(Equal("b"))
-		g.Expect(l[l.OfRunner(workload.RunnerID(id), "a")]).To(Equal("a"))
-		domains[l[l.OfStoredJob(id)]] = true
+		g.Expect(l[l.JobShard(id, "b")]).To(Equal("b"))
+		g.Expect(l[l.RunnerShard(workload.RunnerID(id), "a")]).To(Equal("a"))
+		domains[l[l.StoredJobShard(id)]] = true
 	}
 	g.Expect(domains).To(HaveLen(2))
 	g.Expect(l.Cell("b")).To(Equal("b"))
--- a/core/leader/leader.go
+++ b/core/leader/leader.go
@@ -36,10 +36,10 @@
 	// HeartbeatInterval is how often processes tell each other that they live.
 	// Heartbeats are most of what an idle process spends.
 	HeartbeatInterval = 150 * time.Millisecond
-	// LostAfter is how long a process may be silent before it is taken for
+	// HeartbeatTimeout is how long a process may be silent before it is taken for
 	// lost: three heartbeats. A lost datagram is sent again within some tens of
 	// milliseconds, so what this bears is a pause of a process for two.
-	LostAfter = 450 * time.Millisecond
+	HeartbeatTimeout = 450 * time.Millisecond
 	// settle is how long a new process listens before it may lead, from when it
 	// knows which others there are: it connects with them in some 50 ms, or 80 if
 	// all start at once. It needn't wait for anybody once all have told it that
@@ -53,9 +53,9 @@
 	// yieldWait is how long a leader goes on while the one that should lead
 	// hasn't said that it does.
 	yieldWait = 300 * time.Millisecond
-	// StallLimit is the pause in a process's own work after which it counts
+	// StallThreshold is the pause in a process's own work after which it counts
 	// itself as having been frozen. The others have missed it by then.
-	StallLimit = 400 * time.Millisecond
+	StallThreshold = 400 * time.Millisecond
 )
 
 // View is what one process knows of the others.
@@ -95,8 +95,8 @@
 // Self is the process's own identity.
 func (v *View) Self() ID { return v.self }
 
-// SetProcessor says how much processor the VM has, in thousandths of a core.
-func (v *View) SetProcessor(milliCPU int) { v.own.MilliCPU = milliCPU }
+// SetMilliCPU says how much processor the VM has, in thousandths of a core.
+func (v *View) SetMilliCPU(milliCPU int) { v.own.MilliCPU = milliCPU }
 
 // SetLayout says how the runners are divided, and to which cell the process
 // belongs. One that has listened for long does so again: nobody could lead until
@@ -119,11 +119,11 @@
 	v.own.Able, v.own.Standby = able && !standby, able && standby
 }
 
-// Informed reports whether this process knows what it needs to schedule.
-func (v *View) Informed() bool { return v.own.Able || v.own.Standby }
+// CanSchedule reports whether this process knows what it needs to schedule.
+func (v *View) CanSchedule() bool { return v.own.Able || v.own.Standby }
 
-// Found notes that the process knows which others there are.
-func (v *View) Found(now Time) {
+// PeersDiscovered notes that the process knows which others there are.
+func (v *View) PeersDiscovered(now Time) {
 	if !v.found {
 		v.found, v.begin = true, now
 	}
@@ -138,16 +138,16 @@
 	return now-v.begin >= wait || v.allAble()
 }
 
-// SetStrangers says whether an older process that could lead is there and hasn't told
+// SetOlderPeerPending says whether an older process that could lead is there and hasn't told
 // anything of itself yet.
-func (v *View) SetStrangers(some bool) { v.strangers = some }
+func (v *View) SetOlderPeerPending(some bool) { v.strangers = some }
 
-// SetComplete says whether a process of each VM is heard.
-func (v *View) SetComplete(complete bool) { v.complete = complete }
+// SetAllVMsReachable says whether a process of each VM is heard.
+func (v *View) SetAllVMsReachable(complete bool) { v.complete = complete }
 
-// SetStore says whether the process leads in need of the store, and whether it
+// SetStoreStatus says whether the process leads in need of the store, and whether it
 // reaches it.
-func (v *View) SetStore(trouble, reached bool) {
+func (v *View) SetStoreStatus(trouble, reached bool) {
 	v.own.StoreTrouble, v.own.StoreReached = trouble, reached
 }
 
@@ -158,19 +158,19 @@
 // it doesn't take the lead back.
 func (v *View) Demote() { v.own.Demotions++ }
 
-// Strain ranks the process behind those of its kind that weren't slow as often.
-func (v *View) Strain() { v.own.Strains++ }
+// RecordStarvation ranks the process behind those of its kind that weren't slow as often.
+func (v *View) RecordStarvation() { v.own.Starvations++ }
 
-// Relief reports whether another process could take over what this one leads: one
+// HasIdleSuccessor reports whether another process could take over what this one leads: one
 // as good that leads nothing. Handed to one that leads as well, the load would
 // strain that one, and so on until none is left that can bear it.
-func (v *View) Relief(now Time) bool {
+func (v *View) HasIdleSuccessor(now Time) bool {
 	for id, p := range v.peers {
-		if !p.report.Able || p.report.Cell != v.own.Cell || now-p.heard > LostAfter || p.report.leads(id) {
+		if !p.report.Able || p.report.Cell != v.own.Cell || now-p.heard > HeartbeatTimeout || p.report.leads(id) {
 			continue
 		}
 		r := p.report
-		r.Strains = v.own.Strains
+		r.Starvations = v.own.Starvations
 		if compareClass(&r, &v.own) <= 0 {
 			return true
 		}
@@ -178,13 +178,13 @@
 	return false
 }
 
-// Stop says that the process is about to end.
-func (v *View) Stop() { v.own.Stopping = true }
+// SetStopping says that the process is about to end.
+func (v *View) SetStopping() { v.own.Stopping = true }
 
-// Stalled tells that the process itself stood still for a while. What it knows
+// RecordStall tells that the process itself stood still for a while. What it knows
 // of the others is as old as the pause, so it counts none of them as lost and
 // listens again before it may lead. If it led, it is demoted.
-func (v *View) Stalled(now Time, leading bool) {
+func (v *View) RecordStall(now Time, leading bool) {
 	if leading {
 		v.own.Demotions++
 	}
@@ -275,7 +275,7 @@
 		able = append(able, v.self)
 	}
 	for id, p := range v.peers {
-		if p.report.Able && p.report.Cell == v.own.Cell && now-p.heard <= LostAfter {
+		if p.report.Able && p.report.Cell == v.own.Cell && now-p.heard <= HeartbeatTimeout {
 			able = append(able, id)
 		}
 	}
@@ -311,7 +311,7 @@
 func (v *View) firstLeading(now Time, shard int) ID {
 	best := ID("")
 	for _, id := range v.claims[shard] {
-		if now-v.peers[id].heard <= LostAfter && (best == "" || v.before(id, best, shard)) {
+		if now-v.peers[id].heard <= HeartbeatTimeout && (best == "" || v.before(id, best, shard)) {
 			best = id
 		}
 	}
@@ -328,7 +328,7 @@
 		if l == "" || l == v.self || l == id || v.peers[l] != nil {
 			continue
 		}
-		if now-p.heard+p.report.Follows[shard].Age <= LostAfter && (found == "" || l < found) {
+		if now-p.heard+p.report.Follows[shard].Age <= HeartbeatTimeout && (found == "" || l < found) {
 			found = l
 		}
 	}
@@ -359,9 +359,9 @@
 	return &v.peers[id].report
 }
 
-// Own is the report to send, given whom the process follows in each shard. It tells
+// OwnReport is the report to send, given whom the process follows in each shard. It tells
 // of the shards of its own cell.
-func (v *View) Own(now Time, choices []Choice) Report {
+func (v *View) OwnReport(now Time, choices []Choice) Report {
 	r := v.own
 	r.Follows = make([]Follow, len(choices))
 	for i, c := range choices {
@@ -370,7 +370,7 @@
 		}
 		r.Follows[i].Leader = c.Leader
 		if c.Leader != v.self {
-			r.Follows[i].Age = now - v.LastHeard(c.Leader)
+			r.Follows[i].Age = now - v.LastContact(c.Leader)
 		}
 	}
 	return r
--- a/core/leader/leader_test.go
+++ b/core/leader/leader_test.go
@@ -14,7 +14,7 @@
 // view returns that of process b, number 2, after it has settled.
 func view() (*View, Time) {
 	v := started()
-	v.Found(0)
+	v.PeersDiscovered(0)
 	return v, time.Second
 }
 
@@ -38,11 +38,11 @@
 	g := NewWithT(t)
 	v, now := view()
 	g.Expect(choose(v, now, false)).To(Equal(Choice{Leader: "b", Reachable: true}))
-	v.Heard(now, "c", able(3, "c"))
+	v.RecordContact(now, "c", able(3, "c"))
 	g.Expect(choose(v, now, true)).To(Equal(Choice{Leader: "b", Reachable: true}))
-	v.Heard(now, "a", able(1, "a"))
+	v.RecordContact(now, "a", able(1, "a"))
 	g.Expect(choose(v, now, false)).To(Equal(Choice{Leader: "a", Reachable: true}))
-	v.Heard(now, "d", &Report{Number: 0, Able: false})
+	v.RecordContact(now, "d", &Report{Number: 0, Able: false})
 	g.Expect(choose(v, now, false).Leader).To(Equal(ID("a")))
 }
 
@@ -51,7 +51,7 @@
 func TestNewProcessListensFirst(t *testing.T) {
 	g := NewWithT(t)
 	v := started()
-	v.Found(0)
+	v.PeersDiscovered(0)
 	g.Expect(choose(v, settle-ms, false)).To(Equal(Choice{}))
 	g.Expect(choose(v, settle, false).Leader).To(Equal(ID("b")))
 }
@@ -62,7 +62,7 @@
 	g := NewWithT(t)
 	v := started()
 	g.Expect(choose(v, settle, false)).To(Equal(Choice{}))
-	v.Found(settle)
+	v.PeersDiscovered(settle)
 	g.Expect(choose(v, 2*settle-ms, false)).To(Equal(Choice{}))
 	g.Expect(choose(v, 2*settle, false).Leader).To(Equal(ID("b")))
 
@@ -75,14 +75,14 @@
 func TestLeadsAtOnceWhenAllAreHeard(t *testing.T) {
 	g := NewWithT(t)
 	v := started()
-	v.Found(0)
-	v.Heard(ms, "c", able(3, ""))
+	v.PeersDiscovered(0)
+	v.RecordContact(ms, "c", able(3, ""))
 	g.Expect(choose(v, 2*ms, false)).To(Equal(Choice{}), "others may be to come")
-	v.SetComplete(true)
+	v.SetAllVMsReachable(true)
 	g.Expect(choose(v, 2*ms, false).Leader).To(Equal(ID("b")))
-	v.Heard(3*ms, "a", &Report{Number: 1})
+	v.RecordContact(3*ms, "a", &Report{Number: 1})
 	g.Expect(choose(v, 4*ms, false)).To(Equal(Choice{}), "an older one doesn't know the shards yet")
-	v.Heard(5*ms, "a", able(1, "a"))
+	v.RecordContact(5*ms, "a", able(1, "a"))
 	g.Expect(choose(v, 6*ms, false).Leader).To(Equal(ID("a")))
 }
 
@@ -91,13 +91,13 @@
 func TestAWokenProcessListensAgain(t *testing.T) {
 	g := NewWithT(t)
 	v := started()
-	v.Found(0)
-	v.Heard(ms, "c", able(3, "b"))
-	v.SetComplete(true)
+	v.PeersDiscovered(0)
+	v.RecordContact(ms, "c", able(3, "b"))
+	v.SetAllVMsReachable(true)
 	g.Expect(choose(v, 2*ms, false).Leader).To(Equal(ID("b")))
-	v.Stalled(1000*ms, true)
+	v.RecordStall(1000*ms, true)
 	g.Expect(choose(v, 1000*ms, false)).To(Equal(Choice{}))
-	v.Heard(1001*ms, "c", able(3, "c"))
+	v.RecordContact(1001*ms, "c", able(3, "c"))
 	g.Expect(choose(v, 1001*ms, false).Leader).To(Equal(ID("c")))
 }
 
@@ -106,10 +106,10 @@
 func TestNobodyFollowsAProcessThatDoesntLeadYet(t *testing.T) {
 	g := NewWithT(t)
 	v, now := view()
-	v.Heard(now, "a", able(1, ""))
+	v.RecordContact(now, "a", able(1, ""))
 	g.Expect(choose(v, now, false)).To(Equal(Choice{}))
 	g.Expect(choose(v, now, true).Leader).To(Equal(ID("b")), "it leads on until a does")
-	v.Heard(now, "a", able(1, "a"))
+	v.RecordContact(now, "a", able(1, "a"))
 	g.Expect(choose(v, now, true).Leader).To(Equal(ID("a")))
 }
 
@@ -119,10 +119,10 @@
 func TestLeaderThatOthersHear(t *testing.T) {
 	g := NewWithT(t)
 	v, now := view()
-	v.Heard(now, "c", &Report{Number: 3, Able: true, Follows: []Follow{{"a", 50 * ms}}})
+	v.RecordContact(now, "c", &Report{Number: 3, Able: true, Follows: []Follow{{"a", 50 * ms}}})
 	g.Expect(choose(v, now, false)).To(Equal(Choice{Leader: "a"}))
-	later := now + LostAfter
-	v.Heard(later, "c", &Report{Number: 3, Able: true, Follows: []Follow{{"a", 50*ms + LostAfter}}})
+	later := now + HeartbeatTimeout
+	v.RecordContact(later, "c", &Report{Number: 3, Able: true, Follows: []Follow{{"a", 50*ms + HeartbeatTimeout}}})
 	g.Expect(choose(v, later, false)).To(Equal(Choice{Leader: "b", Reachable: true}))
 }
 
@@ -131,13 +131,13 @@
 func TestFrozenLeader(t *testing.T) {
 	g := NewWithT(t)
 	v, now := view()
-	v.Heard(now, "c", able(3, "b"))
+	v.RecordContact(now, "c", able(3, "b"))
 	g.Expect(choose(v, now, true).Leader).To(Equal(ID("b")))
 	now += 3 * time.Second
-	v.Stalled(now, true)
-	g.Expect(v.Silent(now)).To(BeEmpty())
+	v.RecordStall(now, true)
+	g.Expect(v.ExpirePeers(now)).To(BeEmpty())
 	g.Expect(choose(v, now, false).Leader).NotTo(Equal(ID("b")))
-	v.Heard(now, "c", able(3, "c"))
+	v.RecordContact(now, "c", able(3, "c"))
 	g.Expect(choose(v, now+settle, false)).To(Equal(Choice{Leader: "c", Reachable: true}))
 }
 
@@ -146,22 +146,22 @@
 func TestStoppingLeader(t *testing.T) {
 	g := NewWithT(t)
 	v, now := view()
-	v.Heard(now, "c", able(3, "b"))
-	v.Stop()
+	v.RecordContact(now, "c", able(3, "b"))
+	v.SetStopping()
 	g.Expect(choose(v, now, true).Leader).To(Equal(ID("b")))
-	v.Heard(now, "c", able(3, "c"))
+	v.RecordContact(now, "c", able(3, "c"))
 	g.Expect(choose(v, now, true).Leader).To(Equal(ID("c")))
-	v.Ended("c")
+	v.RemovePeer("c")
 	g.Expect(choose(v, now, false).Leader).To(Equal(ID("b")))
 }
 
 func TestSilentProcesses(t *testing.T) {
 	g := NewWithT(t)
 	v, now := view()
-	v.Heard(now, "a", able(1, "a"))
-	g.Expect(v.Silent(now + LostAfter)).To(BeEmpty())
-	g.Expect(v.Silent(now + LostAfter + ms)).To(Equal([]ID{"a"}))
-	g.Expect(choose(v, now+LostAfter+ms, false).Leader).To(Equal(ID("b")))
+	v.RecordContact(now, "a", able(1, "a"))
+	g.Expect(v.ExpirePeers(now + HeartbeatTimeout)).To(BeEmpty())
+	g.Expect(v.ExpirePeers(now + HeartbeatTimeout + ms)).To(Equal([]ID{"a"}))
+	g.Expect(choose(v, now+HeartbeatTimeout+ms, false).Leader).To(Equal(ID("b")))
 }
 
 // Entry VMs differ in size. The small ones answer for callers; a scheduler on
@@ -169,10 +169,10 @@
 func TestLargeVMsLead(t *testing.T) {
 	g := NewWithT(t)
 	v, now := view()
-	v.SetProcessor(192)
+	v.SetMilliCPU(192)
 	large := able(9, "z")
 	large.MilliCPU = 800
-	v.Heard(now, "z", large)
+	v.RecordContact(now, "z", large)
 	g.Expect(choose(v, now, true)).To(Equal(Choice{Leader: "z", Reachable: true}))
 }
 
@@ -184,12 +184,12 @@
 	first := func(lost ID) map[int]ID {
 		v := NewView("", 0)
 		v.Register(0, "b", 2)
-		v.Found(0)
+		v.PeersDiscovered(0)
 		v.SetLayout(0, layout.Pooled(shards), "")
 		v.SetAble(true, false)
 		for i, id := range []ID{"a", "c", "d"} {
 			if id != lost {
-				v.Heard(time.Second, id, &Report{Number: uint64(i + 5), Able: true})
+				v.RecordContact(time.Second, id, &Report{Number: uint64(i + 5), Able: true})
 			}
 		}
 		owners := make(map[int]ID)
@@ -219,18 +219,18 @@
 	g := NewWithT(t)
 	v := NewView("", 0)
 	v.Register(0, "b", 2)
-	v.Found(0)
+	v.PeersDiscovered(0)
 	v.SetLayout(0, layout.Layout{"east", "west"}, "east")
 	v.SetAble(true, false)
 	g.Expect(v.Choose(time.Second, 0, false)).To(Equal(Choice{Leader: "b", Reachable: true}))
 	g.Expect(v.Choose(time.Second, 1, false)).To(Equal(Choice{}))
 	west := &Report{Number: 1, Able: true, Cell: "west", Shards: 2, Follows: []Follow{{}, {Leader: "w"}}}
-	v.Heard(time.Second, "w", west)
+	v.RecordContact(time.Second, "w", west)
 	g.Expect(v.Choose(time.Second, 1, false)).To(Equal(Choice{Leader: "w", Reachable: true}))
 	g.Expect(v.Choose(time.Second, 0, true).Leader).To(Equal(ID("b")), "though w is older")
-	own := v.Own(time.Second, []Choice{{Leader: "b", Reachable: true}, {Leader: "w", Reachable: true}})
+	own := v.OwnReport(time.Second, []Choice{{Leader: "b", Reachable: true}, {Leader: "w", Reachable: true}})
 	g.Expect(own.Follows).To(Equal([]Follow{{Leader: "b"}, {}}), "others hear of a cell from the cell")
-	g.Expect(v.Silent(3 * time.Second)).To(Equal([]ID{"w"}))
+	g.Expect(v.ExpirePeers(3 * time.Second)).To(Equal([]ID{"w"}))
 	g.Expect(v.Choose(3*time.Second, 1, false)).To(Equal(Choice{}))
 }
 
@@ -239,14 +239,14 @@
 func TestStandbyProcessesDontLead(t *testing.T) {
 	g := NewWithT(t)
 	v := started()
-	v.Found(0)
+	v.PeersDiscovered(0)
 	v.SetAble(true, true)
-	g.Expect(v.Informed()).To(BeTrue())
+	g.Expect(v.CanSchedule()).To(BeTrue())
 	g.Expect(choose(v, time.Second, false)).To(Equal(Choice{}))
 	v = started()
-	v.Found(0)
-	v.SetComplete(true)
-	v.Heard(ms, "c", &Report{Number: 3, Standby: true})
+	v.PeersDiscovered(0)
+	v.SetAllVMsReachable(true)
+	v.RecordContact(ms, "c", &Report{Number: 3, Standby: true})
 	g.Expect(choose(v, 2*ms, false).Leader).To(Equal(ID("b")))
 }
 
--- a/core/leader/peers.go
+++ b/core/leader/peers.go
@@ -9,8 +9,8 @@
 	heard  Time
 }
 
-// Heard takes a heartbeat, or with a nil report any other sign of life.
-func (v *View) Heard(now Time, id ID, r *Report) {
+// RecordContact takes a heartbeat, or with a nil report any other sign of life.
+func (v *View) RecordContact(now Time, id ID, r *Report) {
 	p := v.peers[id]
 	if p == nil {
 		p = &peer{}
@@ -36,8 +36,8 @@
 	}
 }
 
-// Ended forgets a process that has closed its connection.
-func (v *View) Ended(id ID) { v.forget(id) }
+// RemovePeer forgets a process that has closed its connection.
+func (v *View) RemovePeer(id ID) { v.forget(id) }
 
 func (v *View) forget(id ID) {
 	if v.peers[id] != nil {
@@ -46,8 +46,8 @@
 	}
 }
 
-// LastHeard is when a process was last heard; 0 if never.
-func (v *View) LastHeard(id ID) Time {
+// LastContact is when a process was last heard; 0 if never.
+func (v *View) LastContact(id ID) Time {
 	if p := v.peers[id]; p != nil {
 		return p.heard
 	}
@@ -62,11 +62,11 @@
 	return Report{}
 }
 
-// Silent lists the processes that have become silent, and forgets them.
-func (v *View) Silent(now Time) []ID {
+// ExpirePeers lists the processes that have become silent, and forgets them.
+func (v *View) ExpirePeers(now Time) []ID {
 	var lost []ID
 	for id, p := range v.peers {
-		if now-p.heard > LostAfter {
+		if now-p.heard > HeartbeatTimeout {
 			lost = append(lost, id)
 			v.forget(id)
 		}
--- a/core/leader/report.go
+++ b/core/leader/report.go
@@ -19,8 +19,8 @@
 	Cell string
 	// Demotions counts the times that the process was frozen while it led.
 	Demotions uint32
-	// Strains counts the times that it gave up the lead since its VM was slow.
-	Strains uint32
+	// Starvations counts the times that it gave up the lead since its VM was slow.
+	Starvations uint32
 	// StoreTrouble: it leads, and needs the store and can't reach it.
 	StoreTrouble bool
 	// StoreReached: it was asked whether it reaches the store, and does.
@@ -73,8 +73,8 @@
 		return -1
 	case b.MilliCPU >= 2*a.MilliCPU && a.MilliCPU > 0:
 		return 1
-	case a.Strains != b.Strains:
-		return ahead(a.Strains < b.Strains)
+	case a.Starvations != b.Starvations:
+		return ahead(a.Starvations < b.Starvations)
 	}
 	return 0
 }
--- a/core/ledger/call.go
+++ b/core/ledger/call.go
@@ -21,8 +21,8 @@
 	Applied Outcome = iota
 	// Superseded: another process owns the shard; nothing was done.
 	Superseded
-	// Turned: the store has refused the call and done nothing.
-	Turned
+	// Rejected: the store has refused the call and done nothing.
+	Rejected
 	// Unanswered: nobody knows; it may still be carried out.
 	Unanswered
 )
--- a/core/ledger/exclusion_test.go
+++ b/core/ledger/exclusion_test.go
@@ -28,7 +28,7 @@
 	granted := b.now
 	b.tick(exclusionRenewal + 20*ms)
 	renewal := one[Claim](b)
-	b.l.Take(b.now, ClaimResult{Call: renewal.Call, Outcome: Unanswered, SentAt: b.now})
+	b.l.HandleResult(b.now, ClaimResult{Call: renewal.Call, Outcome: Unanswered, SentAt: b.now})
 	b.tick(granted + ExclusionTime - exclusionMargin - 20*ms - b.now)
 	b.g.Expect(b.excludes("c2")).To(BeTrue())
 	b.tick(40 * ms)
@@ -46,7 +46,7 @@
 	b.tick(20 * ms)
 	c := one[Claim](b)
 	b.g.Expect(c.Excluded).To(BeEmpty())
-	b.l.Take(b.now, ClaimResult{Call: c.Call, Outcome: Unanswered, SentAt: b.now})
+	b.l.HandleResult(b.now, ClaimResult{Call: c.Call, Outcome: Unanswered, SentAt: b.now})
 	b.l.Exclude([]string{"c2"})
 	b.g.Expect(b.excludes("c2")).To(BeFalse())
 }
@@ -58,7 +58,7 @@
 	b.l.Exclude([]string{"c2"})
 	b.tick(20 * ms)
 	b.claimed(one[Claim](b), Ownership{Epoch: 3, Version: 31})
-	b.l.Take(b.now, CheckResult{Call: b.check(), Version: 32, SentAt: b.now})
+	b.l.HandleResult(b.now, CheckResult{Call: b.check(), Version: 32, SentAt: b.now})
 	one[Lost](b)
 	b.g.Expect(b.excludes("c2")).To(BeFalse())
 }
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -143,8 +143,8 @@
 	return l.lastCall
 }
 
-// Lead takes the shard.
-func (l *Ledger) Lead(now Time) {
+// Acquire takes the shard.
+func (l *Ledger) Acquire(now Time) {
 	l.now = now
 	if l.phase != idle {
 		return
@@ -155,9 +155,9 @@
 	l.step()
 }
 
-// Retire leaves the shard to another process. What isn't in the store yet isn't
+// Release leaves the shard to another process. What isn't in the store yet isn't
 // saved.
-func (l *Ledger) Retire() {
+func (l *Ledger) Release() {
 	l.clear()
 	l.phase = idle
 	l.failingSince = 0
@@ -192,8 +192,8 @@
 
 // replace keeps the job's work of a record that wasn't sent.
 func (e *entry) replace(r Record, sequence uint64) {
-	if r.Work == nil {
-		r.Work = e.record.Work
+	if r.Definition == nil {
+		r.Definition = e.record.Definition
 	}
 	e.record, e.sequence = r, sequence
 }
@@ -299,8 +299,8 @@
 	l.emit(w)
 }
 
-// Take takes what came of a call to the store.
-func (l *Ledger) Take(now Time, r Result) {
+// HandleResult takes what came of a call to the store.
+func (l *Ledger) HandleResult(now Time, r Result) {
 	l.now = now
 	switch r := r.(type) {
 	case ClaimResult:
@@ -390,7 +390,7 @@
 	case Superseded:
 		l.supersede()
 		return
-	case Turned:
+	case Rejected:
 		l.failed(r.SentAt)
 		l.putBack(entries)
 		l.due = l.now + retryPause
@@ -416,8 +416,8 @@
 	for _, e := range entries {
 		id := e.record.Job
 		if newer := l.waiting[id]; newer != nil {
-			if newer.record.Work == nil {
-				newer.record.Work = e.record.Work
+			if newer.record.Definition == nil {
+				newer.record.Definition = e.record.Definition
 			}
 			continue
 		}
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -25,20 +25,20 @@
 // opened returns a bench whose ledger owns its shard under epoch 3.
 func opened(t *testing.T) *bench {
 	b := newBench(t)
-	b.l.Lead(b.now)
+	b.l.Acquire(b.now)
 	b.claimed(one[Claim](b), Ownership{Epoch: 3, Version: 30})
-	b.l.Take(b.now, ReadResult{Call: one[Read](b).Call})
+	b.l.HandleResult(b.now, ReadResult{Call: one[Read](b).Call})
 	one[Loaded](b)
 	take[Verified](b)
 	return b
 }
 
 func (b *bench) claimed(c Claim, o Ownership) {
-	b.l.Take(b.now, ClaimResult{Call: c.Call, Ownership: o, SentAt: b.now})
+	b.l.HandleResult(b.now, ClaimResult{Call: c.Call, Ownership: o, SentAt: b.now})
 }
 
 func (b *bench) wrote(w Write, o Outcome) {
-	b.l.Take(b.now, WriteResult{Call: w.Call, Outcome: o, SentAt: b.now})
+	b.l.HandleResult(b.now, WriteResult{Call: w.Call, Outcome: o, SentAt: b.now})
 }
 
 func (b *bench) tick(d time.Duration) {
@@ -82,7 +82,7 @@
 // and a task that has ended would run again after a restart.
 func TestRecordsOfAJobFollowEachOther(t *testing.T) {
 	b := opened(t)
-	b.l.Save(b.now, 1, Record{Job: "a", Work: &workload.Job{ID: "a"}})
+	b.l.Save(b.now, 1, Record{Job: "a", Definition: &workload.Job{ID: "a"}})
 	first := one[Write](b)
 	b.g.Expect(first.Version).To(BeEquivalentTo(30))
 	b.l.Save(b.now, 2, Record{Job: "a"})
@@ -103,7 +103,7 @@
 // them and bring an old state back.
 func TestLostAnswer(t *testing.T) {
 	b := opened(t)
-	b.l.Save(b.now, 1, Record{Job: "a", Work: &workload.Job{ID: "a"}})
+	b.l.Save(b.now, 1, Record{Job: "a", Definition: &workload.Job{ID: "a"}})
 	b.wrote(one[Write](b), Unanswered)
 	b.l.Save(b.now, 2, Record{Job: "a", State: Cancelled})
 	b.g.Expect(take[Write](b)).To(BeEmpty())
@@ -113,7 +113,7 @@
 	again := one[Write](b)
 	b.g.Expect(again.Version).To(BeEquivalentTo(31))
 	b.g.Expect(again.Records[0].State).To(Equal(Cancelled))
-	b.g.Expect(again.Records[0].Work).NotTo(BeNil(), "the first record's job may not be in the store")
+	b.g.Expect(again.Records[0].Definition).NotTo(BeNil(), "the first record's job may not be in the store")
 	b.g.Expect(take[Read](b)).To(BeEmpty(), "nobody else has written")
 }
 
@@ -123,7 +123,7 @@
 	b := opened(t)
 	b.l.Save(b.now, 1, Record{Job: "a"})
 	b.wrote(one[Write](b), Unanswered)
-	b.l.Take(b.now, ClaimResult{Call: one[Claim](b).Call, Outcome: Superseded, SentAt: b.now})
+	b.l.HandleResult(b.now, ClaimResult{Call: one[Claim](b).Call, Outcome: Superseded, SentAt: b.now})
 	one[Lost](b)
 	b.tick(reclaimPause - 100*ms)
 	b.g.Expect(take[Claim](b)).To(BeEmpty(), "the other one has it for a while")
@@ -143,7 +143,7 @@
 	c := one[Claim](b)
 	b.claimed(c, Ownership{Epoch: 5, Version: 50})
 	b.g.Expect(take[Write](b)).To(BeEmpty(), "what was to be saved before is void")
-	b.l.Take(b.now, ReadResult{Call: one[Read](b).Call})
+	b.l.HandleResult(b.now, ReadResult{Call: one[Read](b).Call})
 	b.g.Expect(one[Loaded](b).Epoch).To(BeEquivalentTo(5))
 }
 
@@ -151,16 +151,16 @@
 // they were, in order, without a renewal.
 func TestCallsTurnedAway(t *testing.T) {
 	b := opened(t)
-	b.l.Save(b.now, 1, Record{Job: "a", Work: &workload.Job{ID: "a"}})
+	b.l.Save(b.now, 1, Record{Job: "a", Definition: &workload.Job{ID: "a"}})
 	first := one[Write](b)
 	b.l.Save(b.now, 2, Record{Job: "b"})
-	b.wrote(first, Turned)
+	b.wrote(first, Rejected)
 	b.g.Expect(take[Write](b)).To(BeEmpty())
 	b.tick(retryPause + 20*ms)
 	b.g.Expect(b.l.FailingFor(b.now)).To(BeNumerically(">=", retryPause))
 	again := one[Write](b)
 	b.g.Expect(jobs(again)).To(Equal([]workload.JobID{"a", "b"}))
-	b.g.Expect(again.Records[0].Work).NotTo(BeNil())
+	b.g.Expect(again.Records[0].Definition).NotTo(BeNil())
 	b.wrote(again, Applied)
 	b.g.Expect(b.l.FailingFor(b.now)).To(BeZero())
 	b.g.Expect(take[Claim](b)).To(BeEmpty())
@@ -177,11 +177,11 @@
 	b.l.Save(b.now, 1, Record{Job: "a"})
 	b.wrote(one[Write](b), Unanswered)
 	b.claimed(one[Claim](b), Ownership{Epoch: 3, Version: 31})
-	b.l.Take(b.now, CheckResult{Call: check.Call, Version: 30, SentAt: sent})
+	b.l.HandleResult(b.now, CheckResult{Call: check.Call, Version: 30, SentAt: sent})
 	b.g.Expect(take[Lost](b)).To(BeEmpty())
 	b.now += checkInterval
 	b.l.Tick(b.now, true)
-	b.l.Take(b.now, CheckResult{Call: one[Check](b).Call, Version: 40, SentAt: b.now})
+	b.l.HandleResult(b.now, CheckResult{Call: one[Check](b).Call, Version: 40, SentAt: b.now})
 	one[Lost](b)
 }
 
@@ -191,7 +191,7 @@
 	b := opened(t)
 	for i := range 400 {
 		id := workload.JobID(fmt.Sprintf("%04d", i))
-		b.l.Save(b.now, uint64(i), Record{Job: id, Work: &workload.Job{ID: id}})
+		b.l.Save(b.now, uint64(i), Record{Job: id, Definition: &workload.Job{ID: id}})
 	}
 	saved := 0
 	for range 20 {
@@ -213,8 +213,8 @@
 	b := opened(t)
 	b.l.Save(b.now, 1, Record{Job: "a"})
 	w := one[Write](b)
-	b.l.Retire()
-	b.l.Lead(b.now)
+	b.l.Release()
+	b.l.Acquire(b.now)
 	c := one[Claim](b)
 	b.wrote(w, Superseded)
 	b.g.Expect(take[Lost](b)).To(BeEmpty())
--- a/core/ledger/record.go
+++ b/core/ledger/record.go
@@ -35,8 +35,8 @@
 // String is for logs.
 func (s State) String() string { return stateNames[s] }
 
-// KeepsWork reports whether the job itself is still needed, beside how far it is.
-func (s State) KeepsWork() bool { return s == Open || s == Moving }
+// NeedsDefinition reports whether the job itself is still needed, beside how far it is.
+func (s State) NeedsDefinition() bool { return s == Open || s == Moving }
 
 // Bits is a set of small numbers, those of the tasks of a step.
 type Bits []byte
@@ -62,9 +62,9 @@
 // Record is what is kept of a job.
 type Record struct {
 	Job workload.JobID
-	// Work is the job as it was accepted. In a record to be saved it is nil if
+	// Definition is the job as it was accepted. In a record to be saved it is nil if
 	// it is in the store already.
-	Work *workload.Job
+	Definition *workload.Job
 	// Age is the time since the job was accepted, as it is read.
 	Age time.Duration
 	// Epoch is the ownership of the shard under which the job was accepted.
@@ -86,7 +86,7 @@
 
 // weight is the number of rows that saving the record writes or removes.
 func (r *Record) weight() int {
-	if r.Work != nil || !r.State.KeepsWork() {
+	if r.Definition != nil || !r.State.NeedsDefinition() {
 		return 2
 	}
 	return 1
@@ -95,8 +95,8 @@
 // size is about how many bytes the record takes on the wire.
 func (r *Record) size() int {
 	n := rowBytes
-	if r.Work != nil {
-		n += len(r.Work.Spec) + stepBytes*len(r.Work.Steps)
+	if r.Definition != nil {
+		n += len(r.Definition.Spec) + stepBytes*len(r.Definition.Steps)
 	}
 	for _, d := range r.Done {
 		n += 2 * len(d)
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -22,9 +22,9 @@
 	// start together would each take all slots for their own; one would notice
 	// by a burst of refused starts.
 	AbsenceGrace = 2 * time.Second
-	// LeavingHold is how long an upstream's own word that it leaves stands
+	// LeavingNoticeTTL is how long an upstream's own word that it leaves stands
 	// against a list that doesn't say so yet.
-	LeavingHold = 30 * time.Second
+	LeavingNoticeTTL = 30 * time.Second
 )
 
 // sight is what is seen of one node.
@@ -60,8 +60,8 @@
 	}
 }
 
-// Listed says whether there is a list in force.
-func (v *View) Listed() bool { return v.listed }
+// HasList says whether there is a list in force.
+func (v *View) HasList() bool { return v.listed }
 
 // Version is the version of the list in force, 0 if there is none.
 func (v *View) Version() uint64 { return v.list.Version }
@@ -69,13 +69,13 @@
 // List is the list in force as it was read. It must not be changed.
 func (v *View) List() task.Members { return v.list }
 
-// Offer puts a list in force if it is newer than the present one, and reports
+// ApplyList puts a list in force if it is newer than the present one, and reports
 // whether it did.
 //
 // Lists come from the platform and from peers, late and crossed. An older list
 // would bring a leaving upstream back, whose tasks would then be cut off; the
 // check on the version prevents that.
-func (v *View) Offer(now task.Time, m task.Members) bool {
+func (v *View) ApplyList(now task.Time, m task.Members) bool {
 	if v.listed && m.Version <= v.list.Version {
 		return false
 	}
@@ -165,7 +165,7 @@
 
 // UpstreamLeaving records that an upstream itself said that it leaves.
 func (v *View) UpstreamLeaving(now task.Time, name string) {
-	v.leaving[name] = now + LeavingHold
+	v.leaving[name] = now + LeavingNoticeTTL
 	v.stale = true
 }
 
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -52,7 +52,7 @@
 func (m *model) offer(t *rapid.T) {
 	l := drawList(t)
 	before := m.view.Version()
-	taken := m.view.Offer(m.now, l)
+	taken := m.view.ApplyList(m.now, l)
 	if taken != (l.Version > before) {
 		t.Fatalf("version %d taken=%v over %d", l.Version, taken, before)
 	}
@@ -156,7 +156,7 @@
 	}
 	for i, u := range m.list.Upstreams {
 		at, said := m.farewells[u.Name]
-		want := u.Leaving || said && m.now < at+membership.LeavingHold
+		want := u.Leaving || said && m.now < at+membership.LeavingNoticeTTL
 		if live.Upstreams[i].Leaving != want {
 			t.Fatalf("at %v %s leaving=%v", m.now, u.Name, live.Upstreams[i].Leaving)
 		}
@@ -188,11 +188,11 @@
 func TestReplacedUpstreamIsWelcome(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := membership.New(self)
-	v.Offer(0, task.Members{Version: 1, Upstreams: []task.Upstream{{Name: "up", Address: "10.0.0.1:80"}}})
+	v.ApplyList(0, task.Members{Version: 1, Upstreams: []task.Upstream{{Name: "up", Address: "10.0.0.1:80"}}})
 	v.UpstreamLeaving(0, "up")
 	live, _ := v.Live(0)
 	g.Expect(live.Upstreams[0].Leaving).To(gomega.BeTrue())
-	v.Offer(0, task.Members{Version: 2, Upstreams: []task.Upstream{{Name: "up", Address: "10.0.0.2:80"}}})
+	v.ApplyList(0, task.Members{Version: 2, Upstreams: []task.Upstream{{Name: "up", Address: "10.0.0.2:80"}}})
 	live, _ = v.Live(0)
 	g.Expect(live.Upstreams[0].Leaving).To(gomega.BeFalse())
 }
--- a/core/schedule/job.go
+++ b/core/schedule/job.go
@@ -110,7 +110,7 @@
 		}
 	}
 	j.waiting = w.Tasks()
-	j.remaining = w.Chain()
+	j.remaining = w.CriticalPath()
 	return j
 }
 
--- a/core/schedule/move.go
+++ b/core/schedule/move.go
@@ -141,7 +141,7 @@
 // movingRecord is what another shard needs to go on with the job.
 func (j *job) movingRecord() ledger.Record {
 	r := j.record()
-	r.Work = j.work
+	r.Definition = j.work
 	return r
 }
 
@@ -170,7 +170,7 @@
 func (s *Scheduler) movedJob(m *move) MovedJob {
 	r := m.record
 	return MovedJob{
-		Job:      r.Work,
+		Job:      r.Definition,
 		Age:      m.age + s.now - m.since,
 		Hand:     r.Hand,
 		Done:     r.Done,
@@ -188,7 +188,7 @@
 	}
 	delete(s.custody.moving, id)
 	m.arrived = true
-	m.record.Done, m.record.Failures, m.record.Work = nil, nil, nil
+	m.record.Done, m.record.Failures, m.record.Definition = nil, nil, nil
 	m.record.State = ledger.Moved
 	k := s.custody.kept[id]
 	k.state = ledger.Moved
@@ -242,7 +242,7 @@
 	id := m.Job.ID
 	s.dropKept(id)
 	j := s.restored(ledger.Record{
-		Job: id, Work: m.Job, Age: m.Age, Epoch: s.custody.epoch - uint64(m.Hand),
+		Job: id, Definition: m.Job, Age: m.Age, Epoch: s.custody.epoch - uint64(m.Hand),
 		Done: m.Done, Failures: m.Failures, Unseen: m.Unseen, Restarted: true,
 	})
 	j.knownFrom = s.now
--- a/core/schedule/move_test.go
+++ b/core/schedule/move_test.go
@@ -115,7 +115,7 @@
 	m := moved(2)
 	b.s.Take(b.now, entryA, m)
 	save := one[Save](b)
-	b.g.Expect(save.Record.Work).To(Equal(m.Job))
+	b.g.Expect(save.Record.Definition).To(Equal(m.Job))
 	b.g.Expect(take[Taken](b)).To(BeEmpty(), "it isn't in the store")
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 	b.saved(save)
--- a/core/schedule/records.go
+++ b/core/schedule/records.go
@@ -42,9 +42,9 @@
 func (j *job) record() ledger.Record {
 	r := ledger.Record{Job: j.work.ID, Epoch: j.stored.epoch, State: j.stored.state, Restarted: j.restarted, Unseen: j.stored.unseen, To: j.stored.to, Hand: j.stored.hand}
 	if !j.stored.accepted {
-		r.Work = j.work
+		r.Definition = j.work
 	}
-	if !r.State.KeepsWork() {
+	if !r.State.NeedsDefinition() {
 		return r
 	}
 	r.Failures = append(r.Failures, j.stored.failures...)
--- a/core/schedule/restore.go
+++ b/core/schedule/restore.go
@@ -43,7 +43,7 @@
 
 // restore takes up a job that another scheduler had.
 func (s *Scheduler) restore(r ledger.Record) {
-	if r.Work == nil || s.jobs[r.Job] != nil {
+	if r.Definition == nil || s.jobs[r.Job] != nil {
 		return
 	}
 	j := s.restored(r)
@@ -55,13 +55,13 @@
 
 // restored is a job as its record says.
 func (s *Scheduler) restored(r ledger.Record) *job {
-	j := newJob(r.Work, s.now)
+	j := newJob(r.Definition, s.now)
 	j.stored = &stored{epoch: r.Epoch, accepted: true, failures: r.Failures, unseen: r.Unseen, unseenBefore: r.Unseen}
 	j.started, j.restarted = true, r.Restarted
 	j.handed = int(s.custody.epoch - r.Epoch)
 	j.knownFrom = s.custody.knownFrom
 	j.listsSince = s.now
-	j.setDue(s.now-r.Age, r.Work.Objective)
+	j.setDue(s.now-r.Age, r.Definition.Objective)
 	s.timed(j)
 	s.jobs[r.Job] = j
 	s.custody.open++
--- a/core/schedule/results.go
+++ b/core/schedule/results.go
@@ -176,7 +176,7 @@
 	switch e.Kind {
 	case workload.Failed:
 		s.runFailed(t, u.runner, e.Run)
-	case workload.Lapsed:
+	case workload.LeaseExpired:
 		s.ctr.Lapsed++
 	}
 	if t.job.ended {
--- a/core/schedule/safety_test.go
+++ b/core/schedule/safety_test.go
@@ -18,7 +18,7 @@
 	g := NewWithT(t)
 	cfg := DefaultConfig()
 	const tick, network = 20 * ms, 10 * ms
-	dropped := leader.LostAfter + 2*tick
+	dropped := leader.HeartbeatTimeout + 2*tick
 	lapsed := longestLife(cfg.Lease) - cfg.HoldWait - network
 	g.Expect(lapsed).To(BeNumerically(">", dropped))
 	g.Expect(cfg.Lease).To(BeNumerically(">", cfg.HoldWait+CallTimeout+network), "a renewal fits before the lease ends")
--- a/core/schedule/stored_test.go
+++ b/core/schedule/stored_test.go
@@ -36,7 +36,7 @@
 	for _, n := range done {
 		bits.Set(n)
 	}
-	return ledger.Record{Job: j.ID, Work: j, Epoch: epoch, Done: []ledger.Bits{bits}}
+	return ledger.Record{Job: j.ID, Definition: j, Epoch: epoch, Done: []ledger.Bits{bits}}
 }
 
 func runOf(j *workload.Job, index, number int) workload.RunKey {
@@ -51,7 +51,7 @@
 	j := storedJob(1, 100*ms)
 	b.submit(j, 2*time.Second)
 	save := one[Save](b)
-	b.g.Expect(save.Record.Work).To(Equal(j))
+	b.g.Expect(save.Record.Definition).To(Equal(j))
 	b.g.Expect(take[Answer](b)).To(BeEmpty())
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 	b.g.Expect(b.s.State(j.ID, b.now).Unsure).To(BeTrue())
@@ -76,7 +76,7 @@
 	b.end("r1", 1, runOf(j, 0, 1), workload.Done)
 	save := one[Save](b)
 	b.g.Expect(save.Record.Done[0].Has(0)).To(BeTrue())
-	b.g.Expect(save.Record.Work).To(BeNil(), "it is in the store already")
+	b.g.Expect(save.Record.Definition).To(BeNil(), "it is in the store already")
 	b.tick(60 * ms)
 	for _, h := range take[Hold](b) {
 		b.g.Expect(h.Acknowledged).To(BeZero())
@@ -278,7 +278,7 @@
 		Runner: h.Runner, Token: h.Token, Outcome: Accepted, Clock: b.clock(),
 		Running: []workload.RunKey{first.Run}, Checkpoints: map[workload.RunKey]string{first.Run: "half"},
 	})
-	b.end("r1", 1, first.Run, workload.Lapsed)
+	b.end("r1", 1, first.Run, workload.LeaseExpired)
 	second := one[Start](b)
 	b.g.Expect(second.Checkpoint).To(Equal("half"))
 	b.started(second, Accepted)
--- a/core/schedule/submit.go
+++ b/core/schedule/submit.go
@@ -169,7 +169,7 @@
 		o = workload.GaveUp
 	}
 	a := Answer{At: s.now, Entry: j.entry, Job: j.work.ID, Outcome: o, Reason: reason, Runs: j.runs, NoRoom: j.noRoom}
-	a.Work, a.Estimate = j.longestWork(), j.work.Chain()
+	a.Work, a.Estimate = j.longestWork(), j.work.CriticalPath()
 	if j.runs > 0 {
 		a.Waited = j.firstRun - j.arrived
 	}
--- a/core/schedule/timed_test.go
+++ b/core/schedule/timed_test.go
@@ -62,7 +62,7 @@
 	b.held(one[Hold](b))
 	bits := ledger.NewBits(1)
 	bits.Set(0)
-	b.own(2, ledger.Record{Job: j.ID, Work: j, Epoch: 1, Done: []ledger.Bits{bits, ledger.NewBits(1), ledger.NewBits(1)}})
+	b.own(2, ledger.Record{Job: j.ID, Definition: j, Epoch: 1, Done: []ledger.Bits{bits, ledger.NewBits(1), ledger.NewBits(1)}})
 	b.wait(1580 * ms)
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 	b.wait(40 * ms)
--- a/core/topology/topology.go
+++ b/core/topology/topology.go
@@ -105,16 +105,16 @@
 // SameProcess reports whether another link is with the same process.
 func (l Link) SameProcess(o Link) bool { return l.ID == o.ID }
 
-// InCell lists the members of a member's cell, those that schedule first.
-func (f *Fleet) InCell(m Member) []Member { return f.members[f.byDomain[m.Domain]] }
+// CellMembers lists the members of a member's cell, those that schedule first.
+func (f *Fleet) CellMembers(m Member) []Member { return f.members[f.byDomain[m.Domain]] }
 
 // Seats lists the members of a cell that schedule: those with more than half of
 // the most processor that any has, or more if the process widens its view.
 func (f *Fleet) Seats(cell string, widened int) []Member { return seats(f.members[cell], widened) }
 
-// Seated reports whether a member has one of the seats of its cell.
-func (f *Fleet) Seated(m Member, widened int) bool {
-	return contains(seats(f.InCell(m), widened), m)
+// HasSeat reports whether a member has one of the seats of its cell.
+func (f *Fleet) HasSeat(m Member, widened int) bool {
+	return contains(seats(f.CellMembers(m), widened), m)
 }
 
 func seats(list []Member, widened int) []Member {
@@ -137,7 +137,7 @@
 		return nil
 	}
 	links := f.inside(self, widened)
-	if f.layout.Divided() {
+	if f.layout.HasCells() {
 		links = append(links, f.outside(self)...)
 	}
 	slices.SortFunc(links, func(a, b Link) int { return strings.Compare(a.ID, b.ID) })
@@ -147,7 +147,7 @@
 // inside are the links within the own cell: with its seats, and from a seat with
 // all. Of two the one that registered later dials, since it surely knows the other.
 func (f *Fleet) inside(self Member, widened int) []Link {
-	all := f.InCell(self)
+	all := f.CellMembers(self)
 	top := seats(all, widened)
 	seated := contains(top, self)
 	var links []Link
--- a/core/topology/topology_test.go
+++ b/core/topology/topology_test.go
@@ -65,7 +65,7 @@
 		degree := degrees(g, f, members, 0)
 		for _, m := range members {
 			n := degree[m.ID]
-			if !f.Seated(m, 0) {
+			if !f.HasSeat(m, 0) {
 				g.Expect(n).To(Equal(3 + gatewayCells))
 				continue
 			}
@@ -89,7 +89,7 @@
 	g.Expect(seats).To(HaveLen(seatsMost))
 	g.Expect(seats[0].Number).To(BeEquivalentTo(1), "the oldest of VMs that are alike")
 	for i, m := range members {
-		if !f.Seated(m, 0) {
+		if !f.HasSeat(m, 0) {
 			g.Expect(f.Links(m, 0)).To(HaveLen(seatsMost), "VM %d", i)
 		}
 	}
--- a/core/workload/workload.go
+++ b/core/workload/workload.go
@@ -98,8 +98,8 @@
 	return n * j.Occurrences()
 }
 
-// Chain is the estimated run time of the longest chain of dependent steps.
-func (j *Job) Chain() time.Duration {
+// CriticalPath is the estimated run time of the longest chain of dependent steps.
+func (j *Job) CriticalPath() time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	longest := time.Duration(0)
 	for i, s := range j.Steps {
@@ -116,8 +116,8 @@
 // MaxTasks bounds a job. The largest jobs planned for have 980 tasks.
 const MaxTasks = 4096
 
-// Check reports what makes a job impossible to run.
-func (j *Job) Check() error {
+// Validate reports what makes a job impossible to run.
+func (j *Job) Validate() error {
 	if len(j.Steps) == 0 {
 		return errors.New("the job has no steps")
 	}
@@ -239,8 +239,8 @@
 	Failed
 	// Stopped: on an order.
 	Stopped
-	// Lapsed: its lease ran out.
-	Lapsed
+	// LeaseExpired: its lease ran out.
+	LeaseExpired
 	// Aborted: another task that it works with ended or didn't come.
 	Aborted
 )
--- a/core/workload/workload_test.go
+++ b/core/workload/workload_test.go
@@ -26,7 +26,7 @@
 		{Tasks: 1, Estimate: 3 * time.Second},
 		{Tasks: 1, Estimate: time.Second, DependsOn: []int{0}},
 	}}
-	NewWithT(t).Expect(j.Chain()).To(Equal(3 * time.Second))
+	NewWithT(t).Expect(j.CriticalPath()).To(Equal(3 * time.Second))
 }
 
 func TestCheck(t *testing.T) {
@@ -39,7 +39,7 @@
 	}
 	for name, j := range cases {
 		t.Run(name, func(t *testing.T) {
-			NewWithT(t).Expect(j.Check()).NotTo(Succeed())
+			NewWithT(t).Expect(j.Validate()).NotTo(Succeed())
 		})
 	}
 }
--- a/entry/ledgers.go
+++ b/entry/ledgers.go
@@ -74,7 +74,7 @@
 	case errors.Is(err, ErrSuperseded):
 		return ledger.Superseded
 	case errors.Is(err, ErrTurnedAway):
-		return ledger.Turned
+		return ledger.Rejected
 	}
 	return ledger.Unanswered
 }
--- a/entry/requests.go
+++ b/entry/requests.go
@@ -64,9 +64,9 @@
 
 func (p *Process) reply(c gateway.Reply) {
 	p.metrics.requests.WithLabelValues(c.Job.Queue, c.Outcome.String()).Inc()
-	p.metrics.requestSeconds.WithLabelValues(c.Outcome.String()).Observe(c.Took.Seconds())
+	p.metrics.requestSeconds.WithLabelValues(c.Outcome.String()).Observe(c.Elapsed.Seconds())
 	p.log.Info().Str("job", string(c.Job.ID)).Str("queue", c.Job.Queue).Uint64("configuration", c.Job.Version).
-		Stringer("outcome", c.Outcome).Dur("took", c.Took).Dur("objective", c.Job.Objective).
+		Stringer("outcome", c.Outcome).Dur("took", c.Elapsed).Dur("objective", c.Job.Objective).
 		Str("scheduler", string(c.Scheduler)).Int("handed", c.Handed).Dur("retry-after", c.RetryAfter).
 		Str("reason", c.Reason).Msg("request-answered")
 	done := p.replies[c.Request]
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -243,7 +243,7 @@
 		Able:               h.Report.Able,
 		Stopping:           h.Report.Stopping,
 		Demotions:          h.Report.Demotions,
-		Strains:            h.Report.Strains,
+		Strains:            h.Report.Starvations,
 		StoreTrouble:       h.Report.StoreTrouble,
 		StoreReached:       h.Report.StoreReached,
 		StoreLost:          h.Report.StoreLost,
@@ -279,13 +279,13 @@
 func heartbeatOf(m *pb.Heartbeat) fleet.Heartbeat {
 	h := fleet.Heartbeat{
 		Report: leader.Report{
-			Number:    m.GetNumber(),
-			Able:      m.GetAble(),
-			Standby:   m.GetStandby(),
-			Cell:      m.GetCell(),
-			Stopping:  m.GetStopping(),
-			Demotions: m.GetDemotions(),
-			Strains:   m.GetStrains(),
+			Number:      m.GetNumber(),
+			Able:        m.GetAble(),
+			Standby:     m.GetStandby(),
+			Cell:        m.GetCell(),
+			Stopping:    m.GetStopping(),
+			Demotions:   m.GetDemotions(),
+			Starvations: m.GetStrains(),
 
 			StoreTrouble: m.GetStoreTrouble(),
 			StoreReached: m.GetStoreReached(),
