--- a/entry/dump.go
+++ b/entry/dump.go
@@ -15,7 +15,7 @@
 	Evacuated       []string          `json:"evacuated"`
 	Peers           []string          `json:"peers"`
 	Place           fleet.Place       `json:"place"`
-	JobsInHand      int               `json:"jobs_in_hand"`
+	JobsInFlight    int               `json:"jobs_in_hand"`
 	RunnersRevision uint64            `json:"runners_revision"`
 	Shards          []fleet.ShardDump `json:"shards"`
 }
@@ -42,7 +42,7 @@
 		Evacuated:       p.node.Evacuations().Domains,
 		Peers:           p.mesh.Connected(),
 		Place:           p.node.Place(),
-		JobsInHand:      p.node.InHand(),
+		JobsInFlight:    p.node.InHand(),
 		RunnersRevision: p.node.RunnersRevision(),
 		Shards:          p.node.Shards(now),
 	}
--- a/entry/ledgers.go
+++ b/entry/ledgers.go
@@ -35,7 +35,7 @@
 	case ledger.Check:
 		kind = "check"
 		var version uint64
-		version, err = p.store.Ownership(ctx, c.Shard)
+		version, err = p.store.OwnershipVersion(ctx, c.Shard)
 		result = ledger.CheckResult{Call: call.Call, Outcome: storeOutcome(err), Version: version, SentAt: sentAt}
 	case ledger.Write:
 		kind = "write"
@@ -73,7 +73,7 @@
 		return ledger.Applied
 	case errors.Is(err, ErrSuperseded):
 		return ledger.Superseded
-	case errors.Is(err, ErrTurnedAway):
+	case errors.Is(err, ErrRejected):
 		return ledger.Turned
 	}
 	return ledger.Unanswered
@@ -86,7 +86,7 @@
 func (p *Process) probeStore(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	_, err := p.store.Ownership(ctx, 0)
+	_, err := p.store.OwnershipVersion(ctx, 0)
 	p.log.Info().Bool("reached", err == nil).AnErr("cause", err).Msg("store-probed")
 	p.post(func(now Time) { p.node.StoreProbed(now, err == nil) })
 }
--- a/entry/ports.go
+++ b/entry/ports.go
@@ -55,33 +55,33 @@
 	// Members waits for a change of the registered processes and returns all;
 	// the first call returns at once.
 	Members(context.Context) ([]peer.Member, error)
-	// Operator waits for a change of what the operator has written; the first call
+	// OperatorSettings waits for a change of what the operator has written; the first call
 	// returns at once.
-	Operator(context.Context) (Operator, error)
+	OperatorSettings(context.Context) (OperatorSettings, error)
 	// Runners reads the list of runners as it is now.
 	Runners(context.Context) (fleet.RunnerList, error)
 	// Layout reads how the runners are divided, and sets it if nobody has yet; an
 	// empty proposal only reads. It never changes.
 	Layout(ctx context.Context, propose layout.Layout) (layout.Layout, error)
-	Ledgers
+	LedgerStore
 }
 
-// Operator is what the operator has written.
-type Operator struct {
+// OperatorSettings is what the operator has written.
+type OperatorSettings struct {
 	// Declaration is the configuration; nil means that what is there can't be used.
 	Declaration *routing.Declaration
 	Evacuations routing.Evacuations
 }
 
-// Ledgers keeps the records of the shards' jobs.
-type Ledgers interface {
+// LedgerStore keeps the records of the shards' jobs.
+type LedgerStore interface {
 	// Claim takes a shard's rows for an owner, or renews its hold. ErrSuperseded:
-	// another owner has them; ErrTurnedAway: also, the owner has excluded the VM.
+	// another owner has them; ErrRejected: also, the owner has excluded the VM.
 	Claim(ctx context.Context, shard int, owner string, c ledger.Claim) (ledger.Ownership, error)
-	// AnyRecords reports whether any shard has records.
-	AnyRecords(ctx context.Context) (bool, error)
-	// Ownership is the version of the ownership row.
-	Ownership(ctx context.Context, shard int) (uint64, error)
+	// HasRecords reports whether any shard has records.
+	HasRecords(ctx context.Context) (bool, error)
+	// OwnershipVersion is the version of the ownership row.
+	OwnershipVersion(ctx context.Context, shard int) (uint64, error)
 	// Records reads all records of a shard.
 	Records(ctx context.Context, shard int) ([]ledger.Record, error)
 	// Write saves records if the ownership row has the version; else it is
@@ -92,8 +92,8 @@
 var (
 	// ErrSuperseded: another process owns the shard.
 	ErrSuperseded = errors.New("another process owns the shard")
-	// ErrTurnedAway: the store has refused a call and done nothing.
-	ErrTurnedAway = errors.New("the store turned the call away")
+	// ErrRejected: the store has refused a call and done nothing.
+	ErrRejected = errors.New("the store turned the call away")
 )
 
 // Config is what a process needs.
--- a/entry/process.go
+++ b/entry/process.go
@@ -271,12 +271,12 @@
 // Stopping reports whether a planned stop has begun.
 func (p *Process) Stopping() bool { return p.stopping.Load() }
 
-// Declared is the configuration in force; empty before the first.
-func (p *Process) Declared() *routing.Table { return p.declared.Load() }
+// Configuration is the configuration in force; empty before the first.
+func (p *Process) Configuration() *routing.Table { return p.declared.Load() }
 
-// AwaitDeclared is the configuration in force; it waits a while for the first.
-func (p *Process) AwaitDeclared(ctx context.Context) *routing.Table {
-	if table := p.Declared(); table.Current() != nil {
+// AwaitConfiguration is the configuration in force; it waits a while for the first.
+func (p *Process) AwaitConfiguration(ctx context.Context) *routing.Table {
+	if table := p.Configuration(); table.Current() != nil {
 		return table
 	}
 	ctx, cancel := context.WithTimeout(ctx, configurationWait)
@@ -285,7 +285,7 @@
 	case <-p.configured:
 	case <-ctx.Done():
 	}
-	return p.Declared()
+	return p.Configuration()
 }
 
 // Pending is the number of jobs of a queue of which no task has started.
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -132,7 +132,7 @@
 func (p *Process) watchOperator(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.retry(ctx, "configuration", func() error {
-			o, err := p.store.Operator(ctx)
+			o, err := p.store.OperatorSettings(ctx)
 			if err != nil {
 				return err
 			}
@@ -142,7 +142,7 @@
 	}
 }
 
-func (p *Process) operatorRead(o Operator) {
+func (p *Process) operatorRead(o OperatorSettings) {
 	if o.Declaration == nil {
 		p.log.Warn().Msg("configuration-unreadable")
 	}
@@ -207,7 +207,7 @@
 	if err != nil || len(l) == 0 {
 		return err
 	}
-	any, err := p.store.AnyRecords(ctx)
+	any, err := p.store.HasRecords(ctx)
 	if err != nil {
 		return err
 	}
