--- a/bench/cores.go
+++ b/bench/cores.go
@@ -170,7 +170,7 @@
 }
 
 func (e *entry) carryOut() {
-	for _, cmd := range e.core.Take() {
+	for _, cmd := range e.core.TakeCommands() {
 		switch cmd := cmd.(type) {
 		case dispatch.StartTask:
 			e.start(cmd)
--- a/bench/overload.go
+++ b/bench/overload.go
@@ -346,7 +346,7 @@
 
 func (e *stressEntry) carryOut() {
 	r := e.run
-	for _, cmd := range e.core.Take() {
+	for _, cmd := range e.core.TakeCommands() {
 		switch cmd := cmd.(type) {
 		case dispatch.StartTask:
 			r.Starts++
--- a/bench/scenarios.go
+++ b/bench/scenarios.go
@@ -31,11 +31,13 @@
 }
 
 func admitAll(c *dispatch.Config) {
-	c.Control.AdmitAll = true
-	c.Control.StartHopeless = true
+	c.AdmissionPolicy.AdmitAll = true
+	c.AdmissionPolicy.StartInfeasible = true
 }
 
-func longWaits(c *dispatch.Config) { c.Control.StandingPercent = c.Control.WaitPercent }
+func longWaits(c *dispatch.Config) {
+	c.AdmissionPolicy.OverloadWaitPercent = c.AdmissionPolicy.WaitPercent
+}
 
 func alone(c *dispatch.Config) { c.Health.Alone = true }
 
--- a/bench/slopes/measure.go
+++ b/bench/slopes/measure.go
@@ -72,7 +72,7 @@
 	c := dispatch.New(cfg)
 	c.Step(0, dispatch.SettingsRead{Settings: declared(1, 1)})
 	c.Step(0, dispatch.MembersChanged{Members: listed(upstreams, 1)})
-	c.Take()
+	c.TakeCommands()
 	return c
 }
 
@@ -105,7 +105,7 @@
 		d.now += time.Millisecond
 		d.core.Step(d.now, dispatch.Submit{Request: d.last, Institution: institution, Submission: submission(d.last, tasks)})
 		for {
-			commands := d.core.Take()
+			commands := d.core.TakeCommands()
 			if len(commands) == 0 {
 				break
 			}
@@ -239,7 +239,7 @@
 		inc := task.Incarnation{Node: fmt.Sprintf("entry-%d", i), Run: uint64(i)}
 		c.Step(0, dispatch.PeerUp{Peer: inc, FailureDomain: domain})
 	}
-	c.Take()
+	c.TakeCommands()
 	bytes := 0
 	const rounds = 20
 	var took time.Duration
@@ -256,7 +256,7 @@
 				c.Step(now, dispatch.PeerMessage{Peer: inc, Message: m})
 			}
 		})
-		for _, cmd := range c.Take() {
+		for _, cmd := range c.TakeCommands() {
 			if send, ok := cmd.(dispatch.Send); ok {
 				bytes += proto.Size(send.Message)
 			}
@@ -278,7 +278,7 @@
 				for i := range statuses {
 					m := &pb.PeerMessage{Status: &pb.PeerStatus{Sequence: uint64(i + 1), SettingsVersion: 1, IdleSlots: 10}}
 					c.Step(0, dispatch.PeerMessage{Peer: peer, Message: m})
-					c.Take()
+					c.TakeCommands()
 				}
 			})
 		})
@@ -367,7 +367,7 @@
 			next := declared(n, 1)
 			next.Version = 2
 			d.core.Step(0, dispatch.SettingsRead{Settings: next})
-			d.core.Take()
+			d.core.TakeCommands()
 			return timed(func() { d.run(jobs, 1) })
 		})
 		s.points = append(s.points, point{float64(n), micros(took, jobs)})
--- a/core/dispatch/admission.go
+++ b/core/dispatch/admission.go
@@ -17,22 +17,22 @@
 	percent = 100
 )
 
-// Control is what admission may be told, to compare policies.
-type Control struct {
+// AdmissionPolicy is what admission may be told, to compare policies.
+type AdmissionPolicy struct {
 	// WaitPercent is the part of its time that a job may be expected to wait.
 	WaitPercent int
-	// Standing is how long tasks may have waited without a break before the
-	// wait counts as one that won't pass by itself; then StandingPercent holds.
-	Standing        time.Duration
-	StandingPercent int
+	// OverloadAfter is how long tasks may have waited without a break before the
+	// wait counts as one that won't pass by itself; then OverloadWaitPercent holds.
+	OverloadAfter       time.Duration
+	OverloadWaitPercent int
 	// AdmitAll takes every job on that fits into the queue.
 	AdmitAll bool
-	// StartHopeless starts tasks that can't end in time.
-	StartHopeless bool
+	// StartInfeasible starts tasks that can't end in time.
+	StartInfeasible bool
 }
 
-// DefaultControl is what measured best; see docs/design/admission.md.
-var DefaultControl = Control{WaitPercent: 50, Standing: time.Second, StandingPercent: 3}
+// DefaultAdmissionPolicy is what measured best; see docs/design/admission.md.
+var DefaultAdmissionPolicy = AdmissionPolicy{WaitPercent: 50, OverloadAfter: time.Second, OverloadWaitPercent: 3}
 
 // admissionState is the state of admission by the institutions' terms.
 type admissionState struct {
@@ -109,7 +109,7 @@
 	c.noteQueue(inst.GetName())
 	j, capacity := c.jobOf(sub), c.capacity(sub)
 	var refusal *admission.Refusal
-	if c.cfg.Control.AdmitAll {
+	if c.cfg.AdmissionPolicy.AdmitAll {
 		capacity.Queued = 0
 	}
 	refusal = admission.Decide(j, capacity)
@@ -199,7 +199,7 @@
 // for an answer that nobody gets.
 func (c *Core) giveUpHopeless(ref queue.Ref) bool {
 	sub := c.jobs[ref.Job]
-	if c.cfg.Control.StartHopeless || c.now+c.expected(sub, ref.Index)/hopeless <= sub.deadline {
+	if c.cfg.AdmissionPolicy.StartInfeasible || c.now+c.expected(sub, ref.Index)/hopeless <= sub.deadline {
 		return false
 	}
 	c.giveUp(sub, pb.Reason_REASON_DEADLINE, "it can't be done in its time any more")
--- a/core/dispatch/admission_test.go
+++ b/core/dispatch/admission_test.go
@@ -60,7 +60,7 @@
 // taken sorts the commands since the last call.
 func (c *termsCore) taken() (answers map[uint64]*pb.Answer, starts []StartTask, writes int) {
 	answers = make(map[uint64]*pb.Answer)
-	for _, cmd := range c.Take() {
+	for _, cmd := range c.TakeCommands() {
 		switch cmd := cmd.(type) {
 		case Reply:
 			answers[cmd.Request] = cmd.Answer
@@ -177,7 +177,7 @@
 	_, starts, _ := c.taken()
 	c.g.Expect(starts).To(gomega.HaveLen(3))
 	c.g.Expect(c.Dump().Submissions[0].WaitsFor).To(gomega.Equal("the quota of its team"))
-	c.g.Expect(c.Dump().Terms.Limits[0].Held).To(gomega.Equal(1))
+	c.g.Expect(c.Dump().Constraints.Limits[0].Held).To(gomega.Equal(1))
 }
 
 // One team has piled up seconds of work beyond its quota. It must be told so,
@@ -210,7 +210,7 @@
 	c.Step(c.clock, PeerUp{other, "e"})
 	wanted := &pb.HeldSlots{Institution: "hollowell", Team: "kitchens", Wanted: 3}
 	c.Step(c.clock, PeerMessage{other, &pb.PeerMessage{Status: &pb.PeerStatus{Sequence: 1, Quotas: &pb.QuotaStatus{Demand: []*pb.HeldSlots{wanted}}}}})
-	limit := c.Dump().Terms.Limits[0]
+	limit := c.Dump().Constraints.Limits[0]
 	c.g.Expect(limit.Lent).To(gomega.And(gomega.BeNumerically(">", 0), gomega.Equal(limit.Own)))
 	c.submit("", "kitchens", 10, 200)
 	n := c.submit("", "kitchens", 1, 200)
@@ -237,7 +237,7 @@
 			c.Step(c.clock+time.Millisecond, StartResult{s.Start, r})
 		}
 	}
-	c.g.Expect(c.Dump().Terms.Health.Ejections).To(gomega.BeNumerically(">=", 1))
+	c.g.Expect(c.Dump().Constraints.Health.Ejections).To(gomega.BeNumerically(">=", 1))
 	c.g.Expect(failed).To(gomega.BeNumerically("<=", 8), "four jobs of two tasks there: with one other to compare, more is needed than in a fleet")
-	c.g.Expect(c.Dump().Terms.Upstreams[0].State).To(gomega.Equal("ejected"))
+	c.g.Expect(c.Dump().Constraints.Upstreams[0].State).To(gomega.Equal("ejected"))
 }
--- a/core/dispatch/bench_test.go
+++ b/core/dispatch/bench_test.go
@@ -14,8 +14,8 @@
 	cfg := DefaultConfig(task.Incarnation{Node: "entry-0", Run: 1}, "melton")
 	cfg.MaxQueuedTasks = 1 << 30
 	// The longest queue measured is longer than admission would let it grow.
-	cfg.Control.WaitPercent = percent
-	cfg.Control.StandingPercent = percent
+	cfg.AdmissionPolicy.WaitPercent = percent
+	cfg.AdmissionPolicy.OverloadWaitPercent = percent
 	c := New(cfg)
 	m := task.Members{Nodes: []task.Node{{Name: "entry-0", FailureDomain: "melton"}}}
 	for i := range upstreams {
@@ -57,7 +57,7 @@
 }
 
 func (l *benchLoad) collect() {
-	for _, cmd := range l.core.Take() {
+	for _, cmd := range l.core.TakeCommands() {
 		if s, ok := cmd.(StartTask); ok {
 			l.started = append(l.started, s.Start)
 		}
--- a/core/dispatch/borrowing.go
+++ b/core/dispatch/borrowing.go
@@ -10,8 +10,8 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-func (c *Core) lendingTerms(inst *pb.Institution) LendingTerms {
-	return c.cfg.Lending.Terms(time.Duration(inst.GetBorrowToleranceMs()) * time.Millisecond)
+func (c *Core) lendingTerms(inst *pb.Institution) LendingLimits {
+	return c.cfg.Lending.Limits(time.Duration(inst.GetBorrowToleranceMs()) * time.Millisecond)
 }
 
 // borrow asks peers for slots if tasks would wait longer than tolerated.
@@ -31,7 +31,7 @@
 	if need > 0 {
 		need = c.askIdle(name, need, terms)
 	}
-	if need > 0 && c.expectedWait(name) >= terms.BlindWait {
+	if need > 0 && c.expectedWait(name) >= terms.MinSpeculativeWait {
 		c.askBlind(name, need)
 	}
 	c.lookAgain()
@@ -60,7 +60,7 @@
 
 // askIdle asks the peers that are thought to have idle slots, the one with the
 // most first, and returns the need that is left.
-func (c *Core) askIdle(institution string, need int, terms LendingTerms) int {
+func (c *Core) askIdle(institution string, need int, terms LendingLimits) int {
 	var list []task.Incarnation
 	for p, s := range c.lending.seen {
 		if s.idle[institution] > 0 {
@@ -77,7 +77,7 @@
 		}
 		idle := c.lending.seen[p].idle[institution]
 		n := min(need, idle)
-		c.ask(counterpart{p, institution}, n+(idle-n)*terms.EvenPercent/100)
+		c.ask(counterpart{p, institution}, n+(idle-n)*terms.SurplusPercent/100)
 		need -= n
 	}
 	return need
@@ -178,7 +178,7 @@
 	c.pool.SpareBorrowed(name, true)
 	c.after(terms.ReturnDelay, func() {
 		c.lending.returning = false
-		c.sendHome(name, terms.MinReturn)
+		c.sendHome(name, terms.MinReturnBatch)
 	})
 }
 
--- a/core/dispatch/capacity.go
+++ b/core/dispatch/capacity.go
@@ -60,16 +60,16 @@
 func (c *Core) teamCapacity(sub *submission, j admission.Job, all admission.Capacity) (admission.Capacity, bool) {
 	key := admission.Key{Institution: sub.id.Institution, Team: sub.request.GetTeam()}
 	q, waits := c.admission.teams[key]
-	stands := waits && c.now-q.since > c.cfg.Control.Standing
+	stands := waits && c.now-q.since > c.cfg.AdmissionPolicy.OverloadAfter
 	units, binding := c.limitUnits(key, stands)
-	if key.Team == "" || !binding || c.cfg.Control.AdmitAll {
+	if key.Team == "" || !binding || c.cfg.AdmissionPolicy.AdmitAll {
 		return all, false
 	}
 	all.Slots = min(all.Slots, units)
 	all.Queued = time.Duration(q.tasks) * j.Work / time.Duration(len(sub.request.GetTasks()))
-	all.WaitPercent = c.cfg.Control.WaitPercent
+	all.WaitPercent = c.cfg.AdmissionPolicy.WaitPercent
 	if stands {
-		all.WaitPercent = c.cfg.Control.StandingPercent
+		all.WaitPercent = c.cfg.AdmissionPolicy.OverloadWaitPercent
 	}
 	return all, true
 }
@@ -123,7 +123,7 @@
 		idle += s.idle[name]
 	}
 	usable := c.admission.inUse[name] + idle
-	stands := c.now-c.admission.lastIdle[name] > c.cfg.Control.Standing
+	stands := c.now-c.admission.lastIdle[name] > c.cfg.AdmissionPolicy.OverloadAfter
 	if units, binding := c.limitUnits(admission.Key{Institution: name}, stands); binding {
 		usable = min(usable, units)
 	}
@@ -144,10 +144,10 @@
 // turns out longer than declared misses its time after it has used slots, and
 // less is completed than could be. So the wait is kept short from then on.
 func (c *Core) waitPercent(institution string) int {
-	if c.now-c.admission.lastIdle[institution] > c.cfg.Control.Standing {
-		return c.cfg.Control.StandingPercent
+	if c.now-c.admission.lastIdle[institution] > c.cfg.AdmissionPolicy.OverloadAfter {
+		return c.cfg.AdmissionPolicy.OverloadWaitPercent
 	}
-	return c.cfg.Control.WaitPercent
+	return c.cfg.AdmissionPolicy.WaitPercent
 }
 
 // noteQueue notes when nothing waits.
--- a/core/dispatch/claimqueue.go
+++ b/core/dispatch/claimqueue.go
@@ -74,7 +74,7 @@
 // with the number of listed processes: at a fixed one, more entry VMs would
 // overload the table service by themselves, and every claim would time out.
 func (c *Core) claimInterval() time.Duration {
-	return max(c.cfg.ClaimInterval, time.Duration(len(c.view.List().Nodes))*c.cfg.ClaimSpacing)
+	return max(c.cfg.ClaimInterval, time.Duration(len(c.view.List().Nodes))*c.cfg.ClusterClaimInterval)
 }
 
 // claimResult settles a group of claims. A write whose reply was lost may have
--- a/core/dispatch/command.go
+++ b/core/dispatch/command.go
@@ -69,8 +69,8 @@
 	Message *pb.PeerMessage
 }
 
-// Ended reports the end of a job held here, for logs and metrics.
-type Ended struct {
+// JobEnded reports the end of a job held here, for logs and metrics.
+type JobEnded struct {
 	ID      task.ID
 	Outcome pb.Outcome
 	Reason  pb.Reason
@@ -105,7 +105,7 @@
 func (StopTask) command()        {}
 func (ClaimWrite) command()      {}
 func (Send) command()            {}
-func (Ended) command()           {}
+func (JobEnded) command()        {}
 func (SettingsInForce) command() {}
 func (MembersInForce) command()  {}
 func (UpstreamHealth) command()  {}
--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -33,9 +33,9 @@
 	IDValidity time.Duration
 	// MaxQueuedTasks bounds the tasks that wait, over all institutions.
 	MaxQueuedTasks int
-	// MaxAnswerBytes bounds the answers kept for resubmissions, for each
+	// MaxRetainedAnswerBytes bounds the answers kept for resubmissions, for each
 	// institution.
-	MaxAnswerBytes int
+	MaxRetainedAnswerBytes int
 	// MaxJobBytes bounds the results of one job.
 	MaxJobBytes int
 	// MaxClaimBatch bounds the claims of one transaction.
@@ -43,25 +43,25 @@
 	// ClaimInterval is the least time between the beginnings of two writes of
 	// claims.
 	ClaimInterval time.Duration
-	// ClaimSpacing is the least mean time between the writes of all listed
+	// ClusterClaimInterval is the least mean time between the writes of all listed
 	// processes together, which keeps their sum within what the table service
 	// carries, however many they are.
-	ClaimSpacing time.Duration
+	ClusterClaimInterval time.Duration
 	// MaxWaitingClaims bounds the claims that wait to be written.
 	MaxWaitingClaims int
 	// MaxHolders bounds the claim rows of others, and the unsettled claims,
 	// that are remembered.
 	MaxHolders int
 	// StatusInterval is how often a peer gets a status that says something new,
-	// QuietInterval one that doesn't, if nothing else is sent to it.
-	StatusInterval time.Duration
-	QuietInterval  time.Duration
+	// IdleStatusInterval one that doesn't, if nothing else is sent to it.
+	StatusInterval     time.Duration
+	IdleStatusInterval time.Duration
 	// Lending sets how slots are lent between processes.
 	Lending Lending
 
-	// Health is the limits of upstream health, Control what admission is told.
-	Health  health.Config
-	Control Control
+	// Health is the limits of upstream health, AdmissionPolicy what admission is told.
+	Health          health.Config
+	AdmissionPolicy AdmissionPolicy
 	// Order sets the order of service.
 	Order queue.Order
 }
@@ -69,24 +69,24 @@
 // DefaultConfig returns a configuration for an incarnation with usual limits.
 func DefaultConfig(self task.Incarnation, failureDomain string) Config {
 	return Config{
-		Self:             self,
-		FailureDomain:    failureDomain,
-		Seed:             self.Run,
-		IDValidity:       10 * time.Minute,
-		MaxQueuedTasks:   50_000,
-		MaxAnswerBytes:   32 << 20,
-		MaxJobBytes:      16 << 20,
-		MaxClaimBatch:    100,
-		ClaimInterval:    20 * time.Millisecond,
-		ClaimSpacing:     4 * time.Millisecond,
-		MaxWaitingClaims: 5_000,
-		MaxHolders:       20_000,
-		StatusInterval:   500 * time.Millisecond,
-		QuietInterval:    2 * time.Second,
-		Lending:          DefaultLending,
-		Health:           health.DefaultConfig(),
-		Control:          DefaultControl,
-		Order:            queue.DefaultOrder,
+		Self:                   self,
+		FailureDomain:          failureDomain,
+		Seed:                   self.Run,
+		IDValidity:             10 * time.Minute,
+		MaxQueuedTasks:         50_000,
+		MaxRetainedAnswerBytes: 32 << 20,
+		MaxJobBytes:            16 << 20,
+		MaxClaimBatch:          100,
+		ClaimInterval:          20 * time.Millisecond,
+		ClusterClaimInterval:   4 * time.Millisecond,
+		MaxWaitingClaims:       5_000,
+		MaxHolders:             20_000,
+		StatusInterval:         500 * time.Millisecond,
+		IdleStatusInterval:     2 * time.Second,
+		Lending:                DefaultLending,
+		Health:                 health.DefaultConfig(),
+		AdmissionPolicy:        DefaultAdmissionPolicy,
+		Order:                  queue.DefaultOrder,
 	}
 }
 
@@ -159,7 +159,7 @@
 		upstreams:   make(map[string]*upstream),
 		peers:       make(map[task.Incarnation]*peer),
 		requests:    make(map[asker]*waiter),
-		answers:     claim.NewAnswers(cfg.MaxAnswerBytes),
+		answers:     claim.NewAnswers(cfg.MaxRetainedAnswerBytes),
 		holders:     claim.NewHolders(cfg.MaxHolders),
 
 		lending:         newLending(),
@@ -234,8 +234,8 @@
 	}
 }
 
-// Take returns the commands since the last call. The slice is the caller's.
-func (c *Core) Take() []Command {
+// TakeCommands returns the commands since the last call. The slice is the caller's.
+func (c *Core) TakeCommands() []Command {
 	out := c.commands
 	c.commands = nil
 	return out
--- a/core/dispatch/dump.go
+++ b/core/dispatch/dump.go
@@ -10,22 +10,22 @@
 
 // Stats counts what this process did since its start.
 type Stats struct {
-	Starts          uint64 `json:"starts"`
-	NotStarted      uint64 `json:"not_started"`
-	Settles         uint64 `json:"settles"`
-	Stops           uint64 `json:"stops"`
-	LateResults     uint64 `json:"late_results"`
-	Resubmissions   uint64 `json:"resubmissions"`
-	DoubledRequests uint64 `json:"doubled_requests"`
-	Conflicts       uint64 `json:"conflicts"`
-	Cancels         uint64 `json:"cancels"`
-	Forwards        uint64 `json:"forwards"`
-	ForeignAnswers  uint64 `json:"foreign_answers"`
-	PeerMessages    uint64 `json:"peer_messages"`
-	ClaimWrites     uint64 `json:"claim_writes"`
-	Borrowed        uint64 `json:"borrowed_slots"`
-	Lent            uint64 `json:"lent_slots"`
-	Reclaims        uint64 `json:"reclaimed_slots"`
+	Starts            uint64 `json:"starts"`
+	NotStarted        uint64 `json:"not_started"`
+	Settles           uint64 `json:"settles"`
+	Stops             uint64 `json:"stops"`
+	LateResults       uint64 `json:"late_results"`
+	Resubmissions     uint64 `json:"resubmissions"`
+	DuplicateRequests uint64 `json:"doubled_requests"`
+	Conflicts         uint64 `json:"conflicts"`
+	Cancels           uint64 `json:"cancels"`
+	Forwards          uint64 `json:"forwards"`
+	UnmatchedAnswers  uint64 `json:"foreign_answers"`
+	PeerMessages      uint64 `json:"peer_messages"`
+	ClaimWrites       uint64 `json:"claim_writes"`
+	Borrowed          uint64 `json:"borrowed_slots"`
+	Lent              uint64 `json:"lent_slots"`
+	Reclaims          uint64 `json:"reclaimed_slots"`
 }
 
 // Stats returns the counters.
@@ -36,36 +36,36 @@
 // Dump is the state of the process for operators; times are in milliseconds
 // since the process started.
 type Dump struct {
-	Incarnation     string           `json:"incarnation"`
-	FailureDomain   string           `json:"failure_domain"`
-	NowMs           int64            `json:"now_ms"`
-	Ready           bool             `json:"ready"`
-	Draining        bool             `json:"draining"`
-	SettingsVersion uint64           `json:"settings_version"`
-	OwnedSlots      int              `json:"owned_slots"`
-	IdleSlots       int              `json:"idle_slots"`
-	Slots           slots.Counts     `json:"slots"`
-	IDBlocks        int              `json:"id_blocks"`
-	KeptAnswers     int              `json:"kept_answers"`
-	KeptBytes       int              `json:"kept_bytes"`
-	OpenRequests    int              `json:"open_requests"`
-	HoldersKnown    int              `json:"holders_known"`
-	UnsettledClaims int              `json:"unsettled_claims"`
-	AnswersFor      []string         `json:"answers_for"`
-	ClaimsWaiting   int              `json:"claims_waiting"`
-	Forwards        int              `json:"forwards"`
-	Submissions     []DumpSubmission `json:"submissions"`
-	Starts          []DumpStart      `json:"starts"`
-	Peers           []DumpPeer       `json:"peers"`
-	Terms           DumpTerms        `json:"terms"`
-	Stats           Stats            `json:"stats"`
+	Incarnation         string           `json:"incarnation"`
+	FailureDomain       string           `json:"failure_domain"`
+	NowMs               int64            `json:"now_ms"`
+	Ready               bool             `json:"ready"`
+	Draining            bool             `json:"draining"`
+	SettingsVersion     uint64           `json:"settings_version"`
+	OwnedSlots          int              `json:"owned_slots"`
+	IdleSlots           int              `json:"idle_slots"`
+	Slots               slots.Counts     `json:"slots"`
+	IDBlocks            int              `json:"id_blocks"`
+	RetainedAnswers     int              `json:"kept_answers"`
+	RetainedBytes       int              `json:"kept_bytes"`
+	OpenRequests        int              `json:"open_requests"`
+	KnownHolders        int              `json:"holders_known"`
+	UnsettledClaims     int              `json:"unsettled_claims"`
+	AdoptedIncarnations []string         `json:"answers_for"`
+	ClaimsWaiting       int              `json:"claims_waiting"`
+	Forwards            int              `json:"forwards"`
+	Submissions         []DumpSubmission `json:"submissions"`
+	Starts              []DumpStart      `json:"starts"`
+	Peers               []DumpPeer       `json:"peers"`
+	Constraints         DumpConstraints  `json:"terms"`
+	Stats               Stats            `json:"stats"`
 }
 
 // DumpSubmission is a submission in progress and what it waits for.
 type DumpSubmission struct {
 	ID         string `json:"id"`
 	Phase      string `json:"phase"`
-	Askers     int    `json:"askers"`
+	Requests   int    `json:"askers"`
 	ArrivedMs  int64  `json:"arrived_ms"`
 	DeadlineMs int64  `json:"deadline_ms"`
 	Waiting    int    `json:"waiting_tasks"`
@@ -86,7 +86,7 @@
 	Incarnation     string `json:"incarnation"`
 	FailureDomain   string `json:"failure_domain"`
 	SettingsVersion uint64 `json:"settings_version"`
-	HeardMs         int64  `json:"heard_ms"`
+	LastHeardMs     int64  `json:"heard_ms"`
 	Stopping        bool   `json:"stopping"`
 	BorrowedSlots   int    `json:"borrowed_slots"`
 }
@@ -97,32 +97,32 @@
 	d.Submissions = c.dumpSubmissions()
 	d.Starts = c.dumpStarts()
 	d.Peers = c.dumpPeers()
-	d.Terms = c.dumpTerms()
+	d.Constraints = c.dumpTerms()
 	return d
 }
 
 // summary is a dump without its lists.
 func (c *Core) summary() Dump {
 	return Dump{
-		Incarnation:     c.cfg.Self.String(),
-		FailureDomain:   c.cfg.FailureDomain,
-		NowMs:           c.now.Milliseconds(),
-		Ready:           c.Ready(),
-		Draining:        c.draining,
-		SettingsVersion: c.settings.Version(),
-		OwnedSlots:      c.pool.Owned(),
-		IdleSlots:       c.pool.AllIdleOwn(),
-		Slots:           c.pool.Counts(),
-		IDBlocks:        c.issuer.Blocks(),
-		KeptAnswers:     c.answers.Len(),
-		KeptBytes:       c.answers.Bytes(),
-		OpenRequests:    len(c.requests),
-		HoldersKnown:    c.holders.Len(),
-		UnsettledClaims: c.unsettledClaims.Len(),
-		AnswersFor:      c.adoptedNames(),
-		ClaimsWaiting:   len(c.claims.waiting) + len(c.claims.inFlight),
-		Forwards:        len(c.forwarding.forwards),
-		Stats:           c.stats,
+		Incarnation:         c.cfg.Self.String(),
+		FailureDomain:       c.cfg.FailureDomain,
+		NowMs:               c.now.Milliseconds(),
+		Ready:               c.Ready(),
+		Draining:            c.draining,
+		SettingsVersion:     c.settings.Version(),
+		OwnedSlots:          c.pool.Owned(),
+		IdleSlots:           c.pool.AllIdleOwn(),
+		Slots:               c.pool.Counts(),
+		IDBlocks:            c.issuer.Blocks(),
+		RetainedAnswers:     c.answers.Len(),
+		RetainedBytes:       c.answers.Bytes(),
+		OpenRequests:        len(c.requests),
+		KnownHolders:        c.holders.Len(),
+		UnsettledClaims:     c.unsettledClaims.Len(),
+		AdoptedIncarnations: c.adoptedNames(),
+		ClaimsWaiting:       len(c.claims.waiting) + len(c.claims.inFlight),
+		Forwards:            len(c.forwarding.forwards),
+		Stats:               c.stats,
 	}
 }
 
@@ -133,7 +133,7 @@
 		d := DumpSubmission{
 			ID:         id.String(),
 			Phase:      "claiming",
-			Askers:     len(sub.waiters),
+			Requests:   len(sub.waiters),
 			ArrivedMs:  sub.arrived.Milliseconds(),
 			DeadlineMs: sub.deadline.Milliseconds(),
 			WaitsFor:   "its claim in the table service",
--- a/core/dispatch/dump_terms.go
+++ b/core/dispatch/dump_terms.go
@@ -5,8 +5,8 @@
 	"sapphirepoint.example/sapphirepoint/core/health"
 )
 
-// DumpTerms says which terms and upstreams keep tasks waiting.
-type DumpTerms struct {
+// DumpConstraints says which terms and upstreams keep tasks waiting.
+type DumpConstraints struct {
 	// Limits are the quotas and ceilings.
 	Limits []admission.Share `json:"limits"`
 	// Upstreams are those not in full use.
@@ -28,8 +28,8 @@
 	RunTimeFactors map[string]float64 `json:"run_time_factors"`
 }
 
-func (c *Core) dumpTerms() DumpTerms {
-	d := DumpTerms{
+func (c *Core) dumpTerms() DumpConstraints {
+	d := DumpConstraints{
 		Limits:       c.admission.quotas.Dump(c.now),
 		Upstreams:    c.health.Dump(),
 		Health:       c.health.Stats(),
--- a/core/dispatch/fakes_test.go
+++ b/core/dispatch/fakes_test.go
@@ -129,7 +129,7 @@
 	cfg := DefaultConfig(task.Incarnation{Node: e.name, Run: e.run}, e.domain)
 	cfg.IDValidity = 30 * time.Second
 	cfg.MaxClaimBatch = 4
-	cfg.MaxAnswerBytes = 6_000
+	cfg.MaxRetainedAnswerBytes = 6_000
 	cfg.MaxHolders = 10
 	cfg.MaxQueuedTasks = 60
 	e.core = New(cfg)
@@ -201,7 +201,7 @@
 }
 
 func (e *fakeEntry) carryOut() {
-	for _, cmd := range e.core.Take() {
+	for _, cmd := range e.core.TakeCommands() {
 		last := &e.log[len(e.log)-1]
 		last.commands = append(last.commands, cmd)
 		e.carry(cmd)
--- a/core/dispatch/forward.go
+++ b/core/dispatch/forward.go
@@ -115,7 +115,7 @@
 func (c *Core) forwardStale(from task.Incarnation, request uint64) bool {
 	seen := c.forwarding.forwardsSeen[from.Node]
 	if seen.run == from.Run && request <= seen.last {
-		c.stats.DoubledRequests++
+		c.stats.DuplicateRequests++
 		return true
 	}
 	c.forwarding.forwardsSeen[from.Node] = forwardSeen{from.Run, request}
@@ -145,7 +145,7 @@
 func (c *Core) forwardAnswer(from task.Incarnation, fa *pb.ForwardAnswer) {
 	r := c.forwarding.forwards[fa.GetRequest()]
 	if r == nil || r.holder != from || !matches(r, fa.GetAnswer()) {
-		c.stats.ForeignAnswers++
+		c.stats.UnmatchedAnswers++
 		return
 	}
 	c.reply(r, fa.GetAnswer())
--- a/core/dispatch/lending.go
+++ b/core/dispatch/lending.go
@@ -14,36 +14,36 @@
 type Lending struct {
 	// Off keeps the process from borrowing.
 	Off bool
-	// Valid is how long a loan stands on the lender's clock. The borrower
+	// LoanDuration is how long a loan stands on the lender's clock. The borrower
 	// starts tasks on it for half of that, so that they have ended by then.
-	Valid time.Duration
-	// Terms works out the limits from an institution's tolerance.
-	Terms func(tolerance time.Duration) LendingTerms
+	LoanDuration time.Duration
+	// Limits works out the limits from an institution's tolerance.
+	Limits func(tolerance time.Duration) LendingLimits
 }
 
-// LendingTerms are the limits that trade response time for messages.
-type LendingTerms struct {
+// LendingLimits are the limits that trade response time for messages.
+type LendingLimits struct {
 	// Tolerance is how long a task of a typical job may wait for an own slot.
 	// That of a longer job may wait longer in proportion.
 	Tolerance time.Duration
 	// Slack bounds how much longer a task may wait because it is declared
 	// shorter than the longest of its job.
 	Slack time.Duration
-	// EvenPercent is the part of a lender's other idle slots that is asked for
+	// SurplusPercent is the part of a lender's other idle slots that is asked for
 	// beyond the need.
-	EvenPercent int
-	// BlindWait is the least expected wait for which peers are asked that
+	SurplusPercent int
+	// MinSpeculativeWait is the least expected wait for which peers are asked that
 	// aren't known to have idle slots.
-	BlindWait time.Duration
+	MinSpeculativeWait time.Duration
 	// ReturnDelay is how long a borrowed slot has to be spare to go home.
 	ReturnDelay time.Duration
-	// MinReturn is the least number of slots that go home in a message of their
+	// MinReturnBatch is the least number of slots that go home in a message of their
 	// own. Fewer wait for a message that is sent anyway.
-	MinReturn int
+	MinReturnBatch int
 }
 
 // DefaultLending is what measured best; see docs/design/placement.md.
-var DefaultLending = Lending{Valid: 60 * time.Second, Terms: TermsOf}
+var DefaultLending = Lending{LoanDuration: 60 * time.Second, Limits: LendingLimitsFor}
 
 const (
 	leastBlindWait   = 150 * time.Millisecond
@@ -70,17 +70,17 @@
 	meanWeight = 32
 )
 
-// TermsOf works out the limits from an institution's tolerance: none puts
+// LendingLimitsFor works out the limits from an institution's tolerance: none puts
 // response time first, 20 ms and more puts few messages first.
-func TermsOf(tolerance time.Duration) LendingTerms {
+func LendingLimitsFor(tolerance time.Duration) LendingLimits {
 	ms := int(tolerance.Milliseconds())
-	return LendingTerms{
-		Tolerance:   tolerance,
-		Slack:       3 * tolerance,
-		EvenPercent: min(3*ms, mostEvenPercent),
-		BlindWait:   leastBlindWait + 4*tolerance,
-		ReturnDelay: leastReturnDelay + tolerance,
-		MinReturn:   min(leastReturn+ms/4, mostReturn),
+	return LendingLimits{
+		Tolerance:          tolerance,
+		Slack:              3 * tolerance,
+		SurplusPercent:     min(3*ms, mostEvenPercent),
+		MinSpeculativeWait: leastBlindWait + 4*tolerance,
+		ReturnDelay:        leastReturnDelay + tolerance,
+		MinReturnBatch:     min(leastReturn+ms/4, mostReturn),
 	}
 }
 
@@ -241,7 +241,7 @@
 	if r.count == 0 {
 		delete(c.lending.standing, k)
 	}
-	grant := &pb.LendGrant{Request: r.id, Loan: id, ValidMs: uint32(c.cfg.Lending.Valid.Milliseconds())}
+	grant := &pb.LendGrant{Request: r.id, Loan: id, ValidMs: uint32(c.cfg.Lending.LoanDuration.Milliseconds())}
 	for _, s := range l.slots {
 		grant.Slots = append(grant.Slots, &pb.Slot{Upstream: s.Upstream, Index: s.Index})
 	}
@@ -249,7 +249,7 @@
 	if len(l.slots) > 0 {
 		c.stats.Lent += uint64(len(l.slots))
 		c.lending.given[id] = l
-		c.after(c.cfg.Lending.Valid, func() { c.endLoan(id) })
+		c.after(c.cfg.Lending.LoanDuration, func() { c.endLoan(id) })
 	}
 	return true
 }
--- a/core/dispatch/ownkey_test.go
+++ b/core/dispatch/ownkey_test.go
@@ -21,7 +21,7 @@
 	c.Step(0, SettingsRead{declared()})
 	runner := task.Upstream{Name: "runner-0", FailureDomain: "domain-0", Institution: inst, Slots: 3}
 	c.Step(0, MembersChanged{task.Members{Version: 1, Upstreams: []task.Upstream{runner}}})
-	c.Take()
+	c.TakeCommands()
 	return c
 }
 
@@ -35,7 +35,7 @@
 
 func commands[C Command](c *Core) []C {
 	var list []C
-	for _, cmd := range c.Take() {
+	for _, cmd := range c.TakeCommands() {
 		if cmd, ok := cmd.(C); ok {
 			list = append(list, cmd)
 		}
@@ -49,7 +49,7 @@
 // of the first claim. Taken for the claim's own, the settlement is paid twice.
 func TestRowOfForgottenClaimStartsNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
-	c := readyCore(func(cfg *Config) { cfg.MaxAnswerBytes = 1 })
+	c := readyCore(func(cfg *Config) { cfg.MaxRetainedAnswerBytes = 1 })
 	c.Step(1*ms, Submit{1, inst, settlement("k")})
 	w := commands[ClaimWrite](c)[0]
 	row := ClaimConflict{w.Claims[0].ID, self, w.Claims[0].Digest, w.Claims[0].Number}
@@ -62,7 +62,7 @@
 	c.Tick(1100 * ms)
 	c.Step(1100*ms, ClaimResult{Batch: commands[ClaimWrite](c)[0].Batch, OK: true, Conflicts: []ClaimConflict{row}})
 
-	all := c.Take()
+	all := c.TakeCommands()
 	g.Expect(all).NotTo(gomega.ContainElement(gomega.BeAssignableToTypeOf(StartTask{})))
 	g.Expect(all).To(gomega.HaveLen(1))
 	g.Expect(all[0].(Reply).Answer.GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_FAILED))
@@ -84,7 +84,7 @@
 	c.Step(6*time.Second, ClaimResult{Batch: w.Batch})
 	c.Tick(7 * time.Second)
 	c.Step(7*time.Second, ClaimResult{Batch: commands[ClaimWrite](c)[0].Batch, OK: true})
-	all := c.Take()
+	all := c.TakeCommands()
 	g.Expect(all).NotTo(gomega.ContainElement(gomega.BeAssignableToTypeOf(StartTask{})))
 	g.Expect(all[len(all)-1].(Reply).Answer.GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_NOT_RUN))
 }
@@ -125,7 +125,7 @@
 	writes := 0
 	for now := 2 * ms; now < 10*time.Second; now += 25 * ms {
 		c.Step(now, Submit{uint64(now), inst, settlement(fmt.Sprint(now))})
-		for list := c.Take(); len(list) > 0; list = c.Take() {
+		for list := c.TakeCommands(); len(list) > 0; list = c.TakeCommands() {
 			for _, cmd := range list {
 				switch cmd := cmd.(type) {
 				case ClaimWrite:
@@ -151,7 +151,7 @@
 	c.Step(2*ms, Drain{})
 	c.Step(3*ms, ClaimResult{Batch: w.Batch, OK: true})
 	c.Step(4*ms, StartResult{commands[StartTask](c)[0].Start, task.Result{Verdict: task.Finished}})
-	all := c.Take()
+	all := c.TakeCommands()
 	g.Expect(all[len(all)-2].(Reply).Answer.GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_COMPLETE))
 	g.Expect(all[len(all)-1]).To(gomega.Equal(Drained{}))
 }
--- a/core/dispatch/random_test.go
+++ b/core/dispatch/random_test.go
@@ -394,7 +394,7 @@
 			default:
 				again.Step(l.at, l.event)
 			}
-			if got, want := describe(again.Take()), describe(l.commands); got != want {
+			if got, want := describe(again.TakeCommands()), describe(l.commands); got != want {
 				t.Fatalf("%s: input %d of %d gives\n%s\ninstead of\n%s", e.self(), i, len(e.log), got, want)
 			}
 		}
--- a/core/dispatch/request.go
+++ b/core/dispatch/request.go
@@ -49,7 +49,7 @@
 // brought it was doubled, or if its time is over.
 func (c *Core) open(from asker, id task.ID, s *pb.Submission, digest task.Digest, wait time.Duration) *waiter {
 	if c.requests[from] != nil {
-		c.stats.DoubledRequests++
+		c.stats.DuplicateRequests++
 		return nil
 	}
 	r := &waiter{from: from, id: id, submission: s, digest: digest}
--- a/core/dispatch/status.go
+++ b/core/dispatch/status.go
@@ -27,5 +27,5 @@
 	if c.peers[to].told != now || c.admission.quotas.Sharing(to) {
 		return c.cfg.StatusInterval
 	}
-	return c.cfg.QuietInterval
+	return c.cfg.IdleStatusInterval
 }
--- a/core/dispatch/submission.go
+++ b/core/dispatch/submission.go
@@ -312,7 +312,7 @@
 	c.cancelTimer(sub.timer)
 	delete(c.submissions, sub.id)
 	c.answers.Put(sub.id, a, c.now+sub.ttl)
-	c.emit(Ended{sub.id, a.GetOutcome(), a.GetReason(), tasks, c.now - sub.arrived, sub.longest})
+	c.emit(JobEnded{sub.id, a.GetOutcome(), a.GetReason(), tasks, c.now - sub.arrived, sub.longest})
 	c.replyAll(sub, a)
 	sub.request = nil
 	sub.assembly = nil
--- a/core/dispatch/submission_fuzz_test.go
+++ b/core/dispatch/submission_fuzz_test.go
@@ -78,7 +78,7 @@
 	var replies []dispatch.Reply
 	for now := time.Duration(0); now < 20*time.Second; now += 500 * time.Millisecond {
 		c.Tick(now)
-		for _, cmd := range c.Take() {
+		for _, cmd := range c.TakeCommands() {
 			if r, ok := cmd.(dispatch.Reply); ok {
 				replies = append(replies, r)
 			}
--- a/node/fuzz_test.go
+++ b/node/fuzz_test.go
@@ -85,7 +85,7 @@
 				break
 			}
 			c.Step(now, dispatch.PeerMessage{Peer: peer, Message: m})
-			for _, cmd := range c.Take() {
+			for _, cmd := range c.TakeCommands() {
 				if send, ok := cmd.(dispatch.Send); ok {
 					delimited(send.Message)
 				}
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -66,7 +66,7 @@
 	return strings.ToLower(strings.TrimPrefix(name, prefix))
 }
 
-func (m *metrics) ended(e dispatch.Ended) {
+func (m *metrics) ended(e dispatch.JobEnded) {
 	if e.Outcome == pb.Outcome_OUTCOME_COMPLETE && e.Ideal > 0 {
 		m.ratio.Observe(float64(e.Response) / float64(e.Ideal))
 	}
@@ -164,8 +164,8 @@
 	gauge(healthDesc, c.UpstreamsLimited)
 	gauge(claimsDesc, s.ClaimsWaiting)
 	gauge(forwardDesc, s.Forwards)
-	gauge(keptDesc, s.KeptAnswers)
-	gauge(bytesDesc, s.KeptBytes)
+	gauge(keptDesc, s.RetainedAnswers)
+	gauge(bytesDesc, s.RetainedBytes)
 	gauge(blocksDesc, s.IDBlocks)
 	gauge(peersDesc, c.Peers)
 	gauge(versionDesc, int(s.SettingsVersion))
--- a/node/node.go
+++ b/node/node.go
@@ -235,7 +235,7 @@
 		case <-wake.C:
 			n.core.Tick(n.now())
 		}
-		n.carryOut(ctx, n.core.Take())
+		n.carryOut(ctx, n.core.TakeCommands())
 		n.ready.Store(n.core.Ready())
 		if at, ok := n.core.NextTimer(); ok {
 			wake.Reset(at - n.now())
@@ -277,7 +277,7 @@
 			n.platform.writeClaims(ctx, cmd)
 		case dispatch.Send:
 			n.mesh.send(cmd)
-		case dispatch.Ended:
+		case dispatch.JobEnded:
 			n.ended(cmd)
 		case dispatch.SettingsInForce:
 			n.settingsInForce(cmd)
@@ -291,7 +291,7 @@
 	}
 }
 
-func (n *Node) ended(e dispatch.Ended) {
+func (n *Node) ended(e dispatch.JobEnded) {
 	n.metrics.ended(e)
 	level := zerolog.DebugLevel
 	if e.Outcome == pb.Outcome_OUTCOME_FAILED {
