--- a/core/layout/layout.go
+++ b/core/layout/layout.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	// runnersPerShard is the most runners that one scheduler takes care of. Fewer would
+	// maxRunnersPerShard is the most runners that one scheduler takes care of. Fewer would
 	// leave too little room for jobs of 32 tasks, and more would be lost with it.
-	runnersPerShard = 60
+	maxRunnersPerShard = 60
 	// runnersPerCore and runnersPerMbps are what a VM can take care of at full load, by
 	// its processor and its link, half of which must stay free for other things than
 	// lists, renewals and starts. A VM that sends more than its link carries falls
 	// silent, its successor takes over the same load and falls silent as well.
 	runnersPerCore = 180
 	runnersPerMbps = 10
-	// runnersLeast is the least number in a shard, however small the VMs.
-	runnersLeast = 12
-	// cellRunners is the least number of a service's runners that a failure domain
+	// minRunnersPerShard is the least number in a shard, however small the VMs.
+	minRunnersPerShard = 12
+	// minCellRunners is the least number of a service's runners that a failure domain
 	// needs to be a cell: three shards, so that the loss of a scheduler leaves two
 	// thirds of the domain's room in use, and ten times the room of a job of 32
 	// tasks.
-	cellRunners = 3 * runnersPerShard
+	minCellRunners = 3 * maxRunnersPerShard
 )
 
 // Layout is how the runners are divided: the cell of each shard, by the shard's
@@ -51,16 +51,16 @@
 	LinkMbps float64
 }
 
-// runnersMost is the number of runners that such a VM can take care of.
-func (v VM) runnersMost() int {
-	most := runnersPerShard
+// maxRunners is the number of runners that such a VM can take care of.
+func (v VM) maxRunners() int {
+	limit := maxRunnersPerShard
 	if v.MilliCPU > 0 {
-		most = min(most, v.MilliCPU*runnersPerCore/1000)
+		limit = min(limit, v.MilliCPU*runnersPerCore/1000)
 	}
 	if v.LinkMbps > 0 {
-		most = min(most, int(v.LinkMbps*runnersPerMbps))
+		limit = min(limit, int(v.LinkMbps*runnersPerMbps))
 	}
-	return max(most, runnersLeast)
+	return max(limit, minRunnersPerShard)
 }
 
 // For is the layout that suits a list of runners and the VMs that schedule.
@@ -74,24 +74,24 @@
 		}
 		services[r.Service][r.Domain]++
 	}
-	if len(domains) < 2 || domains[""] > 0 || !eachServes(domains, services) {
-		return Pooled(shardsFor(len(runners), vm))
+	if len(domains) < 2 || domains[""] > 0 || !selfSufficient(domains, services) {
+		return Pooled(shardCount(len(runners), vm))
 	}
 	var l Layout
 	for _, d := range slices.Sorted(maps.Keys(domains)) {
-		for range shardsFor(domains[d], vm) {
+		for range shardCount(domains[d], vm) {
 			l = append(l, d)
 		}
 	}
 	return l
 }
 
-// eachServes reports whether each failure domain has enough runners of each
+// selfSufficient reports whether each failure domain has enough runners of each
 // service. One that lacked a service would refuse the callers of that service.
-func eachServes(domains map[string]int, services map[string]map[string]int) bool {
+func selfSufficient(domains map[string]int, services map[string]map[string]int) bool {
 	for d := range domains {
 		for _, counts := range services {
-			if counts[d] < cellRunners {
+			if counts[d] < minCellRunners {
 				return false
 			}
 		}
@@ -99,9 +99,9 @@
 	return true
 }
 
-func shardsFor(runners int, vm VM) int {
-	each := vm.runnersMost()
-	return max(1, (runners+each-1)/each)
+func shardCount(runners int, vm VM) int {
+	perShard := vm.maxRunners()
+	return max(1, (runners+perShard-1)/perShard)
 }
 
 // HasCells reports whether there are cells.
@@ -135,19 +135,19 @@
 
 // RunnerShard is the shard of a runner.
 func (l Layout) RunnerShard(id workload.RunnerID, domain string) int {
-	return l.pick(string(id), l.Cell(domain))
+	return l.shardByHash(string(id), l.Cell(domain))
 }
 
 // JobShard is the shard of a job that is handed in from a cell. It follows from the
 // job's id, so that a copy of the job that another entry VM of the cell takes
 // comes to the same scheduler.
-func (l Layout) JobShard(id workload.JobID, cell string) int { return l.pick(string(id), cell) }
+func (l Layout) JobShard(id workload.JobID, cell string) int { return l.shardByHash(string(id), cell) }
 
 // StoredJobShard is the shard of a stored job. It is the same wherever the job comes
 // from, since only the owner of the shard's rows may say what became of it.
 func (l Layout) StoredJobShard(id workload.JobID) int { return int(hash(string(id)) % uint64(len(l))) }
 
-func (l Layout) pick(name, cell string) int {
+func (l Layout) shardByHash(name, cell string) int {
 	shards := l.Shards(cell)
 	return shards[hash(name)%uint64(len(shards))]
 }
--- a/core/layout/layout_test.go
+++ b/core/layout/layout_test.go
@@ -67,5 +67,5 @@
 	g.Expect(For(list, VM{MilliCPU: 800, LinkMbps: 200})).To(HaveLen(2))
 	g.Expect(For(list, VM{MilliCPU: 800, LinkMbps: 2})).To(HaveLen(6))
 	g.Expect(For(list, VM{MilliCPU: 120, LinkMbps: 200})).To(HaveLen(6))
-	g.Expect(For(list, VM{MilliCPU: 10, LinkMbps: 0.1})).To(HaveLen(120 / runnersLeast))
+	g.Expect(For(list, VM{MilliCPU: 10, LinkMbps: 0.1})).To(HaveLen(120 / minRunnersPerShard))
 }
--- a/core/leader/leader.go
+++ b/core/leader/leader.go
@@ -40,19 +40,19 @@
 	// lost: three heartbeats. A lost datagram is sent again within some tens of
 	// milliseconds, so what this bears is a pause of a process for two.
 	HeartbeatTimeout = 450 * time.Millisecond
-	// settle is how long a new process listens before it may lead, from when it
+	// settlePeriod is how long a new process listens before it may lead, from when it
 	// knows which others there are: it connects with them in some 50 ms, or 80 if
 	// all start at once. It needn't wait for anybody once all have told it that
 	// they could lead too.
-	settle = 150 * time.Millisecond
-	// settleMost is how long it waits to learn which others there are, and for older
+	settlePeriod = 150 * time.Millisecond
+	// maxSettlePeriod is how long it waits to learn which others there are, and for older
 	// ones that refuse its connections, as they haven't read of it yet. Leading
 	// meanwhile, it would take the runners of a scheduler that it doesn't hear, and
 	// hold up its jobs.
-	settleMost = 2 * time.Second
-	// yieldWait is how long a leader goes on while the one that should lead
+	maxSettlePeriod = 2 * time.Second
+	// yieldTimeout is how long a leader goes on while the one that should lead
 	// hasn't said that it does.
-	yieldWait = 300 * time.Millisecond
+	yieldTimeout = 300 * time.Millisecond
 	// StallThreshold is the pause in a process's own work after which it counts
 	// itself as having been frozen. The others have missed it by then.
 	StallThreshold = 400 * time.Millisecond
@@ -62,34 +62,34 @@
 type View struct {
 	self  ID
 	own   Report
-	begin Time
+	listenSince Time
 	// layout has the cell of each shard, and shards are those of the own cell.
 	layout layout.Layout
 	shards []int
-	// found: it knows which other processes there are; begin is from then on.
-	found bool
-	// complete: a process of each VM of the deployment is heard.
-	complete bool
-	// strangers: an older process is there that could lead and hasn't told of itself.
-	strangers bool
+	// peersKnown: it knows which other processes there are; begin is from then on.
+	peersKnown bool
+	// allVMsReachable: a process of each VM of the deployment is heard.
+	allVMsReachable bool
+	// olderPeerPending: an older process is there that could lead and hasn't told of itself.
+	olderPeerPending bool
 	// yieldSince is when this process, leading a shard, began to wait for
 	// another.
 	yieldSince []Time
 	peers      map[ID]*peer
-	// claims are the processes that say that they lead a shard.
-	claims map[int][]ID
+	// claimants are the processes that say that they lead a shard.
+	claimants map[int][]ID
 }
 
 // NewView returns the view of a process that has just started.
 func NewView(self ID, now Time) *View {
-	return &View{self: self, begin: now, peers: make(map[ID]*peer), claims: make(map[int][]ID)}
+	return &View{self: self, listenSince: now, peers: make(map[ID]*peer), claimants: make(map[int][]ID)}
 }
 
 // Register sets the identity that the process has got; it settles from now on.
 func (v *View) Register(now Time, self ID, number uint64) {
 	v.self = self
 	v.own.Number = number
-	v.begin = now
+	v.listenSince = now
 }
 
 // Self is the process's own identity.
@@ -107,8 +107,8 @@
 	v.own.Shards = len(l)
 	v.shards = l.Shards(cell)
 	v.yieldSince = make([]Time, len(l))
-	if now-v.begin > settle {
-		v.begin = now
+	if now-v.listenSince > settlePeriod {
+		v.listenSince = now
 	}
 }
 
@@ -124,26 +124,26 @@
 
 // PeersDiscovered notes that the process knows which others there are.
 func (v *View) PeersDiscovered(now Time) {
-	if !v.found {
-		v.found, v.begin = true, now
+	if !v.peersKnown {
+		v.peersKnown, v.listenSince = true, now
 	}
 }
 
 // settled reports whether the process has listened for long enough to lead.
 func (v *View) settled(now Time) bool {
-	wait := settle
-	if !v.found || v.strangers {
-		wait = settleMost
+	wait := settlePeriod
+	if !v.peersKnown || v.olderPeerPending {
+		wait = maxSettlePeriod
 	}
-	return now-v.begin >= wait || v.allAble()
+	return now-v.listenSince >= wait || v.allReported()
 }
 
 // SetOlderPeerPending says whether an older process that could lead is there and hasn't told
 // anything of itself yet.
-func (v *View) SetOlderPeerPending(some bool) { v.strangers = some }
+func (v *View) SetOlderPeerPending(pending bool) { v.olderPeerPending = pending }
 
 // SetAllVMsReachable says whether a process of each VM is heard.
-func (v *View) SetAllVMsReachable(complete bool) { v.complete = complete }
+func (v *View) SetAllVMsReachable(allVMsReachable bool) { v.allVMsReachable = allVMsReachable }
 
 // SetStoreStatus says whether the process leads in need of the store, and whether it
 // reaches it.
@@ -166,7 +166,7 @@
 // strain that one, and so on until none is left that can bear it.
 func (v *View) HasIdleSuccessor(now Time) bool {
 	for id, p := range v.peers {
-		if !p.report.Able || p.report.Cell != v.own.Cell || now-p.heard > HeartbeatTimeout || p.report.leads(id) {
+		if !p.report.Able || p.report.Cell != v.own.Cell || now-p.lastContact > HeartbeatTimeout || p.report.leads(id) {
 			continue
 		}
 		r := p.report
@@ -188,9 +188,9 @@
 	if leading {
 		v.own.Demotions++
 	}
-	v.begin = now
+	v.listenSince = now
 	for _, p := range v.peers {
-		p.heard = now
+		p.lastContact = now
 	}
 }
 
@@ -213,23 +213,23 @@
 // A shard of another cell isn't this process's to lead. It follows whoever says
 // there that it does.
 func (v *View) Choose(now Time, shard int, leading bool) Choice {
-	leader := v.firstLeading(now, shard)
+	leader := v.claimingLeader(now, shard)
 	if v.layout[shard] != v.own.Cell {
 		return Choice{Leader: leader, Reachable: leader != ""}
 	}
-	first := v.first(now, shard)
-	if first == "" {
+	preferred := v.preferred(now, shard)
+	if preferred == "" {
 		return Choice{Leader: leader, Reachable: leader != ""}
 	}
-	if first == v.self {
-		if other := v.followedElsewhere(now, shard); other != "" {
+	if preferred == v.self {
+		if other := v.leaderFollowedByPeers(now, shard); other != "" {
 			return v.yield(now, shard, leading, Choice{Leader: other})
 		}
 		v.yieldSince[shard] = 0
 		return Choice{Leader: v.self, Reachable: true}
 	}
-	if leading && leader != first && (leader == "" || v.before(v.self, leader, shard)) {
-		return v.yield(now, shard, true, Choice{Leader: first, Reachable: true})
+	if leading && leader != preferred && (leader == "" || v.ranksBefore(v.self, leader, shard)) {
+		return v.yield(now, shard, true, Choice{Leader: preferred, Reachable: true})
 	}
 	v.yieldSince[shard] = 0
 	// A process that should lead and doesn't say so may not know it yet; a job
@@ -249,110 +249,110 @@
 	if v.yieldSince[shard] == 0 {
 		v.yieldSince[shard] = now
 	}
-	if now-v.yieldSince[shard] > yieldWait {
+	if now-v.yieldSince[shard] > yieldTimeout {
 		return other
 	}
 	return Choice{Leader: v.self, Reachable: true}
 }
 
-// first is the process that should lead a shard of the own cell; "" if none can.
-func (v *View) first(now Time, shard int) ID {
-	best := v.best(now)
-	if len(best) == 0 {
+// preferred is the process that should lead a shard of the own cell; "" if none can.
+func (v *View) preferred(now Time, shard int) ID {
+	candidates := v.candidates(now)
+	if len(candidates) == 0 {
 		return ""
 	}
 	if len(v.shards) == 1 {
-		return slices.MinFunc(best, func(x, y ID) int { return cmp.Compare(v.rank(x).Number, v.rank(y).Number) })
+		return slices.MinFunc(candidates, func(x, y ID) int { return cmp.Compare(v.reportOf(x).Number, v.reportOf(y).Number) })
 	}
-	return share(best, v.shards)[shard]
+	return distribute(candidates, v.shards)[shard]
 }
 
-// best lists the processes of the cell that may lead and that none other ranks
+// candidates lists the processes of the cell that may lead and that none other ranks
 // before, but for age, in the order of their ids.
-func (v *View) best(now Time) []ID {
+func (v *View) candidates(now Time) []ID {
 	var able []ID
 	if v.own.Able && v.settled(now) {
 		able = append(able, v.self)
 	}
 	for id, p := range v.peers {
-		if p.report.Able && p.report.Cell == v.own.Cell && now-p.heard <= HeartbeatTimeout {
+		if p.report.Able && p.report.Cell == v.own.Cell && now-p.lastContact <= HeartbeatTimeout {
 			able = append(able, id)
 		}
 	}
 	slices.Sort(able)
 	return slices.DeleteFunc(slices.Clone(able), func(x ID) bool {
-		return slices.ContainsFunc(able, func(y ID) bool { return v.class(y, x) < 0 })
+		return slices.ContainsFunc(able, func(y ID) bool { return v.compareByClass(y, x) < 0 })
 	})
 }
 
-// allAble reports whether each VM of the deployment has a process that has said
+// allReported reports whether each VM of the deployment has a process that has said
 // that it could lead, since this one began to listen. Then who should is known:
 // nobody older is still to come.
 //
 // What was said before a pause of this process doesn't count. It would lead again
 // as it wakes, with jobs in its queue that have long been handed to another one.
-func (v *View) allAble() bool {
-	if !v.complete {
+func (v *View) allReported() bool {
+	if !v.allVMsReachable {
 		return false
 	}
 	for _, p := range v.peers {
 		if p.report.Cell != v.own.Cell {
 			continue
 		}
-		if !p.report.Able && !p.report.Standby || p.heard <= v.begin {
+		if !p.report.Able && !p.report.Standby || p.lastContact <= v.listenSince {
 			return false
 		}
 	}
 	return true
 }
 
-// firstLeading is the first in rank of the other processes that say that they
+// claimingLeader is the first in rank of the other processes that say that they
 // lead a shard.
-func (v *View) firstLeading(now Time, shard int) ID {
+func (v *View) claimingLeader(now Time, shard int) ID {
 	best := ID("")
-	for _, id := range v.claims[shard] {
-		if now-v.peers[id].heard <= HeartbeatTimeout && (best == "" || v.before(id, best, shard)) {
+	for _, id := range v.claimants[shard] {
+		if now-v.peers[id].lastContact <= HeartbeatTimeout && (best == "" || v.ranksBefore(id, best, shard)) {
 			best = id
 		}
 	}
 	return best
 }
 
-// followedElsewhere finds a leader that isn't heard here but that a process
+// leaderFollowedByPeers finds a leader that isn't heard here but that a process
 // heard here follows. If this process led beside it, the two would take the
 // runners from each other by turns.
-func (v *View) followedElsewhere(now Time, shard int) ID {
+func (v *View) leaderFollowedByPeers(now Time, shard int) ID {
 	found := ID("")
 	for id, p := range v.peers {
 		l := p.report.Leader(shard)
 		if l == "" || l == v.self || l == id || v.peers[l] != nil {
 			continue
 		}
-		if now-p.heard+p.report.Follows[shard].Age <= HeartbeatTimeout && (found == "" || l < found) {
+		if now-p.lastContact+p.report.Follows[shard].Age <= HeartbeatTimeout && (found == "" || l < found) {
 			found = l
 		}
 	}
 	return found
 }
 
-// before ranks two processes for a shard: by class, then by age, or with several
+// ranksBefore ranks two processes for a shard: by class, then by age, or with several
 // shards by score.
-func (v *View) before(x, y ID, shard int) bool {
-	if c := v.class(x, y); c != 0 {
+func (v *View) ranksBefore(x, y ID, shard int) bool {
+	if c := v.compareByClass(x, y); c != 0 {
 		return c < 0
 	}
 	if len(v.shards) > 1 || v.layout[shard] != v.own.Cell {
 		return score(x, shard) > score(y, shard)
 	}
-	return v.rank(x).Number < v.rank(y).Number
+	return v.reportOf(x).Number < v.reportOf(y).Number
 }
 
-// class compares two processes by what counts before age; see compareClass.
-func (v *View) class(x, y ID) int {
-	return compareClass(v.rank(x), v.rank(y))
+// compareByClass compares two processes by what counts before age; see compareClass.
+func (v *View) compareByClass(x, y ID) int {
+	return compareClass(v.reportOf(x), v.reportOf(y))
 }
 
-func (v *View) rank(id ID) *Report {
+func (v *View) reportOf(id ID) *Report {
 	if id == v.self {
 		return &v.own
 	}
--- a/core/leader/leader_test.go
+++ b/core/leader/leader_test.go
@@ -11,16 +11,16 @@
 
 const ms = time.Millisecond
 
-// view returns that of process b, number 2, after it has settled.
-func view() (*View, Time) {
-	v := started()
+// settledView returns that of process b, number 2, after it has settled.
+func settledView() (*View, Time) {
+	v := unsettledView()
 	v.PeersDiscovered(0)
 	return v, time.Second
 }
 
-// started returns the view of process b, number 2, that has just registered and
+// unsettledView returns the view of process b, number 2, that has just registered and
 // doesn't know yet which others there are.
-func started() *View {
+func unsettledView() *View {
 	v := NewView("", 0)
 	v.Register(0, "b", 2)
 	v.SetLayout(0, layout.Pooled(1), "")
@@ -28,7 +28,7 @@
 	return v
 }
 
-func able(number uint64, leader ID) *Report {
+func candidateReport(number uint64, leader ID) *Report {
 	return &Report{Number: number, Able: true, Follows: []Follow{{Leader: leader}}}
 }
 
@@ -36,11 +36,11 @@
 
 func TestOldestLeads(t *testing.T) {
 	g := NewWithT(t)
-	v, now := view()
+	v, now := settledView()
 	g.Expect(choose(v, now, false)).To(Equal(Choice{Leader: "b", Reachable: true}))
-	v.RecordContact(now, "c", able(3, "c"))
+	v.RecordContact(now, "c", candidateReport(3, "c"))
 	g.Expect(choose(v, now, true)).To(Equal(Choice{Leader: "b", Reachable: true}))
-	v.RecordContact(now, "a", able(1, "a"))
+	v.RecordContact(now, "a", candidateReport(1, "a"))
 	g.Expect(choose(v, now, false)).To(Equal(Choice{Leader: "a", Reachable: true}))
 	v.RecordContact(now, "d", &Report{Number: 0, Able: false})
 	g.Expect(choose(v, now, false).Leader).To(Equal(ID("a")))
@@ -50,39 +50,39 @@
 // until then, every restart would change the leader twice.
 func TestNewProcessListensFirst(t *testing.T) {
 	g := NewWithT(t)
-	v := started()
+	v := unsettledView()
 	v.PeersDiscovered(0)
-	g.Expect(choose(v, settle-ms, false)).To(Equal(Choice{}))
-	g.Expect(choose(v, settle, false).Leader).To(Equal(ID("b")))
+	g.Expect(choose(v, settlePeriod-ms, false)).To(Equal(Choice{}))
+	g.Expect(choose(v, settlePeriod, false).Leader).To(Equal(ID("b")))
 }
 
 // A process has just started beside a store in trouble, and doesn't know yet which
 // others there are. It leads nothing for as long: one of them may.
 func TestNewProcessFindsTheOthersFirst(t *testing.T) {
 	g := NewWithT(t)
-	v := started()
-	g.Expect(choose(v, settle, false)).To(Equal(Choice{}))
-	v.PeersDiscovered(settle)
-	g.Expect(choose(v, 2*settle-ms, false)).To(Equal(Choice{}))
-	g.Expect(choose(v, 2*settle, false).Leader).To(Equal(ID("b")))
+	v := unsettledView()
+	g.Expect(choose(v, settlePeriod, false)).To(Equal(Choice{}))
+	v.PeersDiscovered(settlePeriod)
+	g.Expect(choose(v, 2*settlePeriod-ms, false)).To(Equal(Choice{}))
+	g.Expect(choose(v, 2*settlePeriod, false).Leader).To(Equal(ID("b")))
 
-	v = started()
-	g.Expect(choose(v, settleMost, false).Leader).To(Equal(ID("b")), "somebody must")
+	v = unsettledView()
+	g.Expect(choose(v, maxSettlePeriod, false).Leader).To(Equal(ID("b")), "somebody must")
 }
 
 // All processes of a deployment start at once, after a loss of power. As soon as
 // each has said that it could lead, the oldest does: callers wait for it.
 func TestLeadsAtOnceWhenAllAreHeard(t *testing.T) {
 	g := NewWithT(t)
-	v := started()
+	v := unsettledView()
 	v.PeersDiscovered(0)
-	v.RecordContact(ms, "c", able(3, ""))
+	v.RecordContact(ms, "c", candidateReport(3, ""))
 	g.Expect(choose(v, 2*ms, false)).To(Equal(Choice{}), "others may be to come")
 	v.SetAllVMsReachable(true)
 	g.Expect(choose(v, 2*ms, false).Leader).To(Equal(ID("b")))
 	v.RecordContact(3*ms, "a", &Report{Number: 1})
 	g.Expect(choose(v, 4*ms, false)).To(Equal(Choice{}), "an older one doesn't know the shards yet")
-	v.RecordContact(5*ms, "a", able(1, "a"))
+	v.RecordContact(5*ms, "a", candidateReport(1, "a"))
 	g.Expect(choose(v, 6*ms, false).Leader).To(Equal(ID("a")))
 }
 
@@ -90,14 +90,14 @@
 // another one leads by now.
 func TestAWokenProcessListensAgain(t *testing.T) {
 	g := NewWithT(t)
-	v := started()
+	v := unsettledView()
 	v.PeersDiscovered(0)
-	v.RecordContact(ms, "c", able(3, "b"))
+	v.RecordContact(ms, "c", candidateReport(3, "b"))
 	v.SetAllVMsReachable(true)
 	g.Expect(choose(v, 2*ms, false).Leader).To(Equal(ID("b")))
 	v.RecordStall(1000*ms, true)
 	g.Expect(choose(v, 1000*ms, false)).To(Equal(Choice{}))
-	v.RecordContact(1001*ms, "c", able(3, "c"))
+	v.RecordContact(1001*ms, "c", candidateReport(3, "c"))
 	g.Expect(choose(v, 1001*ms, false).Leader).To(Equal(ID("c")))
 }
 
@@ -105,11 +105,11 @@
 // job handed to it would wait; and a leader that stopped now would leave a gap.
 func TestNobodyFollowsAProcessThatDoesntLeadYet(t *testing.T) {
 	g := NewWithT(t)
-	v, now := view()
-	v.RecordContact(now, "a", able(1, ""))
+	v, now := settledView()
+	v.RecordContact(now, "a", candidateReport(1, ""))
 	g.Expect(choose(v, now, false)).To(Equal(Choice{}))
 	g.Expect(choose(v, now, true).Leader).To(Equal(ID("b")), "it leads on until a does")
-	v.RecordContact(now, "a", able(1, "a"))
+	v.RecordContact(now, "a", candidateReport(1, "a"))
 	g.Expect(choose(v, now, true).Leader).To(Equal(ID("a")))
 }
 
@@ -118,7 +118,7 @@
 // turns.
 func TestLeaderThatOthersHear(t *testing.T) {
 	g := NewWithT(t)
-	v, now := view()
+	v, now := settledView()
 	v.RecordContact(now, "c", &Report{Number: 3, Able: true, Follows: []Follow{{"a", 50 * ms}}})
 	g.Expect(choose(v, now, false)).To(Equal(Choice{Leader: "a"}))
 	later := now + HeartbeatTimeout
@@ -130,26 +130,26 @@
 // would come back as the oldest just to be slow again.
 func TestFrozenLeader(t *testing.T) {
 	g := NewWithT(t)
-	v, now := view()
-	v.RecordContact(now, "c", able(3, "b"))
+	v, now := settledView()
+	v.RecordContact(now, "c", candidateReport(3, "b"))
 	g.Expect(choose(v, now, true).Leader).To(Equal(ID("b")))
 	now += 3 * time.Second
 	v.RecordStall(now, true)
 	g.Expect(v.ExpirePeers(now)).To(BeEmpty())
 	g.Expect(choose(v, now, false).Leader).NotTo(Equal(ID("b")))
-	v.RecordContact(now, "c", able(3, "c"))
-	g.Expect(choose(v, now+settle, false)).To(Equal(Choice{Leader: "c", Reachable: true}))
+	v.RecordContact(now, "c", candidateReport(3, "c"))
+	g.Expect(choose(v, now+settlePeriod, false)).To(Equal(Choice{Leader: "c", Reachable: true}))
 }
 
 // The leader is about to be stopped as planned. It hands over while it still
 // works, and takes the lead back only if nobody else is there.
 func TestStoppingLeader(t *testing.T) {
 	g := NewWithT(t)
-	v, now := view()
-	v.RecordContact(now, "c", able(3, "b"))
+	v, now := settledView()
+	v.RecordContact(now, "c", candidateReport(3, "b"))
 	v.SetStopping()
 	g.Expect(choose(v, now, true).Leader).To(Equal(ID("b")))
-	v.RecordContact(now, "c", able(3, "c"))
+	v.RecordContact(now, "c", candidateReport(3, "c"))
 	g.Expect(choose(v, now, true).Leader).To(Equal(ID("c")))
 	v.RemovePeer("c")
 	g.Expect(choose(v, now, false).Leader).To(Equal(ID("b")))
@@ -157,8 +157,8 @@
 
 func TestSilentProcesses(t *testing.T) {
 	g := NewWithT(t)
-	v, now := view()
-	v.RecordContact(now, "a", able(1, "a"))
+	v, now := settledView()
+	v.RecordContact(now, "a", candidateReport(1, "a"))
 	g.Expect(v.ExpirePeers(now + HeartbeatTimeout)).To(BeEmpty())
 	g.Expect(v.ExpirePeers(now + HeartbeatTimeout + ms)).To(Equal([]ID{"a"}))
 	g.Expect(choose(v, now+HeartbeatTimeout+ms, false).Leader).To(Equal(ID("b")))
@@ -168,9 +168,9 @@
 // one of them would fall behind at the first burst.
 func TestLargeVMsLead(t *testing.T) {
 	g := NewWithT(t)
-	v, now := view()
+	v, now := settledView()
 	v.SetMilliCPU(192)
-	large := able(9, "z")
+	large := candidateReport(9, "z")
 	large.MilliCPU = 800
 	v.RecordContact(now, "z", large)
 	g.Expect(choose(v, now, true)).To(Equal(Choice{Leader: "z", Reachable: true}))
@@ -181,7 +181,7 @@
 func TestShardsSpread(t *testing.T) {
 	g := NewWithT(t)
 	const shards = 12
-	first := func(lost ID) map[int]ID {
+	preferred := func(lost ID) map[int]ID {
 		v := NewView("", 0)
 		v.Register(0, "b", 2)
 		v.PeersDiscovered(0)
@@ -194,11 +194,11 @@
 		}
 		owners := make(map[int]ID)
 		for s := range shards {
-			owners[s] = v.first(time.Second, s)
+			owners[s] = v.preferred(time.Second, s)
 		}
 		return owners
 	}
-	all, without := first(""), first("c")
+	all, without := preferred(""), preferred("c")
 	owners, stayed := make(map[ID]int), 0
 	for s, id := range all {
 		owners[id]++
@@ -238,12 +238,12 @@
 // of all needn't wait for them to say that they could.
 func TestStandbyProcessesDontLead(t *testing.T) {
 	g := NewWithT(t)
-	v := started()
+	v := unsettledView()
 	v.PeersDiscovered(0)
 	v.SetAble(true, true)
 	g.Expect(v.CanSchedule()).To(BeTrue())
 	g.Expect(choose(v, time.Second, false)).To(Equal(Choice{}))
-	v = started()
+	v = unsettledView()
 	v.PeersDiscovered(0)
 	v.SetAllVMsReachable(true)
 	v.RecordContact(ms, "c", &Report{Number: 3, Standby: true})
@@ -257,7 +257,7 @@
 	for i := range 50 {
 		ids := []ID{ID(rune('a' + i)), ID(rune('b' + i)), ID(rune('c' + i))}
 		counts := make(map[ID]int)
-		for _, id := range share(ids, []int{4, 5, 6, 7}) {
+		for _, id := range distribute(ids, []int{4, 5, 6, 7}) {
 			counts[id]++
 		}
 		g.Expect(counts).To(HaveLen(3))
--- a/core/leader/peers.go
+++ b/core/leader/peers.go
@@ -6,7 +6,7 @@
 
 type peer struct {
 	report Report
-	heard  Time
+	lastContact  Time
 }
 
 // RecordContact takes a heartbeat, or with a nil report any other sign of life.
@@ -16,32 +16,32 @@
 		p = &peer{}
 		v.peers[id] = p
 	}
-	p.heard = now
+	p.lastContact = now
 	if r != nil {
-		v.dropClaims(id)
+		v.removeClaims(id)
 		p.report = *r
 		for shard, f := range r.Follows {
 			if f.Leader == id {
-				v.claims[shard] = append(v.claims[shard], id)
+				v.claimants[shard] = append(v.claimants[shard], id)
 			}
 		}
 	}
 }
 
-func (v *View) dropClaims(id ID) {
+func (v *View) removeClaims(id ID) {
 	for shard, f := range v.peers[id].report.Follows {
 		if f.Leader == id {
-			v.claims[shard] = slices.DeleteFunc(v.claims[shard], func(o ID) bool { return o == id })
+			v.claimants[shard] = slices.DeleteFunc(v.claimants[shard], func(o ID) bool { return o == id })
 		}
 	}
 }
 
 // RemovePeer forgets a process that has closed its connection.
-func (v *View) RemovePeer(id ID) { v.forget(id) }
+func (v *View) RemovePeer(id ID) { v.remove(id) }
 
-func (v *View) forget(id ID) {
+func (v *View) remove(id ID) {
 	if v.peers[id] != nil {
-		v.dropClaims(id)
+		v.removeClaims(id)
 		delete(v.peers, id)
 	}
 }
@@ -49,7 +49,7 @@
 // LastContact is when a process was last heard; 0 if never.
 func (v *View) LastContact(id ID) Time {
 	if p := v.peers[id]; p != nil {
-		return p.heard
+		return p.lastContact
 	}
 	return 0
 }
@@ -66,9 +66,9 @@
 func (v *View) ExpirePeers(now Time) []ID {
 	var lost []ID
 	for id, p := range v.peers {
-		if now-p.heard > HeartbeatTimeout {
+		if now-p.lastContact > HeartbeatTimeout {
 			lost = append(lost, id)
-			v.forget(id)
+			v.remove(id)
 		}
 	}
 	slices.Sort(lost)
--- a/core/leader/report.go
+++ b/core/leader/report.go
@@ -64,23 +64,23 @@
 func compareClass(a, b *Report) int {
 	switch {
 	case a.Stopping != b.Stopping:
-		return ahead(b.Stopping)
+		return firstIf(b.Stopping)
 	case a.StoreLost != b.StoreLost:
-		return ahead(b.StoreLost)
+		return firstIf(b.StoreLost)
 	case a.Demotions != b.Demotions:
-		return ahead(a.Demotions < b.Demotions)
+		return firstIf(a.Demotions < b.Demotions)
 	case a.MilliCPU >= 2*b.MilliCPU && b.MilliCPU > 0:
 		return -1
 	case b.MilliCPU >= 2*a.MilliCPU && a.MilliCPU > 0:
 		return 1
 	case a.Starvations != b.Starvations:
-		return ahead(a.Starvations < b.Starvations)
+		return firstIf(a.Starvations < b.Starvations)
 	}
 	return 0
 }
 
-// ahead is -1 if it is true that x comes first, else 1.
-func ahead(x bool) int {
+// firstIf is -1 if it is true that x comes first, else 1.
+func firstIf(x bool) int {
 	if x {
 		return -1
 	}
--- a/core/topology/topology.go
+++ b/core/topology/topology.go
@@ -31,15 +31,15 @@
 )
 
 const (
-	// seatsMost bounds the VMs of a cell that may schedule: the schedulers of 480
+	// maxSeats bounds the VMs of a cell that may schedule: the schedulers of 480
 	// runners, and as many in reserve.
-	seatsMost = 16
+	maxSeats = 16
 	// gatewayCells is the number of other cells in which a VM is connected with a
 	// seat: one may be cut off or lost together with the VM's own schedulers.
 	gatewayCells = 2
-	// widenMost bounds the doublings; with it a process counts with all VMs of
+	// maxWidenings bounds the doublings; with it a process counts with all VMs of
 	// any cell.
-	widenMost = 10
+	maxWidenings = 10
 )
 
 // Member is a registered entry process.
@@ -60,12 +60,12 @@
 	// stored: there may be stored jobs, which belong to one shard of all wherever
 	// they come from.
 	stored bool
-	// byDomain caches the cells of failure domains.
-	byDomain map[string]string
+	// cellByDomain caches the cells of failure domains.
+	cellByDomain map[string]string
 	// members are those of each cell, those that schedule first, and names the
 	// cells in order.
 	members map[string][]Member
-	names   []string
+	cellNames   []string
 }
 
 // New returns a fleet. The layout is nil while it isn't known: then nobody can lead,
@@ -75,15 +75,15 @@
 	f := &Fleet{
 		layout:   l,
 		stored:   stored,
-		byDomain: make(map[string]string),
+		cellByDomain: make(map[string]string),
 		members:  make(map[string][]Member),
-		names:    l.Cells(),
+		cellNames:    l.Cells(),
 	}
 	for _, m := range members {
-		cell, known := f.byDomain[m.Domain]
+		cell, known := f.cellByDomain[m.Domain]
 		if !known {
 			cell = l.Cell(m.Domain)
-			f.byDomain[m.Domain] = cell
+			f.cellByDomain[m.Domain] = cell
 		}
 		f.members[cell] = append(f.members[cell], m)
 	}
@@ -106,7 +106,7 @@
 func (l Link) SameProcess(o Link) bool { return l.ID == o.ID }
 
 // CellMembers lists the members of a member's cell, those that schedule first.
-func (f *Fleet) CellMembers(m Member) []Member { return f.members[f.byDomain[m.Domain]] }
+func (f *Fleet) CellMembers(m Member) []Member { return f.members[f.cellByDomain[m.Domain]] }
 
 // Seats lists the members of a cell that schedule: those with more than half of
 // the most processor that any has, or more if the process widens its view.
@@ -122,11 +122,11 @@
 		return nil
 	}
 	n := 0
-	for n < min(len(list), seatsMost) && (2*list[n].MilliCPU > list[0].MilliCPU || list[0].MilliCPU == 0) {
+	for n < min(len(list), maxSeats) && (2*list[n].MilliCPU > list[0].MilliCPU || list[0].MilliCPU == 0) {
 		n++
 	}
 	if widened > 0 {
-		n = max(n, seatsMost) << min(widened-1, widenMost)
+		n = max(n, maxSeats) << min(widened-1, maxWidenings)
 	}
 	return list[:min(n, len(list))]
 }
@@ -136,17 +136,17 @@
 	if len(f.layout) == 0 {
 		return nil
 	}
-	links := f.inside(self, widened)
+	links := f.linksWithinCell(self, widened)
 	if f.layout.HasCells() {
-		links = append(links, f.outside(self)...)
+		links = append(links, f.linksToOtherCells(self)...)
 	}
 	slices.SortFunc(links, func(a, b Link) int { return strings.Compare(a.ID, b.ID) })
 	return links
 }
 
-// inside are the links within the own cell: with its seats, and from a seat with
+// linksWithinCell are the links within the own cell: with its seats, and from a seat with
 // all. Of two the one that registered later dials, since it surely knows the other.
-func (f *Fleet) inside(self Member, widened int) []Link {
+func (f *Fleet) linksWithinCell(self Member, widened int) []Link {
 	all := f.CellMembers(self)
 	top := seats(all, widened)
 	seated := contains(top, self)
@@ -159,23 +159,23 @@
 	return links
 }
 
-// outside are the links with seats of other cells. Those seats don't choose this
+// linksToOtherCells are the links with seats of other cells. Those seats don't choose this
 // process, so it dials, unless the other has chosen it too and is the younger one.
-func (f *Fleet) outside(self Member) []Link {
+func (f *Fleet) linksToOtherCells(self Member) []Link {
 	var links []Link
-	for _, c := range f.outsideCells(self) {
-		for _, m := range f.gateways(self, c) {
-			links = append(links, Link{ID: m.ID, Dials: m.Number < self.Number || !f.chosen(m, self)})
+	for _, c := range f.linkedCells(self) {
+		for _, m := range f.gatewaySeats(self, c) {
+			links = append(links, Link{ID: m.ID, Dials: m.Number < self.Number || !f.hasChosen(m, self)})
 		}
 	}
 	return links
 }
 
-// outsideCells lists the other cells in which a VM is connected with seats: some,
+// linkedCells lists the other cells in which a VM is connected with seats: some,
 // or all if there may be stored jobs. VMs spread over them.
-func (f *Fleet) outsideCells(self Member) []string {
-	own := f.byDomain[self.Domain]
-	cells := slices.DeleteFunc(slices.Clone(f.names), func(c string) bool { return c == own })
+func (f *Fleet) linkedCells(self Member) []string {
+	own := f.cellByDomain[self.Domain]
+	cells := slices.DeleteFunc(slices.Clone(f.cellNames), func(c string) bool { return c == own })
 	if f.stored {
 		return cells
 	}
@@ -184,9 +184,9 @@
 	return cells[:min(gatewayCells, len(cells))]
 }
 
-// gateways are the seats of another cell that a VM is connected with: one, or all
+// gatewaySeats are the seats of another cell that a VM is connected with: one, or all
 // if there may be stored jobs. VMs spread over the seats.
-func (f *Fleet) gateways(self Member, cell string) []Member {
+func (f *Fleet) gatewaySeats(self Member, cell string) []Member {
 	list := f.Seats(cell, 0)
 	if f.stored || len(list) == 0 {
 		return list
@@ -196,10 +196,10 @@
 	})}
 }
 
-// chosen reports whether a member has chosen another one of another cell.
-func (f *Fleet) chosen(by, m Member) bool {
-	cell := f.byDomain[m.Domain]
-	return slices.Contains(f.outsideCells(by), cell) && contains(f.gateways(by, cell), m)
+// hasChosen reports whether a member has hasChosen another one of another cell.
+func (f *Fleet) hasChosen(by, m Member) bool {
+	cell := f.cellByDomain[m.Domain]
+	return slices.Contains(f.linkedCells(by), cell) && contains(f.gatewaySeats(by, cell), m)
 }
 
 func contains(list []Member, m Member) bool {
--- a/core/topology/topology_test.go
+++ b/core/topology/topology_test.go
@@ -9,8 +9,8 @@
 	"sapphirepoint.example/sapphirepoint/core/layout"
 )
 
-// fleet is one of some domains, each a cell with three large VMs and small ones.
-func fleet(domains, vms int) (layout.Layout, []Member) {
+// testFleet is one of some domains, each a cell with three large VMs and small ones.
+func testFleet(domains, vms int) (layout.Layout, []Member) {
 	var l layout.Layout
 	var members []Member
 	number := uint64(0)
@@ -60,7 +60,7 @@
 func TestConnectionsDontGrowWithTheFleet(t *testing.T) {
 	g := NewWithT(t)
 	for _, domains := range []int{5, 35} {
-		l, members := fleet(domains, 30)
+		l, members := testFleet(domains, 30)
 		f := New(l, false, members)
 		degree := degrees(g, f, members, 0)
 		for _, m := range members {
@@ -86,11 +86,11 @@
 	}
 	f := New(layout.Pooled(6), false, members)
 	seats := f.Seats("", 0)
-	g.Expect(seats).To(HaveLen(seatsMost))
+	g.Expect(seats).To(HaveLen(maxSeats))
 	g.Expect(seats[0].Number).To(BeEquivalentTo(1), "the oldest of VMs that are alike")
 	for i, m := range members {
 		if !f.HasSeat(m, 0) {
-			g.Expect(f.Links(m, 0)).To(HaveLen(seatsMost), "VM %d", i)
+			g.Expect(f.Links(m, 0)).To(HaveLen(maxSeats), "VM %d", i)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 // counts with twice as many seats each time; it doesn't connect with all.
 func TestLookingFurtherIsBounded(t *testing.T) {
 	g := NewWithT(t)
-	l, members := fleet(5, 200)
+	l, members := testFleet(5, 200)
 	f := New(l, false, members)
 	for widened, seats := range []int{3, 16, 32, 64, 128, 200, 200} {
 		g.Expect(f.Seats("d1", widened)).To(HaveLen(seats))
@@ -113,7 +113,7 @@
 // Whoever is asked for a stored job must reach its shard, in whatever cell.
 func TestStoredJobsNeedAllSeats(t *testing.T) {
 	g := NewWithT(t)
-	l, members := fleet(5, 30)
+	l, members := testFleet(5, 30)
 	f := New(l, true, members)
 	degrees(g, f, members, 0)
 	g.Expect(f.Links(members[20], 0)).To(HaveLen(5 * 3))
@@ -124,7 +124,7 @@
 // would have connections that it never needs.
 func TestNobodyConnectsBeforeTheLayoutIsKnown(t *testing.T) {
 	g := NewWithT(t)
-	_, members := fleet(5, 30)
+	_, members := testFleet(5, 30)
 	g.Expect(New(nil, false, members).Links(members[20], 0)).To(BeEmpty())
 }
 
