--- a/core/gateway/elsewhere_test.go
+++ b/core/gateway/elsewhere_test.go
@@ -10,9 +10,9 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// cells returns a gateway in a cell of shards 0 and 1, beside one of shards 2 and 3
+// gatewayInCell returns a gateway in a cell of shards 0 and 1, beside one of shards 2 and 3
 // of which only 2 has a leader in reach.
-func cells() *Gateway {
+func gatewayInCell() *Gateway {
 	g := New()
 	g.SetFallbackShards(FallbackShards{SameCell: []int{0, 1}, OtherCells: []int{2, 3}})
 	for shard, id := range map[int]leader.ID{0: "a", 1: "b", 2: "c"} {
@@ -29,7 +29,7 @@
 // served where nothing waits; none is sent round after that.
 func TestBurstGoesWhereRoomIs(t *testing.T) {
 	g := NewWithT(t)
-	gw := cells()
+	gw := gatewayInCell()
 	gw.SetExpectedWait(1, 300*ms)
 	gw.Submit(0, 1, 0, testJob("j"), time.Second)
 	g.Expect(handIns(gw.Ready())).To(HaveLen(1))
@@ -49,7 +49,7 @@
 // only add load.
 func TestNobodyHasRoom(t *testing.T) {
 	g := NewWithT(t)
-	gw := cells()
+	gw := gatewayInCell()
 	gw.SetExpectedWait(1, 10*ms)
 	gw.SetExpectedWait(2, 10*ms)
 	gw.Submit(0, 1, 0, testJob("j"), time.Second)
@@ -61,7 +61,7 @@
 // another one refuses it too doesn't make "not run" true.
 func TestRefusalElsewhereIsNoMoreThanWasKnown(t *testing.T) {
 	g := NewWithT(t)
-	gw := cells()
+	gw := gatewayInCell()
 	gw.Submit(0, 1, 0, testJob("j"), time.Second)
 	gw.HandleVerdict(5*ms, noRoom("a", "j", workload.GaveUp))
 	g.Expect(handIns(gw.Ready())).To(HaveLen(2))
@@ -76,7 +76,7 @@
 // goes elsewhere when that must be over, and not before.
 func TestJobsOfALostScheduler(t *testing.T) {
 	g := NewWithT(t)
-	gw := cells()
+	gw := gatewayInCell()
 	gw.SetLeader(0, 1, leader.Choice{})
 	gw.Submit(0, 1, 0, testJob("had"), 3*time.Second)
 	g.Expect(handIns(gw.Ready())).To(HaveLen(1))
@@ -87,9 +87,9 @@
 	g.Expect(list).To(HaveLen(1))
 	g.Expect(list[0].Job.ID).To(BeEquivalentTo("new"))
 	g.Expect(list[0].Shard).To(Equal(2))
-	gw.Tick(100*ms + unknownLife - ms)
+	gw.Tick(100*ms + orphanRunLifetime - ms)
 	g.Expect(handIns(gw.Ready())).To(BeEmpty())
-	gw.Tick(100*ms + unknownLife)
+	gw.Tick(100*ms + orphanRunLifetime)
 	list = handIns(gw.Ready())
 	g.Expect(list).To(HaveLen(1))
 	g.Expect(list[0].Shard).To(Equal(2))
@@ -99,7 +99,7 @@
 // A stored job belongs to one shard, whose owner alone may accept it.
 func TestStoredJobsStayWithTheirShard(t *testing.T) {
 	g := NewWithT(t)
-	gw := cells()
+	gw := gatewayInCell()
 	gw.SetLeader(0, 0, leader.Choice{})
 	job := testJob("j")
 	job.Stored = true
--- a/core/gateway/gateway.go
+++ b/core/gateway/gateway.go
@@ -23,19 +23,19 @@
 type Time = task.Time
 
 const (
-	// unknownLife is how long after a scheduler was last heard a run that it
+	// orphanRunLifetime is how long after a scheduler was last heard a run that it
 	// started may be alive where the next scheduler can't see it: until it
 	// misses this entry VM, stops the runs, and if runners don't answer lets
 	// their leases end.
-	unknownLife = 1300 * time.Millisecond
-	// leaderWait is how long a job waits for a scheduler at a start or a
+	orphanRunLifetime = 1300 * time.Millisecond
+	// noLeaderTimeout is how long a job waits for a scheduler at a start or a
 	// change of leader, which take less.
-	leaderWait = 300 * time.Millisecond
-	// retryNoLeader is when a caller may come back if nobody schedules.
-	retryNoLeader = time.Second
-	// answerSlack is how long after the caller's patience has ended the
+	noLeaderTimeout = 300 * time.Millisecond
+	// noLeaderRetryAfter is when a caller may come back if nobody schedules.
+	noLeaderRetryAfter = time.Second
+	// answerGrace is how long after the caller's patience has ended the
 	// scheduler's own answer is waited for.
-	answerSlack = 50 * time.Millisecond
+	answerGrace = 50 * time.Millisecond
 )
 
 // Command is an output of the gateway.
@@ -104,71 +104,71 @@
 	SameCell, OtherCells []int
 }
 
-type inHand struct {
+type inFlightJob struct {
 	job *workload.Job
 	// shard is that of the job, and home the one that it had first.
 	shard, home int
-	// refused are the shards that had no room for it. doubtful: one of them
+	// refusedBy are the shards that had no room for it. doubtful: one of them
 	// couldn't tell whether anything had run of an earlier copy.
-	refused  []int
-	doubtful bool
-	arrived  Time
-	due      Time
-	deadline Time
-	requests []uint64
+	refusedBy  []int
+	mayHaveRun bool
+	arrived    Time
+	due        Time
+	deadline   Time
+	requests   []uint64
 	// scheduler has the job; "" if none has. handed counts the ones before.
 	scheduler leader.ID
 	handed    int
-	// unknownUntil is when runs of earlier schedulers are surely over.
-	unknownUntil Time
+	// uncertainUntil is when runs of earlier schedulers are surely over.
+	uncertainUntil Time
 }
 
 // Gateway is the state. It isn't safe for concurrent use.
 type Gateway struct {
-	now     Time
-	choices map[int]leader.Choice
-	jobs    map[workload.JobID]*inHand
-	byReq   map[uint64]workload.JobID
-	domain  string
-	// others are set if jobs may go to another shard than their home.
-	others FallbackShards
-	// waits is how long a new job would wait in a shard, by the last word.
-	waits map[int]time.Duration
-	out   []Command
+	now       Time
+	choices   map[int]leader.Choice
+	jobs      map[workload.JobID]*inFlightJob
+	byRequest map[uint64]workload.JobID
+	domain    string
+	// fallback are set if jobs may go to another shard than their home.
+	fallback FallbackShards
+	// expectedWaits is how long a new job would wait in a shard, by the last word.
+	expectedWaits map[int]time.Duration
+	out           []Command
 }
 
 // New returns a gateway without jobs.
 func New() *Gateway {
 	return &Gateway{
-		choices: make(map[int]leader.Choice),
-		jobs:    make(map[workload.JobID]*inHand),
-		byReq:   make(map[uint64]workload.JobID),
-		waits:   make(map[int]time.Duration),
+		choices:       make(map[int]leader.Choice),
+		jobs:          make(map[workload.JobID]*inFlightJob),
+		byRequest:     make(map[uint64]workload.JobID),
+		expectedWaits: make(map[int]time.Duration),
 	}
 }
 
 // SetFallbackShards says to which shards jobs may go but their home.
-func (g *Gateway) SetFallbackShards(s FallbackShards) { g.others = s }
+func (g *Gateway) SetFallbackShards(s FallbackShards) { g.fallback = s }
 
 // SetExpectedWait notes how long a new job would wait in a shard.
-func (g *Gateway) SetExpectedWait(shard int, d time.Duration) { g.waits[shard] = d }
+func (g *Gateway) SetExpectedWait(shard int, d time.Duration) { g.expectedWaits[shard] = d }
 
 // ExpectedWait is how long a new job would wait in a shard, by the last word; 0 if there was
 // none.
-func (g *Gateway) ExpectedWait(shard int) time.Duration { return g.waits[shard] }
+func (g *Gateway) ExpectedWait(shard int) time.Duration { return g.expectedWaits[shard] }
 
 // HasReachableScheduler reports whether a new job finds a scheduler: that of its home, or any
 // that takes jobs of other shards.
 func (g *Gateway) HasReachableScheduler() bool {
-	for _, s := range append(slices.Clone(g.others.SameCell), g.others.OtherCells...) {
-		if g.led(s) {
+	for _, s := range append(slices.Clone(g.fallback.SameCell), g.fallback.OtherCells...) {
+		if g.hasReachableLeader(s) {
 			return true
 		}
 	}
 	return false
 }
 
-func (g *Gateway) led(shard int) bool {
+func (g *Gateway) hasReachableLeader(shard int) bool {
 	c := g.choices[shard]
 	return c.Leader != "" && c.Reachable
 }
@@ -193,12 +193,12 @@
 	if h := g.jobs[job.ID]; h != nil {
 		h.requests = append(h.requests, request)
 		h.deadline = max(h.deadline, now+patience)
-		g.byReq[request] = job.ID
+		g.byRequest[request] = job.ID
 		return
 	}
-	h := &inHand{job: job, shard: shard, home: shard, arrived: now, due: now + job.Objective, deadline: now + patience, requests: []uint64{request}}
+	h := &inFlightJob{job: job, shard: shard, home: shard, arrived: now, due: now + job.Objective, deadline: now + patience, requests: []uint64{request}}
 	g.jobs[job.ID] = h
-	g.byReq[request] = job.ID
+	g.byRequest[request] = job.ID
 	g.handIn(h)
 	if c := g.choices[shard]; h.scheduler == "" && c.Leader != "" && !c.Reachable {
 		g.giveUp(h, "the scheduler can't be reached")
@@ -208,11 +208,11 @@
 // CallerLeft notes that a caller has gone.
 func (g *Gateway) CallerLeft(now Time, request uint64) {
 	g.now = now
-	id, ok := g.byReq[request]
+	id, ok := g.byRequest[request]
 	if !ok {
 		return
 	}
-	delete(g.byReq, request)
+	delete(g.byRequest, request)
 	h := g.jobs[id]
 	for i, r := range h.requests {
 		if r == request {
@@ -237,10 +237,10 @@
 		return
 	}
 	g.choices[shard] = c
-	for _, h := range g.inOrder() {
+	for _, h := range g.sortedJobs() {
 		if h.shard == shard && h.scheduler != "" && h.scheduler != c.Leader {
 			g.out = append(g.out, Drop{At: now, To: h.scheduler, Shard: h.shard, Job: h.job.ID, HandedOver: true})
-			g.takeBack(h)
+			g.withdraw(h)
 		}
 		if h.scheduler == "" {
 			g.handIn(h)
@@ -252,60 +252,60 @@
 // heard.
 func (g *Gateway) Reconnected(now Time, id leader.ID) {
 	g.now = now
-	for _, h := range g.inOrder() {
+	for _, h := range g.sortedJobs() {
 		if h.scheduler == id {
-			g.takeBack(h)
+			g.withdraw(h)
 			g.handIn(h)
 		}
 	}
 }
 
-// takeBack marks a job as being with no scheduler.
-func (g *Gateway) takeBack(h *inHand) {
+// withdraw marks a job as being with no scheduler.
+func (g *Gateway) withdraw(h *inFlightJob) {
 	h.scheduler = ""
 	h.handed++
-	h.unknownUntil = g.now + unknownLife
+	h.uncertainUntil = g.now + orphanRunLifetime
 }
 
-// pick is the shard that a job goes to. While something may run of it that an
+// chooseShard is the shard that a job goes to. While something may run of it that an
 // earlier scheduler has started, that is the shard it was in: only the runners of
 // that one list it.
-func (g *Gateway) pick(h *inHand) (int, bool) {
-	if h.handed > 0 && g.now < h.unknownUntil || h.job.Stored {
-		return h.shard, g.led(h.shard)
+func (g *Gateway) chooseShard(h *inFlightJob) (int, bool) {
+	if h.handed > 0 && g.now < h.uncertainUntil || h.job.Stored {
+		return h.shard, g.hasReachableLeader(h.shard)
 	}
-	if g.led(h.home) {
+	if g.hasReachableLeader(h.home) {
 		return h.home, true
 	}
-	if s, ok := g.shortest(h, g.others.SameCell); ok {
+	if s, ok := g.shortestWait(h, g.fallback.SameCell); ok {
 		return s, true
 	}
-	return g.shortest(h, g.others.OtherCells)
+	return g.shortestWait(h, g.fallback.OtherCells)
 }
 
-// shortest is the shard of some in which a job would wait least. Jobs with the same
+// shortestWait is the shard of some in which a job would wait least. Jobs with the same
 // wait everywhere spread over all.
-func (g *Gateway) shortest(h *inHand, shards []int) (int, bool) {
+func (g *Gateway) shortestWait(h *inFlightJob, shards []int) (int, bool) {
 	best, found := 0, false
 	for i := range shards {
 		s := shards[(h.home+i)%len(shards)]
-		if !g.led(s) || slices.Contains(h.refused, s) {
+		if !g.hasReachableLeader(s) || slices.Contains(h.refusedBy, s) {
 			continue
 		}
-		if !found || g.waits[s] < g.waits[best] {
+		if !found || g.expectedWaits[s] < g.expectedWaits[best] {
 			best, found = s, true
 		}
 	}
 	return best, found
 }
 
-func (g *Gateway) handIn(h *inHand) {
-	if shard, ok := g.pick(h); ok {
+func (g *Gateway) handIn(h *inFlightJob) {
+	if shard, ok := g.chooseShard(h); ok {
 		g.handTo(h, shard)
 	}
 }
 
-func (g *Gateway) handTo(h *inHand, shard int) {
+func (g *Gateway) handTo(h *inFlightJob, shard int) {
 	h.shard = shard
 	h.scheduler = g.choices[shard].Leader
 	g.out = append(g.out, HandIn{
@@ -313,12 +313,12 @@
 		To:       h.scheduler,
 		Shard:    shard,
 		Home:     h.home,
-		Wait:     g.waits[shard],
+		Wait:     g.expectedWaits[shard],
 		Job:      h.job,
 		Due:      h.due - g.now,
 		Patience: h.deadline - g.now,
 		Handed:   h.handed,
-		Unknown:  max(0, h.unknownUntil-g.now),
+		Unknown:  max(0, h.uncertainUntil-g.now),
 		Domain:   g.domain,
 	})
 }
@@ -332,25 +332,25 @@
 	if h == nil || h.scheduler != v.From && v.Outcome != workload.Completed && v.Outcome != workload.Accepted {
 		return
 	}
-	if v.NoRoom && g.elsewhere(h) {
-		h.doubtful = v.Outcome != workload.NotRun
+	if v.NoRoom && g.redirect(h) {
+		h.mayHaveRun = v.Outcome != workload.NotRun
 		return
 	}
-	if v.Outcome == workload.NotRun && (h.handed > 0 || h.doubtful) {
+	if v.Outcome == workload.NotRun && (h.handed > 0 || h.mayHaveRun) {
 		v.Outcome = workload.GaveUp
 	}
 	g.reply(h, v)
 }
 
-// elsewhere hands a job that was refused for want of room to a shard in which
+// redirect hands a job that was refused for want of room to a shard in which
 // nothing waits. It isn't handed on twice: by then others are short of room too.
-func (g *Gateway) elsewhere(h *inHand) bool {
-	if len(h.refused) > 0 || h.handed > 0 || h.job.Stored {
+func (g *Gateway) redirect(h *inFlightJob) bool {
+	if len(h.refusedBy) > 0 || h.handed > 0 || h.job.Stored {
 		return false
 	}
-	h.refused = append(h.refused, h.shard)
-	for _, shards := range [][]int{g.others.SameCell, g.others.OtherCells} {
-		if s, ok := g.shortest(h, shards); ok && g.waits[s] == 0 {
+	h.refusedBy = append(h.refusedBy, h.shard)
+	for _, shards := range [][]int{g.fallback.SameCell, g.fallback.OtherCells} {
+		if s, ok := g.shortestWait(h, shards); ok && g.expectedWaits[s] == 0 {
 			g.handTo(h, s)
 			return true
 		}
@@ -358,10 +358,10 @@
 	return false
 }
 
-func (g *Gateway) reply(h *inHand, v Verdict) {
+func (g *Gateway) reply(h *inFlightJob, v Verdict) {
 	delete(g.jobs, h.job.ID)
 	for _, r := range h.requests {
-		delete(g.byReq, r)
+		delete(g.byRequest, r)
 		g.out = append(g.out, Reply{
 			Request:    r,
 			Job:        h.job,
@@ -378,32 +378,32 @@
 // GiveUp answers all callers, since the process ends.
 func (g *Gateway) GiveUp(now Time, reason string) {
 	g.now = now
-	for _, h := range g.inOrder() {
+	for _, h := range g.sortedJobs() {
 		g.giveUp(h, reason)
 	}
 }
 
 // giveUp answers the callers of a job that something may have run of, and tells
 // its scheduler, if it has one.
-func (g *Gateway) giveUp(h *inHand, reason string) {
+func (g *Gateway) giveUp(h *inFlightJob, reason string) {
 	if h.scheduler != "" {
 		g.out = append(g.out, Drop{At: g.now, To: h.scheduler, Shard: h.shard, Job: h.job.ID})
 	}
-	g.reply(h, Verdict{From: h.scheduler, Job: h.job.ID, Outcome: workload.GaveUp, RetryAfter: retryNoLeader, Reason: reason})
+	g.reply(h, Verdict{From: h.scheduler, Job: h.job.ID, Outcome: workload.GaveUp, RetryAfter: noLeaderRetryAfter, Reason: reason})
 }
 
 // Tick answers what nobody else will.
 func (g *Gateway) Tick(now Time) {
 	g.now = now
-	for _, h := range g.inOrder() {
+	for _, h := range g.sortedJobs() {
 		if h.scheduler == "" && now < h.deadline {
 			// What kept it with its shard may be over.
 			g.handIn(h)
 		}
 		switch {
-		case now > h.deadline+answerSlack:
+		case now > h.deadline+answerGrace:
 			g.giveUp(h, "no answer from the scheduler in time")
-		case h.scheduler == "" && now > h.arrived+leaderWait:
+		case h.scheduler == "" && now > h.arrived+noLeaderTimeout:
 			if h.handed > 0 && now < h.deadline {
 				continue
 			}
@@ -414,6 +414,6 @@
 	}
 }
 
-func (g *Gateway) inOrder() []*inHand {
-	return slices.SortedFunc(maps.Values(g.jobs), func(a, b *inHand) int { return cmp.Compare(a.job.ID, b.job.ID) })
+func (g *Gateway) sortedJobs() []*inFlightJob {
+	return slices.SortedFunc(maps.Values(g.jobs), func(a, b *inFlightJob) int { return cmp.Compare(a.job.ID, b.job.ID) })
 }
--- a/core/gateway/gateway_test.go
+++ b/core/gateway/gateway_test.go
@@ -13,8 +13,8 @@
 const ms = time.Millisecond
 
 var (
-	toA = leader.Choice{Leader: "a", Reachable: true}
-	toB = leader.Choice{Leader: "b", Reachable: true}
+	leaderA = leader.Choice{Leader: "a", Reachable: true}
+	leaderB = leader.Choice{Leader: "b", Reachable: true}
 )
 
 func testJob(id workload.JobID) *workload.Job {
@@ -42,7 +42,7 @@
 func TestOneAnswerForCopies(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.SetLeader(0, 0, toA)
+	w.SetLeader(0, 0, leaderA)
 	w.Submit(0, 1, 0, testJob("j"), time.Second)
 	w.Submit(10*ms, 2, 0, testJob("j"), time.Second)
 	g.Expect(handIns(w.Ready())).To(HaveLen(1))
@@ -56,17 +56,17 @@
 func TestNextScheduler(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.SetLeader(0, 0, toA)
+	w.SetLeader(0, 0, leaderA)
 	w.Submit(0, 1, 0, testJob("j"), 2*time.Second)
 	w.Ready()
-	w.SetLeader(100*ms, 0, toB)
+	w.SetLeader(100*ms, 0, leaderB)
 	out := w.Ready()
 	g.Expect(out).To(ContainElement(Drop{At: 100 * ms, To: "a", Job: "j", HandedOver: true}))
 	again := handIns(out)
 	g.Expect(again).To(HaveLen(1))
 	g.Expect(again[0].To).To(Equal(leader.ID("b")))
 	g.Expect(again[0].Handed).To(Equal(1))
-	g.Expect(again[0].Unknown).To(Equal(unknownLife))
+	g.Expect(again[0].Unknown).To(Equal(orphanRunLifetime))
 	g.Expect(again[0].Patience).To(Equal(1900 * ms))
 
 	w.HandleVerdict(200*ms, Verdict{From: "a", Job: "j", Outcome: workload.GaveUp})
@@ -80,9 +80,9 @@
 func TestRefusalAfterAHandover(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.SetLeader(0, 0, toA)
+	w.SetLeader(0, 0, leaderA)
 	w.Submit(0, 1, 0, testJob("j"), 2*time.Second)
-	w.SetLeader(100*ms, 0, toB)
+	w.SetLeader(100*ms, 0, leaderB)
 	w.Ready()
 	w.HandleVerdict(200*ms, Verdict{From: "b", Job: "j", Outcome: workload.NotRun})
 	r := replies(w.Ready())
@@ -96,12 +96,12 @@
 	g := NewWithT(t)
 	w := New()
 	w.Submit(0, 1, 0, testJob("j"), 2*time.Second)
-	w.Tick(leaderWait)
+	w.Tick(noLeaderTimeout)
 	g.Expect(replies(w.Ready())).To(BeEmpty())
-	w.Tick(leaderWait + ms)
+	w.Tick(noLeaderTimeout + ms)
 	r := replies(w.Ready())
 	g.Expect(r).To(HaveLen(1))
-	g.Expect(r[0].RetryAfter).To(Equal(retryNoLeader))
+	g.Expect(r[0].RetryAfter).To(Equal(noLeaderRetryAfter))
 	w.SetLeader(time.Second, 0, leader.Choice{Leader: "a"})
 	w.Submit(time.Second, 2, 0, testJob("k"), 2*time.Second)
 	g.Expect(replies(w.Ready())).To(HaveLen(1))
@@ -110,7 +110,7 @@
 func TestCallerLeaves(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.SetLeader(0, 0, toA)
+	w.SetLeader(0, 0, leaderA)
 	w.Submit(0, 1, 0, testJob("j"), time.Second)
 	w.Submit(0, 2, 0, testJob("j"), time.Second)
 	w.Ready()
@@ -124,10 +124,10 @@
 func TestNoWord(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.SetLeader(0, 0, toA)
+	w.SetLeader(0, 0, leaderA)
 	w.Submit(0, 1, 0, testJob("j"), time.Second)
 	w.Ready()
-	w.Tick(time.Second + answerSlack + ms)
+	w.Tick(time.Second + answerGrace + ms)
 	r := replies(w.Ready())
 	g.Expect(r).To(HaveLen(1))
 	g.Expect(r[0].Outcome).To(Equal(workload.GaveUp))
@@ -136,7 +136,7 @@
 func TestEndOfTheProcess(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.SetLeader(0, 0, toA)
+	w.SetLeader(0, 0, leaderA)
 	w.Submit(0, 1, 0, testJob("j"), time.Second)
 	w.Ready()
 	w.GiveUp(10*ms, "the process ends")
--- a/core/layout/layout.go
+++ b/core/layout/layout.go
@@ -1,10 +1,9 @@
-// Package layout divides the runners of a deployment among schedulers.
+// Package layout divides the runners of a deployment into shards, one per scheduler.
 //
-// A shard is the part of the runners that one scheduler takes care of. Where each
-// failure domain has room for jobs by itself, its runners have shards of their
-// own: the domain is a cell, whose schedulers, runners and callers are near each
-// other, and a cut between domains changes no leader. Smaller domains are pooled,
-// since a wide job finds no room in a few runners.
+// Where each failure domain has enough runners for jobs on its own, its runners form shards
+// of their own. The domain is then a cell: its schedulers, runners and callers are close to
+// each other, and a network partition between domains changes no leader. Smaller domains are
+// pooled, because a wide job doesn't fit on a few runners.
 package layout
 
 import (
@@ -18,40 +17,40 @@
 )
 
 const (
-	// maxRunnersPerShard is the most runners that one scheduler takes care of. Fewer would
-	// leave too little room for jobs of 32 tasks, and more would be lost with it.
+	// maxRunnersPerShard limits the runners of one scheduler. Fewer would leave too little
+	// room for jobs of 32 tasks; more would be lost together with their scheduler.
 	maxRunnersPerShard = 60
-	// runnersPerCore and runnersPerMbps are what a VM can take care of at full load, by
-	// its processor and its link, half of which must stay free for other things than
-	// lists, renewals and starts. A VM that sends more than its link carries falls
-	// silent, its successor takes over the same load and falls silent as well.
+	// runnersPerCore and runnersPerMbps are the runners that a VM can schedule for at full
+	// load, per core and per Mbit/s of its link. Half of either stays free for work other than
+	// runner lists, lease renewals and starts. A VM that sends more than its link carries
+	// appears lost, and its successor takes over the same load and appears lost in turn.
 	runnersPerCore = 180
 	runnersPerMbps = 10
-	// minRunnersPerShard is the least number in a shard, however small the VMs.
+	// minRunnersPerShard applies however small the VMs are.
 	minRunnersPerShard = 12
-	// minCellRunners is the least number of a service's runners that a failure domain
-	// needs to be a cell: three shards, so that the loss of a scheduler leaves two
-	// thirds of the domain's room in use, and ten times the room of a job of 32
-	// tasks.
+	// minCellRunners is the number of runners of each service that every failure domain
+	// needs for domains to be cells. It makes three shards, so that the loss of a scheduler
+	// leaves two thirds of the domain's runners in use, and ten times the runners of a job of
+	// 32 tasks.
 	minCellRunners = 3 * maxRunnersPerShard
 )
 
-// Layout is how the runners are divided: the cell of each shard, by the shard's
-// index. "" is the cell of pooled runners. It is set once for a deployment.
+// Layout is the cell of each shard, by the shard's index. "" is the cell of pooled runners.
+// It is set once for a deployment.
 type Layout []string
 
-// Pooled is a layout without cells.
+// Pooled returns a layout without cells.
 func Pooled(shards int) Layout { return make(Layout, shards) }
 
-// VM is what a VM that schedules has; 0 is unknown.
+// VM is the capacity of the VMs that schedule; 0 is unknown.
 type VM struct {
-	// MilliCPU is its processor, in thousandths of a core.
+	// MilliCPU is the CPU capacity, in thousandths of a core.
 	MilliCPU int
-	// LinkMbps is the bandwidth of its link, in Mbit a second.
+	// LinkMbps is the bandwidth of the link, in Mbit/s.
 	LinkMbps float64
 }
 
-// maxRunners is the number of runners that such a VM can take care of.
+// maxRunners is the number of runners that a scheduler on such a VM can be in charge of.
 func (v VM) maxRunners() int {
 	limit := maxRunnersPerShard
 	if v.MilliCPU > 0 {
@@ -63,7 +62,7 @@
 	return max(limit, minRunnersPerShard)
 }
 
-// For is the layout that suits a list of runners and the VMs that schedule.
+// For returns the layout for a list of runners and the VMs that schedule.
 func For(runners []workload.Runner, vm VM) Layout {
 	domains := make(map[string]int)
 	services := make(map[string]map[string]int)
@@ -86,8 +85,8 @@
 	return l
 }
 
-// selfSufficient reports whether each failure domain has enough runners of each
-// service. One that lacked a service would refuse the callers of that service.
+// selfSufficient reports whether each failure domain has enough runners of each service. As
+// a cell, a domain without a service would refuse the callers of that service.
 func selfSufficient(domains map[string]int, services map[string]map[string]int) bool {
 	for d := range domains {
 		for _, counts := range services {
@@ -104,14 +103,14 @@
 	return max(1, (runners+perShard-1)/perShard)
 }
 
-// HasCells reports whether there are cells.
+// HasCells reports whether the layout has cells.
 func (l Layout) HasCells() bool { return len(l) > 0 && l[0] != "" }
 
-// Cells lists the cells in the order of their names.
+// Cells lists the cells, ordered by name.
 func (l Layout) Cells() []string { return slices.Compact(slices.Sorted(slices.Values(l))) }
 
-// Cell is the cell of a failure domain. A domain without one, as it has no
-// runners, belongs to that of another domain.
+// Cell is the cell of a failure domain. A domain without runners has no cell of its own and
+// belongs to that of another domain.
 func (l Layout) Cell(domain string) string {
 	if !l.HasCells() {
 		return ""
@@ -138,13 +137,12 @@
 	return l.shardByHash(string(id), l.Cell(domain))
 }
 
-// JobShard is the shard of a job that is handed in from a cell. It follows from the
-// job's id, so that a copy of the job that another entry VM of the cell takes
-// comes to the same scheduler.
+// JobShard is the shard of a job that is submitted in a cell. It depends on the job's ID, so
+// that a copy of the job at another entry VM of the cell reaches the same scheduler.
 func (l Layout) JobShard(id workload.JobID, cell string) int { return l.shardByHash(string(id), cell) }
 
-// StoredJobShard is the shard of a stored job. It is the same wherever the job comes
-// from, since only the owner of the shard's rows may say what became of it.
+// StoredJobShard is the shard of a stored job. It is the same wherever the job is submitted,
+// since only the owner of the shard's rows knows the job's state.
 func (l Layout) StoredJobShard(id workload.JobID) int { return int(hash(string(id)) % uint64(len(l))) }
 
 func (l Layout) shardByHash(name, cell string) int {
--- a/core/layout/layout_test.go
+++ b/core/layout/layout_test.go
@@ -17,8 +17,8 @@
 	return list
 }
 
-// Domains of a few runners are pooled: a job of 32 tasks would find no room in one
-// of them. Those with hundreds have shards of their own.
+// Domains with few runners are pooled: a job of 32 tasks wouldn't fit into one of them. Those
+// with hundreds have shards of their own.
 func TestLargeDomainsAreCells(t *testing.T) {
 	g := NewWithT(t)
 	var small, large []workload.Runner
@@ -28,12 +28,12 @@
 	}
 	g.Expect(For(small, VM{})).To(Equal(Pooled(6)))
 	g.Expect(For(large, VM{})).To(Equal(Layout{"a", "a", "a", "a", "b", "b", "b", "b", "c", "c", "c", "c"}))
-	g.Expect(For(runners("labels", "a", 700), VM{})).To(Equal(Pooled(12)), "nothing to divide by")
+	g.Expect(For(runners("labels", "a", 700), VM{})).To(Equal(Pooled(12)), "only one domain")
 	g.Expect(For(nil, VM{})).To(Equal(Pooled(1)))
 }
 
-// One of two services has runners in one domain only. If domains were cells, the
-// callers of that service in all others would be refused.
+// One of two services has runners in one domain only. If domains were cells, the callers of
+// that service in all other domains would be refused.
 func TestNoCellsIfADomainLacksAService(t *testing.T) {
 	g := NewWithT(t)
 	list := append(runners("labels", "a", 300), runners("labels", "b", 300)...)
@@ -41,8 +41,8 @@
 	g.Expect(For(append(list, runners("maps", "a", 300)...), VM{}).HasCells()).To(BeFalse())
 }
 
-// Jobs and runners of a domain come to shards of its cell, and copies of a job that
-// is kept in the store to one shard wherever they come from.
+// Jobs and runners of a domain belong to shards of its cell, and copies of a stored job to
+// one shard wherever they are submitted.
 func TestShardsOfACell(t *testing.T) {
 	g := NewWithT(t)
 	l := Layout{"a", "a", "b", "b"}
@@ -59,8 +59,8 @@
 	g.Expect(Pooled(2).Cell("b")).To(BeEmpty())
 }
 
-// The VMs have narrow links, or little processor. A scheduler that sends more than
-// its link carries falls silent; so each takes care of fewer runners.
+// The VMs have narrow links or little CPU. A scheduler that sends more than its link carries
+// appears lost, so each is in charge of fewer runners.
 func TestShardsFitTheVMs(t *testing.T) {
 	g := NewWithT(t)
 	list := runners("labels", "a", 120)
--- a/core/leader/share.go
+++ b/core/leader/distribute.go
@@ -2,10 +2,10 @@
 
 import "sapphirepoint.example/sapphirepoint/core/rendezvous"
 
-// distribute divides shards among processes: each goes to the one that scores highest
-// for it of those that haven't an equal distribute yet. Without that bound one of six
-// would often have two shards of three, and fall behind. Where the shards can't be
-// divided equally some processes have one more, and none has two more.
+// distribute assigns each shard to the process with the highest score for it among those
+// below an equal share. Without that bound one of six processes would often lead two of three
+// shards, and fall behind. If the shards can't be divided equally, some processes have one
+// more than others, and none has two more.
 func distribute(processes []ID, shards []int) map[int]ID {
 	minimum, extra := len(shards)/len(processes), len(shards)%len(processes)
 	counts := make(map[ID]int, len(processes))
--- a/core/leader/leader.go
+++ b/core/leader/leader.go
@@ -1,20 +1,20 @@
-// Package leader decides which entry process schedules, from what each process
-// hears of the others. No store is asked and no vote is held.
+// Package leader elects the entry process that schedules a shard, from the heartbeats that
+// each process receives. It uses neither a store nor a vote.
 //
-// Two processes may both think that they lead. That costs time and harms
-// nothing: runners obey only the highest fencing token that they have seen, so
-// the choice of a leader is about speed, not about safety.
+// Two processes may both consider themselves leader. That costs time but is safe: runners
+// obey only the highest fencing token that they have seen, so leader election affects speed
+// and not safety.
 //
-// The oldest process leads, of those with the most processor. It stays so for as
-// long as it lives, also when a cut that had hidden it heals, so a leader doesn't
-// change without need. One that was frozen is demoted: it would come back as the
-// oldest just to be slow again.
+// The oldest of the processes with the most CPU leads. It remains leader for as long as it
+// lives, and is leader again when a network partition that had hidden it heals, so that
+// leadership doesn't change without need. A process that was frozen while it led is demoted:
+// by age alone it would take the lead back, and freeze again.
 //
-// A large deployment is divided into shards, each with a leader of its own. There
-// a shard's leader is found by rendezvous hashing in place of age, so that shards
-// spread over the processes and only those of a lost one move. The shards of a
-// cell are led by processes of the cell alone: a cut between cells changes nothing,
-// and what the choice costs doesn't grow with their number.
+// A large deployment is divided into shards, each with its own leader. With several shards
+// in a cell, leaders are assigned by rendezvous hashing instead of age: the shards spread
+// over the processes, and only those of a lost process move. The shards of a cell are led by
+// processes of that cell only: a partition between cells changes no leader, and the cost of
+// the election doesn't grow with the number of cells.
 package leader
 
 import (
@@ -29,54 +29,53 @@
 // Time is a reading of the process's monotonic clock.
 type Time = task.Time
 
-// ID names one lifetime of an entry process.
+// ID identifies one incarnation of an entry process.
 type ID string
 
 const (
-	// HeartbeatInterval is how often processes tell each other that they live.
-	// Heartbeats are most of what an idle process spends.
+	// HeartbeatInterval is the time between heartbeats to each connected process.
+	// Heartbeats are most of what an idle process sends.
 	HeartbeatInterval = 150 * time.Millisecond
-	// HeartbeatTimeout is how long a process may be silent before it is taken for
-	// lost: three heartbeats. A lost datagram is sent again within some tens of
-	// milliseconds, so what this bears is a pause of a process for two.
+	// HeartbeatTimeout is the silence after which a process is considered lost: three
+	// heartbeats. A lost datagram is retransmitted within some tens of milliseconds, so
+	// this tolerates a pause of two heartbeat intervals.
 	HeartbeatTimeout = 450 * time.Millisecond
-	// settlePeriod is how long a new process listens before it may lead, from when it
-	// knows which others there are: it connects with them in some 50 ms, or 80 if
-	// all start at once. It needn't wait for anybody once all have told it that
-	// they could lead too.
+	// settlePeriod is how long a new process listens before it may lead, counted from when
+	// it knows which other processes exist. Connecting with them takes about 50 ms, or 80 ms
+	// if all start at once. The wait is skipped once all have reported that they can lead.
 	settlePeriod = 150 * time.Millisecond
-	// maxSettlePeriod is how long it waits to learn which others there are, and for older
-	// ones that refuse its connections, as they haven't read of it yet. Leading
-	// meanwhile, it would take the runners of a scheduler that it doesn't hear, and
-	// hold up its jobs.
+	// maxSettlePeriod is how long a new process waits to learn which other processes exist,
+	// and for older processes that refuse its connections because they haven't read its
+	// registration yet. If it led during that time, it would take the runners of a scheduler
+	// that it has no connection with, and delay that scheduler's jobs.
 	maxSettlePeriod = 2 * time.Second
-	// yieldTimeout is how long a leader goes on while the one that should lead
-	// hasn't said that it does.
+	// yieldTimeout is how long a leader continues while the process that should lead
+	// hasn't reported that it does.
 	yieldTimeout = 300 * time.Millisecond
-	// StallThreshold is the pause in a process's own work after which it counts
-	// itself as having been frozen. The others have missed it by then.
+	// StallThreshold is the pause between two ticks of a process after which it considers
+	// itself to have been frozen. By then the others have missed its heartbeats.
 	StallThreshold = 400 * time.Millisecond
 )
 
-// View is what one process knows of the others.
+// View is what one process knows of the other processes.
 type View struct {
-	self  ID
-	own   Report
+	self        ID
+	own         Report
 	listenSince Time
-	// layout has the cell of each shard, and shards are those of the own cell.
+	// layout has the cell of each shard; shards lists those of this process's cell.
 	layout layout.Layout
 	shards []int
-	// peersKnown: it knows which other processes there are; begin is from then on.
+	// peersKnown: the set of other processes is known; listenSince counts from then on.
 	peersKnown bool
-	// allVMsReachable: a process of each VM of the deployment is heard.
+	// allVMsReachable: heartbeats arrive from a process of each VM of the deployment.
 	allVMsReachable bool
-	// olderPeerPending: an older process is there that could lead and hasn't told of itself.
+	// olderPeerPending: an older process exists that could lead and hasn't reported yet.
 	olderPeerPending bool
-	// yieldSince is when this process, leading a shard, began to wait for
-	// another.
+	// yieldSince is, by shard, when this process as leader began to wait for another
+	// process to take over; 0 if it doesn't.
 	yieldSince []Time
 	peers      map[ID]*peer
-	// claimants are the processes that say that they lead a shard.
+	// claimants are, by shard, the processes that report that they lead it.
 	claimants map[int][]ID
 }
 
@@ -85,22 +84,22 @@
 	return &View{self: self, listenSince: now, peers: make(map[ID]*peer), claimants: make(map[int][]ID)}
 }
 
-// Register sets the identity that the process has got; it settles from now on.
+// Register sets the identity that registration assigned, and restarts the settle period.
 func (v *View) Register(now Time, self ID, number uint64) {
 	v.self = self
 	v.own.Number = number
 	v.listenSince = now
 }
 
-// Self is the process's own identity.
+// Self is the process's own ID.
 func (v *View) Self() ID { return v.self }
 
-// SetMilliCPU says how much processor the VM has, in thousandths of a core.
+// SetMilliCPU sets the CPU capacity of the VM, in thousandths of a core.
 func (v *View) SetMilliCPU(milliCPU int) { v.own.MilliCPU = milliCPU }
 
-// SetLayout says how the runners are divided, and to which cell the process
-// belongs. One that has listened for long does so again: nobody could lead until
-// now, and if each led what it learns of at once, all would lead everything.
+// SetLayout sets the cells of the shards and the cell of this process. A process whose settle
+// period has passed begins a new one: nobody could lead before the layout was known, and
+// without the wait every process would lead all shards at once.
 func (v *View) SetLayout(now Time, l layout.Layout, cell string) {
 	v.layout = l
 	v.own.Cell = cell
@@ -112,24 +111,24 @@
 	}
 }
 
-// SetAble says whether the process could schedule, and if so whether it leaves
-// that to others.
+// SetAble sets whether the process is able to schedule, and if so whether it is only a
+// standby for better placed processes.
 func (v *View) SetAble(able, standby bool) {
 	able = able && v.own.Number > 0
 	v.own.Able, v.own.Standby = able && !standby, able && standby
 }
 
-// CanSchedule reports whether this process knows what it needs to schedule.
+// CanSchedule reports whether the process is able to schedule, as a candidate or a standby.
 func (v *View) CanSchedule() bool { return v.own.Able || v.own.Standby }
 
-// PeersDiscovered notes that the process knows which others there are.
+// PeersDiscovered records that the set of other processes is known.
 func (v *View) PeersDiscovered(now Time) {
 	if !v.peersKnown {
 		v.peersKnown, v.listenSince = true, now
 	}
 }
 
-// settled reports whether the process has listened for long enough to lead.
+// settled reports whether the settle period is over.
 func (v *View) settled(now Time) bool {
 	wait := settlePeriod
 	if !v.peersKnown || v.olderPeerPending {
@@ -138,32 +137,34 @@
 	return now-v.listenSince >= wait || v.allReported()
 }
 
-// SetOlderPeerPending says whether an older process that could lead is there and hasn't told
-// anything of itself yet.
+// SetOlderPeerPending sets whether an older process that could lead exists and hasn't
+// reported yet.
 func (v *View) SetOlderPeerPending(pending bool) { v.olderPeerPending = pending }
 
-// SetAllVMsReachable says whether a process of each VM is heard.
+// SetAllVMsReachable sets whether heartbeats arrive from a process of each VM.
 func (v *View) SetAllVMsReachable(allVMsReachable bool) { v.allVMsReachable = allVMsReachable }
 
-// SetStoreStatus says whether the process leads in need of the store, and whether it
-// reaches it.
+// SetStoreStatus sets whether the process leads, needs the store and can't reach it
+// (trouble), and whether it was asked to probe the store and reaches it.
 func (v *View) SetStoreStatus(trouble, reached bool) {
 	v.own.StoreTrouble, v.own.StoreReached = trouble, reached
 }
 
-// SetStoreLost says whether another process should lead that reaches the store.
+// SetStoreLost sets whether the process was asked to probe the store and can't reach it, so
+// that a process that does reach it should lead instead.
 func (v *View) SetStoreLost(lost bool) { v.own.StoreLost = lost }
 
-// Demote ranks the process behind those that weren't demoted as often, so that
-// it doesn't take the lead back.
+// Demote ranks the process behind those with fewer demotions, so that it doesn't take the
+// lead back.
 func (v *View) Demote() { v.own.Demotions++ }
 
-// RecordStarvation ranks the process behind those of its kind that weren't slow as often.
+// RecordStarvation counts a CPU starvation. It ranks the process behind those of similar CPU
+// capacity with fewer.
 func (v *View) RecordStarvation() { v.own.Starvations++ }
 
-// HasIdleSuccessor reports whether another process could take over what this one leads: one
-// as good that leads nothing. Handed to one that leads as well, the load would
-// strain that one, and so on until none is left that can bear it.
+// HasIdleSuccessor reports whether another process ranks at least as high, apart from
+// starvations, and leads nothing. A handover to a process that already leads would starve
+// that one in turn, and so on through all candidates.
 func (v *View) HasIdleSuccessor(now Time) bool {
 	for id, p := range v.peers {
 		if !p.report.Able || p.report.Cell != v.own.Cell || now-p.lastContact > HeartbeatTimeout || p.report.leads(id) {
@@ -178,12 +179,12 @@
 	return false
 }
 
-// SetStopping says that the process is about to end.
+// SetStopping records that the process is about to end.
 func (v *View) SetStopping() { v.own.Stopping = true }
 
-// RecordStall tells that the process itself stood still for a while. What it knows
-// of the others is as old as the pause, so it counts none of them as lost and
-// listens again before it may lead. If it led, it is demoted.
+// RecordStall records that the process itself stood still for a while. Its data about the
+// others is as old as the pause, so none is counted as lost, and a new settle period begins.
+// A leader is demoted.
 func (v *View) RecordStall(now Time, leading bool) {
 	if leading {
 		v.own.Demotions++
@@ -194,24 +195,25 @@
 	}
 }
 
-// Choice is whom to follow.
+// Choice is the leader that a process follows.
 type Choice struct {
 	// Leader is "" if there is none.
 	Leader ID
-	// Reachable is false if others follow the leader, but it isn't heard here.
+	// Reachable is false if other processes follow the leader, but this one has no
+	// contact with it.
 	Reachable bool
 }
 
-// Choose returns whom this process follows in a shard; leading says that it
-// leads it now.
+// Choose returns the leader that this process follows in a shard; leading tells whether this
+// process leads the shard now.
 //
-// The first in rank among those that are heard should lead. Until it says that
-// it does, whoever leads goes on, for a short while: at a planned stop, and as
-// a cut heals and connections come back one by one, there would else be moments
-// with no leader or the wrong one.
+// The reachable candidate that ranks first should lead. Until it reports that it does, the
+// present leader continues for up to yieldTimeout. Otherwise there would be moments without
+// a leader, or with the wrong one, at a planned stop and while connections come back one by
+// one after a network partition.
 //
-// A shard of another cell isn't this process's to lead. It follows whoever says
-// there that it does.
+// In a shard of another cell, this process never leads. It follows the process that reports
+// that it does.
 func (v *View) Choose(now Time, shard int, leading bool) Choice {
 	leader := v.claimingLeader(now, shard)
 	if v.layout[shard] != v.own.Cell {
@@ -232,16 +234,16 @@
 		return v.yield(now, shard, true, Choice{Leader: preferred, Reachable: true})
 	}
 	v.yieldSince[shard] = 0
-	// A process that should lead and doesn't say so may not know it yet; a job
-	// handed to it would only wait there.
+	// A process that should lead and doesn't report it may not know it yet; a job
+	// handed in there would only wait.
 	return Choice{Leader: leader, Reachable: leader != ""}
 }
 
-// Yields reports whether this process, leading a shard, waits for another one to
-// do so.
+// Yields reports whether this process leads a shard and waits for another process to take
+// it over.
 func (v *View) Yields(shard int) bool { return v.yieldSince[shard] > 0 }
 
-// yield makes a process that leads go on for a while before it follows another.
+// yield lets a leader continue for up to yieldTimeout before it follows another process.
 func (v *View) yield(now Time, shard int, leading bool, other Choice) Choice {
 	if !leading {
 		return other
@@ -255,7 +257,7 @@
 	return Choice{Leader: v.self, Reachable: true}
 }
 
-// preferred is the process that should lead a shard of the own cell; "" if none can.
+// preferred is the process that should lead a shard of this cell; "" if none can.
 func (v *View) preferred(now Time, shard int) ID {
 	candidates := v.candidates(now)
 	if len(candidates) == 0 {
@@ -267,8 +269,8 @@
 	return distribute(candidates, v.shards)[shard]
 }
 
-// candidates lists the processes of the cell that may lead and that none other ranks
-// before, but for age, in the order of their ids.
+// candidates lists the processes of the cell that may lead and that no other process
+// precedes by class, ordered by ID.
 func (v *View) candidates(now Time) []ID {
 	var able []ID
 	if v.own.Able && v.settled(now) {
@@ -285,12 +287,12 @@
 	})
 }
 
-// allReported reports whether each VM of the deployment has a process that has said
-// that it could lead, since this one began to listen. Then who should is known:
-// nobody older is still to come.
+// allReported reports whether each VM has a process that has reported, since the settle
+// period began, that it can lead or stand by. Then the leader can be chosen at once, since no
+// older process is still to be heard from.
 //
-// What was said before a pause of this process doesn't count. It would lead again
-// as it wakes, with jobs in its queue that have long been handed to another one.
+// Reports from before a pause of this process don't count. With them it would lead again as
+// it wakes up, with jobs in its queue that have long been handed to another scheduler.
 func (v *View) allReported() bool {
 	if !v.allVMsReachable {
 		return false
@@ -306,8 +308,8 @@
 	return true
 }
 
-// claimingLeader is the first in rank of the other processes that say that they
-// lead a shard.
+// claimingLeader is the highest ranking of the other processes that report that they lead
+// a shard.
 func (v *View) claimingLeader(now Time, shard int) ID {
 	best := ID("")
 	for _, id := range v.claimants[shard] {
@@ -318,9 +320,9 @@
 	return best
 }
 
-// leaderFollowedByPeers finds a leader that isn't heard here but that a process
-// heard here follows. If this process led beside it, the two would take the
-// runners from each other by turns.
+// leaderFollowedByPeers finds a leader that this process has no contact with but that a
+// reachable process follows. If this process led at the same time, the two would take the
+// runners from each other in turns.
 func (v *View) leaderFollowedByPeers(now Time, shard int) ID {
 	found := ID("")
 	for id, p := range v.peers {
@@ -335,8 +337,8 @@
 	return found
 }
 
-// ranksBefore ranks two processes for a shard: by class, then by age, or with several
-// shards by score.
+// ranksBefore ranks two processes for a shard: by class, then by age, or by rendezvous score
+// where a cell has several shards.
 func (v *View) ranksBefore(x, y ID, shard int) bool {
 	if c := v.compareByClass(x, y); c != 0 {
 		return c < 0
@@ -347,7 +349,7 @@
 	return v.reportOf(x).Number < v.reportOf(y).Number
 }
 
-// compareByClass compares two processes by what counts before age; see compareClass.
+// compareByClass compares two processes by the criteria that precede age; see compareClass.
 func (v *View) compareByClass(x, y ID) int {
 	return compareClass(v.reportOf(x), v.reportOf(y))
 }
@@ -359,8 +361,8 @@
 	return &v.peers[id].report
 }
 
-// OwnReport is the report to send, given whom the process follows in each shard. It tells
-// of the shards of its own cell.
+// OwnReport is the report to send, given the leader that the process follows in each shard.
+// It covers only the shards of this process's cell.
 func (v *View) OwnReport(now Time, choices []Choice) Report {
 	r := v.own
 	r.Follows = make([]Follow, len(choices))
--- a/core/leader/leader_test.go
+++ b/core/leader/leader_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// settledView returns that of process b, number 2, after it has settled.
+// settledView returns the view of process b, number 2, after the settle period.
 func settledView() (*View, Time) {
 	v := unsettledView()
 	v.PeersDiscovered(0)
@@ -19,7 +19,7 @@
 }
 
 // unsettledView returns the view of process b, number 2, that has just registered and
-// doesn't know yet which others there are.
+// doesn't know yet which other processes exist.
 func unsettledView() *View {
 	v := NewView("", 0)
 	v.Register(0, "b", 2)
@@ -46,9 +46,9 @@
 	g.Expect(choose(v, now, false).Leader).To(Equal(ID("a")))
 }
 
-// A process has just started. The older ones connect within moments; if it led
-// until then, every restart would change the leader twice.
-func TestNewProcessListensFirst(t *testing.T) {
+// Guards against a process that leads before the older ones have connected, a moment after
+// its start: every restart would change the leader twice.
+func TestNewProcessSettlesFirst(t *testing.T) {
 	g := NewWithT(t)
 	v := unsettledView()
 	v.PeersDiscovered(0)
@@ -56,9 +56,9 @@
 	g.Expect(choose(v, settlePeriod, false).Leader).To(Equal(ID("b")))
 }
 
-// A process has just started beside a store in trouble, and doesn't know yet which
-// others there are. It leads nothing for as long: one of them may.
-func TestNewProcessFindsTheOthersFirst(t *testing.T) {
+// Guards against a process that starts while the store is in trouble and leads before it
+// knows which other processes exist: one of them may lead already.
+func TestNewProcessWaitsForPeerDiscovery(t *testing.T) {
 	g := NewWithT(t)
 	v := unsettledView()
 	g.Expect(choose(v, settlePeriod, false)).To(Equal(Choice{}))
@@ -70,14 +70,14 @@
 	g.Expect(choose(v, maxSettlePeriod, false).Leader).To(Equal(ID("b")), "somebody must")
 }
 
-// All processes of a deployment start at once, after a loss of power. As soon as
-// each has said that it could lead, the oldest does: callers wait for it.
-func TestLeadsAtOnceWhenAllAreHeard(t *testing.T) {
+// After a power loss all processes of a deployment start at once. As soon as each has
+// reported that it can lead, the oldest does so; callers wait for it.
+func TestLeadsAtOnceWhenAllHaveReported(t *testing.T) {
 	g := NewWithT(t)
 	v := unsettledView()
 	v.PeersDiscovered(0)
 	v.RecordContact(ms, "c", candidateReport(3, ""))
-	g.Expect(choose(v, 2*ms, false)).To(Equal(Choice{}), "others may be to come")
+	g.Expect(choose(v, 2*ms, false)).To(Equal(Choice{}), "others may still connect")
 	v.SetAllVMsReachable(true)
 	g.Expect(choose(v, 2*ms, false).Leader).To(Equal(ID("b")))
 	v.RecordContact(3*ms, "a", &Report{Number: 1})
@@ -86,9 +86,9 @@
 	g.Expect(choose(v, 6*ms, false).Leader).To(Equal(ID("a")))
 }
 
-// The leader was frozen, and wakes. It has heard all others, but before the pause:
-// another one leads by now.
-func TestAWokenProcessListensAgain(t *testing.T) {
+// Guards against a leader that was frozen and leads again when it wakes up: its reports of
+// all others date from before the pause, and another process leads by now.
+func TestProcessSettlesAgainAfterStall(t *testing.T) {
 	g := NewWithT(t)
 	v := unsettledView()
 	v.PeersDiscovered(0)
@@ -101,22 +101,21 @@
 	g.Expect(choose(v, 1001*ms, false).Leader).To(Equal(ID("c")))
 }
 
-// The oldest process has connected but doesn't know yet that it should lead. A
-// job handed to it would wait; and a leader that stopped now would leave a gap.
-func TestNobodyFollowsAProcessThatDoesntLeadYet(t *testing.T) {
+// The oldest process has connected but doesn't know yet that it should lead. A job handed in
+// there would wait, and if the present leader stopped now, there would be none.
+func TestNoneFollowsProcessThatDoesNotLeadYet(t *testing.T) {
 	g := NewWithT(t)
 	v, now := settledView()
 	v.RecordContact(now, "a", candidateReport(1, ""))
 	g.Expect(choose(v, now, false)).To(Equal(Choice{}))
-	g.Expect(choose(v, now, true).Leader).To(Equal(ID("b")), "it leads on until a does")
+	g.Expect(choose(v, now, true).Leader).To(Equal(ID("b")), "b continues until a leads")
 	v.RecordContact(now, "a", candidateReport(1, "a"))
 	g.Expect(choose(v, now, true).Leader).To(Equal(ID("a")))
 }
 
-// Only the link between this process and the leader is cut; the others follow
-// it. If this one led beside it, they would take the runners from each other by
-// turns.
-func TestLeaderThatOthersHear(t *testing.T) {
+// Only the link between this process and the leader is cut, and the others follow the leader.
+// If this process led too, the two would take the runners from each other in turns.
+func TestUnreachableLeaderFollowedByPeers(t *testing.T) {
 	g := NewWithT(t)
 	v, now := settledView()
 	v.RecordContact(now, "c", &Report{Number: 3, Able: true, Follows: []Follow{{"a", 50 * ms}}})
@@ -126,8 +125,8 @@
 	g.Expect(choose(v, later, false)).To(Equal(Choice{Leader: "b", Reachable: true}))
 }
 
-// The leader was frozen and wakes. What it knows of the others is old, and it
-// would come back as the oldest just to be slow again.
+// The leader was frozen and wakes up. Its data about the others is old, and by age alone it
+// would take the lead back, only to freeze again.
 func TestFrozenLeader(t *testing.T) {
 	g := NewWithT(t)
 	v, now := settledView()
@@ -141,8 +140,8 @@
 	g.Expect(choose(v, now+settlePeriod, false)).To(Equal(Choice{Leader: "c", Reachable: true}))
 }
 
-// The leader is about to be stopped as planned. It hands over while it still
-// works, and takes the lead back only if nobody else is there.
+// The leader is about to stop as planned. It hands over while it still works, and takes the
+// lead back only if no other process is there.
 func TestStoppingLeader(t *testing.T) {
 	g := NewWithT(t)
 	v, now := settledView()
@@ -155,7 +154,7 @@
 	g.Expect(choose(v, now, false).Leader).To(Equal(ID("b")))
 }
 
-func TestSilentProcesses(t *testing.T) {
+func TestSilentProcessesExpire(t *testing.T) {
 	g := NewWithT(t)
 	v, now := settledView()
 	v.RecordContact(now, "a", candidateReport(1, "a"))
@@ -164,8 +163,8 @@
 	g.Expect(choose(v, now+HeartbeatTimeout+ms, false).Leader).To(Equal(ID("b")))
 }
 
-// Entry VMs differ in size. The small ones answer for callers; a scheduler on
-// one of them would fall behind at the first burst.
+// Entry VMs differ in size. The small ones serve callers; a scheduler on one of them would
+// fall behind at the first burst.
 func TestLargeVMsLead(t *testing.T) {
 	g := NewWithT(t)
 	v, now := settledView()
@@ -176,8 +175,8 @@
 	g.Expect(choose(v, now, true)).To(Equal(Choice{Leader: "z", Reachable: true}))
 }
 
-// A large deployment has several shards. Each process has as many as the others,
-// and the loss of one leaves most of the others' where they are.
+// A large deployment has several shards. Each process leads as many as the others, and the
+// loss of one process moves few shards of the others.
 func TestShardsSpread(t *testing.T) {
 	g := NewWithT(t)
 	const shards = 12
@@ -212,9 +211,9 @@
 	}
 }
 
-// A failure domain is cut off, and its processes aren't heard. Nobody outside leads
-// its shards: they are led in there, and as the cut heals each side would take the
-// runners from the other.
+// A failure domain is cut off and its processes are unreachable. Processes of other cells
+// must not lead its shards: processes within the domain lead them, and when the partition
+// heals each side would take the runners from the other.
 func TestShardsOfOtherCellsAreFollowed(t *testing.T) {
 	g := NewWithT(t)
 	v := NewView("", 0)
@@ -229,13 +228,13 @@
 	g.Expect(v.Choose(time.Second, 1, false)).To(Equal(Choice{Leader: "w", Reachable: true}))
 	g.Expect(v.Choose(time.Second, 0, true).Leader).To(Equal(ID("b")), "though w is older")
 	own := v.OwnReport(time.Second, []Choice{{Leader: "b", Reachable: true}, {Leader: "w", Reachable: true}})
-	g.Expect(own.Follows).To(Equal([]Follow{{Leader: "b"}, {}}), "others hear of a cell from the cell")
+	g.Expect(own.Follows).To(Equal([]Follow{{Leader: "b"}, {}}), "only processes of a cell report its leaders")
 	g.Expect(v.ExpirePeers(3 * time.Second)).To(Equal([]ID{"w"}))
 	g.Expect(v.Choose(3*time.Second, 1, false)).To(Equal(Choice{}))
 }
 
-// Small VMs know all that it takes to lead and leave it to the large ones. A restart
-// of all needn't wait for them to say that they could.
+// Small VMs are able to lead and leave it to the large ones. A restart of all processes
+// doesn't wait for them to report that they could lead.
 func TestStandbyProcessesDontLead(t *testing.T) {
 	g := NewWithT(t)
 	v := unsettledView()
@@ -250,9 +249,9 @@
 	g.Expect(choose(v, 2*ms, false).Leader).To(Equal(ID("b")))
 }
 
-// Four shards are divided among three VMs. One that had none would leave the load of
-// two to another.
-func TestSharesAreEqual(t *testing.T) {
+// Four shards are divided among three VMs. If one VM had none, another would have the load of
+// two.
+func TestShardsAreDistributedEqually(t *testing.T) {
 	g := NewWithT(t)
 	for i := range 50 {
 		ids := []ID{ID(rune('a' + i)), ID(rune('b' + i)), ID(rune('c' + i))}
--- a/core/leader/peers.go
+++ b/core/leader/peers.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// What a process knows of the others.
+// The state of the other processes.
 
 type peer struct {
-	report Report
-	lastContact  Time
+	report      Report
+	lastContact Time
 }
 
-// RecordContact takes a heartbeat, or with a nil report any other sign of life.
+// RecordContact takes a heartbeat's report, or with a nil report any other message.
 func (v *View) RecordContact(now Time, id ID, r *Report) {
 	p := v.peers[id]
 	if p == nil {
@@ -36,7 +36,7 @@
 	}
 }
 
-// RemovePeer forgets a process that has closed its connection.
+// RemovePeer removes a process that has closed its connection.
 func (v *View) RemovePeer(id ID) { v.remove(id) }
 
 func (v *View) remove(id ID) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// LastContact is when a process was last heard; 0 if never.
+// LastContact is when a message of a process last arrived; 0 if never.
 func (v *View) LastContact(id ID) Time {
 	if p := v.peers[id]; p != nil {
 		return p.lastContact
@@ -54,7 +54,7 @@
 	return 0
 }
 
-// Report is what a process has last said of itself.
+// Report is the latest report of a process; the zero Report if there is none.
 func (v *View) Report(id ID) Report {
 	if p := v.peers[id]; p != nil {
 		return p.report
@@ -62,7 +62,8 @@
 	return Report{}
 }
 
-// ExpirePeers lists the processes that have become silent, and forgets them.
+// ExpirePeers removes the processes that have been silent for longer than HeartbeatTimeout,
+// and returns them in order.
 func (v *View) ExpirePeers(now Time) []ID {
 	var lost []ID
 	for id, p := range v.peers {
--- a/core/leader/report.go
+++ b/core/leader/report.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Report is what a process says of itself in a heartbeat.
+// Report is the state that a process reports of itself in a heartbeat.
 type Report struct {
-	// Number is given out in the order of registration; 0 if not registered.
+	// Number is assigned in the order of registration; 0 if not registered.
 	Number uint64
-	// Able: it may lead.
+	// Able: the process may lead.
 	Able bool
-	// Standby: it could lead, and leaves that to VMs that are better placed.
+	// Standby: it could lead, but leaves that to better placed VMs.
 	Standby  bool
 	Stopping bool
 	// Cell is the part of the deployment whose shards it may lead; "" if the
@@ -19,31 +19,31 @@
 	Cell string
 	// Demotions counts the times that the process was frozen while it led.
 	Demotions uint32
-	// Starvations counts the times that it gave up the lead since its VM was slow.
+	// Starvations counts the times that it gave up the lead because of CPU starvation.
 	Starvations uint32
-	// StoreTrouble: it leads, and needs the store and can't reach it.
+	// StoreTrouble: it leads, needs the store and can't reach it.
 	StoreTrouble bool
-	// StoreReached: it was asked whether it reaches the store, and does.
+	// StoreReached: it was asked to probe the store, and reaches it.
 	StoreReached bool
-	// StoreLost: it was asked, and doesn't.
+	// StoreLost: it was asked to probe the store, and can't reach it.
 	StoreLost bool
-	// Term is the highest term of a scheduler that it knows.
+	// Term is the highest scheduler term that it knows.
 	Term uint64
-	// MilliCPU is the processor that it has, in thousandths of a core.
+	// MilliCPU is the CPU capacity of its VM, in thousandths of a core.
 	MilliCPU int
-	// Shards is the number of shards that it knows of; 0 if it doesn't.
+	// Shards is the number of shards in its layout; 0 if it knows none.
 	Shards int
-	// Follows is whom it follows, by shard.
+	// Follows is the leader that it follows in each shard.
 	Follows []Follow
 }
 
-// Follow is the leader of a shard, as a process has heard it Age before.
+// Follow is the leader of a shard, and the time since the reporting process last heard from it.
 type Follow struct {
 	Leader ID
 	Age    time.Duration
 }
 
-// Leader is whom the process follows in a shard; "" if nobody.
+// Leader is the leader that the process follows in a shard; "" if none.
 func (r *Report) Leader(shard int) ID {
 	if shard >= len(r.Follows) {
 		return ""
@@ -51,16 +51,15 @@
 	return r.Follows[shard].Leader
 }
 
-// leads reports whether a process says that it leads a shard.
+// leads reports whether the process, whose ID is id, reports that it leads any shard.
 func (r *Report) leads(id ID) bool {
 	return slices.ContainsFunc(r.Follows, func(f Follow) bool { return f.Leader == id })
 }
 
-// compareClass compares two processes by what counts before age; less than 0 if a
-// comes first: those that aren't about to end, then those that reach the store,
-// then those that were never frozen, then those with twice the processor or more,
-// then those that were never slow: a large VM that was is still better than a small
-// one.
+// compareClass compares two processes by the criteria that precede age; it is negative if a
+// precedes b. In order of weight: not about to end, reaches the store, fewer demotions, at
+// least twice the CPU, fewer CPU starvations. A large VM that starved is still preferred to
+// a small one.
 func compareClass(a, b *Report) int {
 	switch {
 	case a.Stopping != b.Stopping:
@@ -79,7 +78,7 @@
 	return 0
 }
 
-// firstIf is -1 if it is true that x comes first, else 1.
+// firstIf is -1 if the first of two compared values precedes, else 1.
 func firstIf(x bool) int {
 	if x {
 		return -1
--- a/core/ledger/exclusion.go
+++ b/core/ledger/exclusion.go
@@ -23,9 +23,9 @@
 
 // exclusion is what the store refuses the shard to.
 type exclusion struct {
-	// wanted are the VMs that are to be refused, and asked those in the Claim on its
+	// wanted are the VMs that are to be refused, and requested those in the Claim on its
 	// way.
-	wanted, asked []string
+	wanted, requested []string
 	// refused are those that the store surely refuses until a time.
 	refused          []string
 	until            Time
@@ -54,17 +54,17 @@
 	return len(x.wanted) > 0 && now-x.renewedAt >= exclusionRenewal
 }
 
-// ask notes that a Claim is sent. It may be carried out without an answer, so VMs that
+// claimSent notes that a Claim is sent. It may be carried out without an answer, so VMs that
 // it leaves out may take the shard from now on.
-func (x *exclusion) ask() {
-	x.asked = x.wanted
-	x.refused = slices.DeleteFunc(slices.Clone(x.refused), func(vm string) bool { return !slices.Contains(x.asked, vm) })
+func (x *exclusion) claimSent() {
+	x.requested = x.wanted
+	x.refused = slices.DeleteFunc(slices.Clone(x.refused), func(vm string) bool { return !slices.Contains(x.requested, vm) })
 }
 
-// granted notes that a Claim was carried out that was sent at a time.
-func (x *exclusion) granted(sentAt Time) {
-	if !slices.Equal(x.refused, x.asked) {
-		x.refused, x.since = x.asked, sentAt
+// claimApplied notes that a Claim was carried out that was sent at a time.
+func (x *exclusion) claimApplied(sentAt Time) {
+	if !slices.Equal(x.refused, x.requested) {
+		x.refused, x.since = x.requested, sentAt
 	}
 	x.renewedAt = sentAt
 	x.until = sentAt + ExclusionTime - exclusionMargin
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -24,21 +24,21 @@
 type Time = task.Time
 
 const (
-	// mostRows is the number of rows in one write: the store takes 100 with the
+	// maxRowsPerWrite is the number of rows in one write: the store takes 100 with the
 	// condition.
-	mostRows = 96
-	// mostBytes is the size of one write: the store takes 1 MB, and base64 adds
+	maxRowsPerWrite = 96
+	// maxWriteBytes is the size of one write: the store takes 1 MB, and base64 adds
 	// a third.
-	mostBytes = 600 << 10
-	// mostWrites is the number of writes on their way. One at a time is enough
+	maxWriteBytes = 600 << 10
+	// maxWritesInFlight is the number of writes on their way. One at a time is enough
 	// while the store answers in some milliseconds; a slow one gets more, since
 	// each carries 48 jobs at most.
-	mostWrites = 4
-	// linger is how long a record waits for the write before to be answered
+	maxWritesInFlight = 4
+	// maxBatchWait is how long a record waits for the write before to be answered
 	// until it is sent beside it.
-	linger = 15 * time.Millisecond
-	// retryPause is the pause after a call that failed.
-	retryPause = 100 * time.Millisecond
+	maxBatchWait = 15 * time.Millisecond
+	// retryDelay is the pause after a call that failed.
+	retryDelay = 100 * time.Millisecond
 	// checkInterval is how often the ownership is checked if no write does it.
 	// With a store that answers in a quarter of a second it is then known to
 	// within 350 ms, less than the time after which a scheduler doubts it.
@@ -46,11 +46,11 @@
 	// idleCheckInterval is the same while nothing depends on the ownership, so
 	// that its loss is known before the next job comes.
 	idleCheckInterval = time.Second
-	// mostChecks bounds the checks on their way.
-	mostChecks = 4
-	// reclaimPause is how long a shard is left to another process that took it
+	// maxChecksInFlight bounds the checks on their way.
+	maxChecksInFlight = 4
+	// reclaimDelay is how long a shard is left to another process that took it
 	// while this one thinks that it leads: they can't hear each other.
-	reclaimPause = 2 * time.Second
+	reclaimDelay = 2 * time.Second
 )
 
 // phase is what the ledger is at.
@@ -65,18 +65,18 @@
 	reading
 	// open: records are written.
 	open
-	// settling: a write stays unanswered, or VMs are to be excluded; the shard is
+	// quiescing: a write stays unanswered, or VMs are to be excluded; the shard is
 	// taken again when all writes are back.
-	settling
+	quiescing
 	// lost: another process has the shard.
 	lost
 )
 
-// entry is a record that is to be saved.
-type entry struct {
+// pendingRecord is a record that is to be saved.
+type pendingRecord struct {
 	record   Record
 	sequence uint64
-	since    Time
+	queuedAt Time
 }
 
 // Ledger is the state. It isn't safe for concurrent use.
@@ -95,11 +95,11 @@
 
 	// waiting are records to be sent, in order.
 	order   []workload.JobID
-	waiting map[workload.JobID]*entry
+	waiting map[workload.JobID]*pendingRecord
 	// writes are on their way, and busy the jobs in them.
-	writes map[uint64][]*entry
-	busy   map[workload.JobID]bool
-	checks map[uint64]bool
+	writes       map[uint64][]*pendingRecord
+	jobsInFlight map[workload.JobID]bool
+	checks       map[uint64]bool
 
 	exclusion exclusion
 
@@ -123,9 +123,9 @@
 	l.exclusion = exclusion{wanted: l.exclusion.wanted}
 	l.call, l.due = 0, 0
 	l.order = nil
-	l.waiting = make(map[workload.JobID]*entry)
-	l.writes = make(map[uint64][]*entry)
-	l.busy = make(map[workload.JobID]bool)
+	l.waiting = make(map[workload.JobID]*pendingRecord)
+	l.writes = make(map[uint64][]*pendingRecord)
+	l.jobsInFlight = make(map[workload.JobID]bool)
 	l.checks = make(map[uint64]bool)
 }
 
@@ -181,7 +181,7 @@
 	}
 	e := l.waiting[r.Job]
 	if e == nil {
-		l.waiting[r.Job] = &entry{record: r, sequence: sequence, since: now}
+		l.waiting[r.Job] = &pendingRecord{record: r, sequence: sequence, queuedAt: now}
 		l.order = append(l.order, r.Job)
 		l.step()
 		return
@@ -191,7 +191,7 @@
 }
 
 // replace keeps the job's work of a record that wasn't sent.
-func (e *entry) replace(r Record, sequence uint64) {
+func (e *pendingRecord) replace(r Record, sequence uint64) {
 	if r.Definition == nil {
 		r.Definition = e.record.Definition
 	}
@@ -202,26 +202,26 @@
 // that it needn't be left to one.
 func (l *Ledger) Uncontested(now Time) {
 	if l.phase == lost {
-		l.due = min(l.due, now+retryPause)
+		l.due = min(l.due, now+retryDelay)
 	}
 }
 
 // Tick does what is due. keeps says that jobs depend on the ownership, so that
 // it is to be checked.
-func (l *Ledger) Tick(now Time, keeps bool) {
+func (l *Ledger) Tick(now Time, inUse bool) {
 	l.now = now
 	if l.phase == lost && now >= l.due {
 		l.phase = claiming
 	}
 	if l.phase == open && l.exclusion.due(now) {
-		l.phase = settling
+		l.phase = quiescing
 	}
 	l.step()
 	interval := idleCheckInterval
-	if keeps {
+	if inUse {
 		interval = checkInterval
 	}
-	if l.phase == open && now-l.checkedAt >= interval && len(l.checks) < mostChecks {
+	if l.phase == open && now-l.checkedAt >= interval && len(l.checks) < maxChecksInFlight {
 		l.checkedAt = now
 		call := l.nextCall()
 		l.checks[call] = true
@@ -235,8 +235,8 @@
 	case l.call != 0 || l.now < l.due:
 	case l.phase == claiming:
 		l.call = l.nextCall()
-		l.exclusion.ask()
-		c := Claim{Call: l.call, Excluded: l.exclusion.asked}
+		l.exclusion.claimSent()
+		c := Claim{Call: l.call, Excluded: l.exclusion.requested}
 		if l.loaded {
 			c.Renew = l.ownership.Epoch
 		}
@@ -245,29 +245,29 @@
 		l.call = l.nextCall()
 		l.emit(Read{Call: l.call})
 	case l.phase == open:
-		for l.mayWrite() {
+		for l.canWrite() {
 			l.write()
 		}
-	case l.phase == settling && len(l.writes) == 0:
+	case l.phase == quiescing && len(l.writes) == 0:
 		l.phase = claiming
 		l.step()
 	}
 }
 
-// mayWrite reports whether a write is to be sent now.
-func (l *Ledger) mayWrite() bool {
-	id, ok := l.nextFree()
-	if !ok || len(l.writes) >= mostWrites {
+// canWrite reports whether a write is to be sent now.
+func (l *Ledger) canWrite() bool {
+	id, ok := l.nextSendable()
+	if !ok || len(l.writes) >= maxWritesInFlight {
 		return false
 	}
-	return len(l.writes) == 0 || l.now-l.waiting[id].since >= linger
+	return len(l.writes) == 0 || l.now-l.waiting[id].queuedAt >= maxBatchWait
 }
 
-// nextFree is the first job with a record to be sent. Records of one job are
+// nextSendable is the first job with a record to be sent. Records of one job are
 // sent one after the other, since two writes may be carried out in any order.
-func (l *Ledger) nextFree() (workload.JobID, bool) {
+func (l *Ledger) nextSendable() (workload.JobID, bool) {
 	for _, id := range l.order {
-		if !l.busy[id] {
+		if !l.jobsInFlight[id] {
 			return id, true
 		}
 	}
@@ -276,25 +276,25 @@
 
 func (l *Ledger) write() {
 	w := Write{Call: l.nextCall(), Version: l.ownership.Version}
-	var entries []*entry
-	var rest []workload.JobID
+	var entries []*pendingRecord
+	var remaining []workload.JobID
 	rows, size := 0, 0
 	for _, id := range l.order {
 		e := l.waiting[id]
-		rows += e.record.weight()
+		rows += e.record.rowCount()
 		size += e.record.size()
-		if l.busy[id] || rows > mostRows || size > mostBytes && len(entries) > 0 {
-			rows -= e.record.weight()
+		if l.jobsInFlight[id] || rows > maxRowsPerWrite || size > maxWriteBytes && len(entries) > 0 {
+			rows -= e.record.rowCount()
 			size -= e.record.size()
-			rest = append(rest, id)
+			remaining = append(remaining, id)
 			continue
 		}
 		entries = append(entries, e)
 		w.Records = append(w.Records, e.record)
 		delete(l.waiting, id)
-		l.busy[id] = true
+		l.jobsInFlight[id] = true
 	}
-	l.order = rest
+	l.order = remaining
 	l.writes[w.Call] = entries
 	l.emit(w)
 }
@@ -304,36 +304,36 @@
 	l.now = now
 	switch r := r.(type) {
 	case ClaimResult:
-		l.claimed(r)
+		l.handleClaim(r)
 	case ReadResult:
-		l.read(r)
+		l.handleRead(r)
 	case CheckResult:
-		l.checked(r)
+		l.handleCheck(r)
 	case WriteResult:
-		l.written(r)
+		l.handleWrite(r)
 	default:
 		panic(fmt.Sprintf("unknown result %T", r))
 	}
 }
 
-func (l *Ledger) claimed(r ClaimResult) {
+func (l *Ledger) handleClaim(r ClaimResult) {
 	if r.Call != l.call || l.phase != claiming {
 		return
 	}
 	l.call = 0
 	if r.Outcome == Superseded && l.loaded {
-		l.supersede()
+		l.loseOwnership()
 		return
 	}
 	if r.Outcome != Applied {
-		l.failed(r.SentAt)
-		l.due = l.now + retryPause
+		l.recordFailure(r.SentAt)
+		l.due = l.now + retryDelay
 		return
 	}
 	l.ownership = r.Ownership
 	l.claimedAt = l.now
-	l.exclusion.granted(r.SentAt)
-	l.succeeded(r.SentAt)
+	l.exclusion.claimApplied(r.SentAt)
+	l.recordSuccess(r.SentAt)
 	l.phase = reading
 	if l.loaded {
 		l.phase = open
@@ -341,14 +341,14 @@
 	l.step()
 }
 
-func (l *Ledger) read(r ReadResult) {
+func (l *Ledger) handleRead(r ReadResult) {
 	if r.Call != l.call || l.phase != reading {
 		return
 	}
 	l.call = 0
 	if r.Outcome != Applied {
-		l.failed(l.now)
-		l.due = l.now + retryPause
+		l.recordFailure(l.now)
+		l.due = l.now + retryDelay
 		return
 	}
 	l.failingSince = 0
@@ -358,51 +358,51 @@
 	l.step()
 }
 
-func (l *Ledger) checked(r CheckResult) {
+func (l *Ledger) handleCheck(r CheckResult) {
 	if !l.checks[r.Call] {
 		return
 	}
 	delete(l.checks, r.Call)
 	switch {
 	case r.Outcome != Applied:
-		l.failed(r.SentAt)
+		l.recordFailure(r.SentAt)
 	case l.phase == open && r.Version != l.ownership.Version && r.SentAt > l.claimedAt:
-		l.supersede()
+		l.loseOwnership()
 	case r.Version == l.ownership.Version:
-		l.succeeded(r.SentAt)
+		l.recordSuccess(r.SentAt)
 	}
 	l.step()
 }
 
-func (l *Ledger) written(r WriteResult) {
+func (l *Ledger) handleWrite(r WriteResult) {
 	entries, ok := l.writes[r.Call]
 	if !ok {
 		return
 	}
 	delete(l.writes, r.Call)
 	for _, e := range entries {
-		delete(l.busy, e.record.Job)
+		delete(l.jobsInFlight, e.record.Job)
 	}
 	switch r.Outcome {
 	case Applied:
-		l.succeeded(r.SentAt)
-		l.saved(entries)
+		l.recordSuccess(r.SentAt)
+		l.emitSaved(entries)
 	case Superseded:
-		l.supersede()
+		l.loseOwnership()
 		return
 	case Rejected:
-		l.failed(r.SentAt)
-		l.putBack(entries)
-		l.due = l.now + retryPause
+		l.recordFailure(r.SentAt)
+		l.requeue(entries)
+		l.due = l.now + retryDelay
 	default:
-		l.failed(r.SentAt)
-		l.putBack(entries)
-		l.phase = settling
+		l.recordFailure(r.SentAt)
+		l.requeue(entries)
+		l.phase = quiescing
 	}
 	l.step()
 }
 
-func (l *Ledger) saved(entries []*entry) {
+func (l *Ledger) emitSaved(entries []*pendingRecord) {
 	s := Saved{At: l.now, Records: make([]SavedRecord, len(entries))}
 	for i, e := range entries {
 		s.Records[i] = SavedRecord{Job: e.record.Job, Sequence: e.sequence}
@@ -410,8 +410,8 @@
 	l.emit(s)
 }
 
-// putBack has records sent again, before the others.
-func (l *Ledger) putBack(entries []*entry) {
+// requeue has records sent again, before the others.
+func (l *Ledger) requeue(entries []*pendingRecord) {
 	ids := make([]workload.JobID, 0, len(entries)+len(l.order))
 	for _, e := range entries {
 		id := e.record.Job
@@ -427,23 +427,23 @@
 	l.order = append(ids, l.order...)
 }
 
-// supersede gives up the shard: what this process knows of it is old.
-func (l *Ledger) supersede() {
+// loseOwnership gives up the shard: what this process knows of it is old.
+func (l *Ledger) loseOwnership() {
 	l.clear()
 	l.phase = lost
-	l.due = l.now + reclaimPause
+	l.due = l.now + reclaimDelay
 	l.emit(Lost{At: l.now})
 }
 
-// failed notes a call that failed, unless a later one has succeeded meanwhile.
-func (l *Ledger) failed(sentAt Time) {
+// recordFailure notes a call that recordFailure, unless a later one has succeeded meanwhile.
+func (l *Ledger) recordFailure(sentAt Time) {
 	if l.failingSince == 0 && sentAt >= l.succeededAt {
 		l.failingSince = max(sentAt, 1)
 	}
 }
 
-// succeeded notes that this process owned the shard when a call was sent.
-func (l *Ledger) succeeded(sentAt Time) {
+// recordSuccess notes that this process owned the shard when a call was sent.
+func (l *Ledger) recordSuccess(sentAt Time) {
 	l.failingSince = 0
 	l.succeededAt = max(l.succeededAt, sentAt)
 	if sentAt <= l.verifiedAt {
--- a/core/ledger/record.go
+++ b/core/ledger/record.go
@@ -84,8 +84,8 @@
 	Unseen bool
 }
 
-// weight is the number of rows that saving the record writes or removes.
-func (r *Record) weight() int {
+// rowCount is the number of rows that saving the record writes or removes.
+func (r *Record) rowCount() int {
 	if r.Definition != nil || !r.State.NeedsDefinition() {
 		return 2
 	}
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -27,11 +27,11 @@
 	LeavingNoticeTTL = 30 * time.Second
 )
 
-// sight is what is seen of one node.
-type sight struct {
-	// runs holds the connected incarnations and whether each is stopping.
-	runs        map[uint64]bool
-	absentSince task.Time
+// presence is what is seen of one node.
+type presence struct {
+	// incarnations holds the connected incarnations and whether each is stopping.
+	incarnations map[uint64]bool
+	absentSince  task.Time
 }
 
 // View is one process's view of the members.
@@ -39,23 +39,23 @@
 	self   string
 	listed bool
 	list   task.Members
-	nodes  map[string]*sight
+	nodes  map[string]*presence
 	// leaving holds the upstreams that said that they leave, and until when
 	// that is believed.
 	leaving map[string]task.Time
 
 	live task.Members
-	// stale is set when live must be worked out anew, and due is when it must
+	// dirty is set when live must be worked out anew, and due is when it must
 	// be without any further event.
-	stale bool
-	due   task.Time
+	dirty       bool
+	recomputeAt task.Time
 }
 
 // New returns a view of a node of the given name; nothing is listed.
 func New(self string) *View {
 	return &View{
 		self:    self,
-		nodes:   make(map[string]*sight),
+		nodes:   make(map[string]*presence),
 		leaving: make(map[string]task.Time),
 	}
 }
@@ -85,30 +85,30 @@
 	}
 	v.list = m
 	v.listed = true
-	v.stale = true
-	v.keepNodes(now)
-	v.keepFarewells(addresses)
+	v.dirty = true
+	v.updateNodes(now)
+	v.pruneLeaving(addresses)
 	return true
 }
 
-// keepNodes begins the grace of nodes that are new on the list and forgets
+// updateNodes begins the grace of nodes that are new on the list and forgets
 // those that are neither listed nor connected.
-func (v *View) keepNodes(now task.Time) {
+func (v *View) updateNodes(now task.Time) {
 	listed := make(map[string]bool, len(v.list.Nodes))
 	for _, n := range v.list.Nodes {
 		listed[n.Name] = true
-		v.sightOf(now, n.Name)
+		v.presenceOf(now, n.Name)
 	}
 	for name, s := range v.nodes {
-		if !listed[name] && len(s.runs) == 0 {
+		if !listed[name] && len(s.incarnations) == 0 {
 			delete(v.nodes, name)
 		}
 	}
 }
 
-// keepFarewells forgets what upstreams said that are gone, or were replaced
+// pruneLeaving forgets what upstreams said that are gone, or were replaced
 // under the same name.
-func (v *View) keepFarewells(addresses map[string]string) {
+func (v *View) pruneLeaving(addresses map[string]string) {
 	present := make(map[string]bool, len(v.list.Upstreams))
 	for _, u := range v.list.Upstreams {
 		present[u.Name] = u.Address == addresses[u.Name]
@@ -120,10 +120,10 @@
 	}
 }
 
-func (v *View) sightOf(now task.Time, name string) *sight {
+func (v *View) presenceOf(now task.Time, name string) *presence {
 	s := v.nodes[name]
 	if s == nil {
-		s = &sight{runs: make(map[uint64]bool), absentSince: now}
+		s = &presence{incarnations: make(map[uint64]bool), absentSince: now}
 		v.nodes[name] = s
 	}
 	return s
@@ -131,8 +131,8 @@
 
 // PeerUp records that an incarnation is connected.
 func (v *View) PeerUp(now task.Time, p task.Incarnation) {
-	v.sightOf(now, p.Node).runs[p.Run] = false
-	v.stale = true
+	v.presenceOf(now, p.Node).incarnations[p.Run] = false
+	v.dirty = true
 }
 
 // PeerDown records that the connection with an incarnation is lost. That of a
@@ -142,11 +142,11 @@
 	if s == nil {
 		return
 	}
-	delete(s.runs, p.Run)
-	if len(s.runs) == 0 {
+	delete(s.incarnations, p.Run)
+	if len(s.incarnations) == 0 {
 		s.absentSince = now
 	}
-	v.stale = true
+	v.dirty = true
 }
 
 // PeerStopping records whether a connected incarnation stops and has no more
@@ -156,28 +156,28 @@
 	if s == nil {
 		return
 	}
-	was, connected := s.runs[p.Run]
+	was, connected := s.incarnations[p.Run]
 	if connected && was != stopping {
-		s.runs[p.Run] = stopping
-		v.stale = true
+		s.incarnations[p.Run] = stopping
+		v.dirty = true
 	}
 }
 
 // UpstreamLeaving records that an upstream itself said that it leaves.
 func (v *View) UpstreamLeaving(now task.Time, name string) {
 	v.leaving[name] = now + LeavingNoticeTTL
-	v.stale = true
+	v.dirty = true
 }
 
 // Live returns the list in force with Leaving set on all that isn't to be
 // reckoned with, and whether it was worked out anew since the last call. The
 // process itself always counts as it is listed.
 func (v *View) Live(now task.Time) (task.Members, bool) {
-	if !v.stale && (v.due == 0 || now < v.due) {
+	if !v.dirty && (v.recomputeAt == 0 || now < v.recomputeAt) {
 		return v.live, false
 	}
-	v.stale = false
-	v.due = 0
+	v.dirty = false
+	v.recomputeAt = 0
 	v.live = task.Members{
 		Version:   v.list.Version,
 		Nodes:     make([]task.Node, len(v.list.Nodes)),
@@ -188,7 +188,7 @@
 		v.live.Nodes[i] = n
 	}
 	for i, u := range v.list.Upstreams {
-		u.Leaving = u.Leaving || v.saidLeaving(now, u.Name)
+		u.Leaving = u.Leaving || v.announcedLeaving(now, u.Name)
 		v.live.Upstreams[i] = u
 	}
 	return v.live, true
@@ -199,23 +199,23 @@
 		return true
 	}
 	s := v.nodes[name]
-	for _, stopping := range s.runs {
+	for _, stopping := range s.incarnations {
 		if !stopping {
 			return true
 		}
 	}
-	if len(s.runs) > 0 {
+	if len(s.incarnations) > 0 {
 		return false
 	}
 	end := s.absentSince + AbsenceGrace
 	if now >= end {
 		return false
 	}
-	v.lookAt(end)
+	v.scheduleRecompute(end)
 	return true
 }
 
-func (v *View) saidLeaving(now task.Time, name string) bool {
+func (v *View) announcedLeaving(now task.Time, name string) bool {
 	until, said := v.leaving[name]
 	if !said {
 		return false
@@ -224,12 +224,12 @@
 		delete(v.leaving, name)
 		return false
 	}
-	v.lookAt(until)
+	v.scheduleRecompute(until)
 	return true
 }
 
-func (v *View) lookAt(at task.Time) {
-	if v.due == 0 || at < v.due {
-		v.due = at
+func (v *View) scheduleRecompute(at task.Time) {
+	if v.recomputeAt == 0 || at < v.recomputeAt {
+		v.recomputeAt = at
 	}
 }
--- a/core/routing/evacuation.go
+++ b/core/routing/evacuation.go
@@ -16,11 +16,11 @@
 //
 // It comes from the store and from peers in any order. A domain that was evacuated
 // again must not be opened by the word of its opening before, which comes late.
-func (e *Evacuations) Apply(later Evacuations) (changed bool) {
-	if later.Version <= e.Version {
+func (e *Evacuations) Apply(newer Evacuations) (changed bool) {
+	if newer.Version <= e.Version {
 		return false
 	}
-	changed = !slices.Equal(e.Domains, later.Domains)
-	*e = later
+	changed = !slices.Equal(e.Domains, newer.Domains)
+	*e = newer
 	return changed
 }
--- a/core/topology/topology.go
+++ b/core/topology/topology.go
@@ -1,24 +1,23 @@
 // Package topology decides which entry processes of a deployment connect.
 //
-// A connection costs both sides a dozen messages a second for as long as it stands.
-// If each process connected with each, or with all that may schedule, what a VM
-// spends would grow with the fleet. So a process connects with the seats of its
-// own cell, those few VMs of it that schedule, and with a fixed number of seats
-// in other cells, which take its jobs while its own cell has no room or no
-// scheduler:
+// A connection costs both sides a dozen messages a second for as long as it exists. If each
+// process connected with every other, or with all that may schedule, the cost for a VM would
+// grow with the fleet. Therefore only a few VMs of each cell may schedule: they have the
+// cell's seats. A process connects with the seats of its own cell and with a fixed number of
+// seats in other cells, which take its jobs while its own cell has no room or no scheduler:
 //
 //	a VM                        | connects with
 //	----------------------------|---------------------------------------------
-//	any                         | the seats of its cell, at most seatsMost
+//	any                         | the seats of its cell, at most maxSeats
 //	any, in a layout with cells | one seat in each of gatewayCells other cells
 //	a seat                      | all VMs of its cell, and those of other cells
 //	                            | that have chosen it
 //	in a fleet with stored jobs | all seats of all cells
 //
-// A process that reaches no scheduler widens the number of seats that it counts
-// with, by doubling. It never connects with all at once: when the schedulers of a
-// large fleet are out of reach for a second, that would keep every VM busy with
-// connections and so keep them out of reach.
+// A process that reaches no scheduler widens the number of seats that it assumes, by
+// doubling. It never connects with all at once: if the schedulers of a large fleet were
+// unreachable for a second, connecting would keep every VM busy and the schedulers
+// unreachable.
 package topology
 
 import (
@@ -31,52 +30,51 @@
 )
 
 const (
-	// maxSeats bounds the VMs of a cell that may schedule: the schedulers of 480
-	// runners, and as many in reserve.
+	// maxSeats limits the VMs of a cell that may schedule: schedulers for 480 runners, and
+	// as many in reserve.
 	maxSeats = 16
-	// gatewayCells is the number of other cells in which a VM is connected with a
-	// seat: one may be cut off or lost together with the VM's own schedulers.
+	// gatewayCells is the number of other cells in which a VM connects with a seat: one of
+	// them may be cut off or lost together with the VM's own schedulers.
 	gatewayCells = 2
-	// maxWidenings bounds the doublings; with it a process counts with all VMs of
-	// any cell.
+	// maxWidenings limits the doublings; with it the seats include all VMs of any cell.
 	maxWidenings = 10
 )
 
 // Member is a registered entry process.
 type Member struct {
-	// ID names one lifetime of a process on a VM.
+	// ID identifies one incarnation of a process on a VM.
 	ID     string
 	VM     string
 	Domain string
 	// Number grows in the order of registration.
 	Number uint64
-	// MilliCPU is the processor of the VM, in thousandths of a core; 0 if unknown.
+	// MilliCPU is the CPU capacity of the VM, in thousandths of a core; 0 if unknown.
 	MilliCPU int
 }
 
-// Fleet is the members of a deployment, and what decides their connections.
+// Fleet is the members of a deployment and the layout, which determine the connections.
 type Fleet struct {
 	layout layout.Layout
-	// stored: there may be stored jobs, which belong to one shard of all wherever
-	// they come from.
+	// stored: stored jobs may exist. Each belongs to one shard of the whole fleet, wherever
+	// it is submitted.
 	stored bool
-	// cellByDomain caches the cells of failure domains.
+	// cellByDomain caches the cell of each failure domain.
 	cellByDomain map[string]string
-	// members are those of each cell, those that schedule first, and names the
-	// cells in order.
-	members map[string][]Member
-	cellNames   []string
+	// members lists those of each cell in the order of seats, and cellNames the cells in
+	// order.
+	members   map[string][]Member
+	cellNames []string
 }
 
-// New returns a fleet. The layout is nil while it isn't known: then nobody can lead,
-// and nobody connects. Members register one after the other as a fleet starts, and
-// the first ones would connect with each other for want of those with seats.
+// New returns a fleet. The layout is nil while it is unknown: then no process can lead, and
+// none connects. Members register one by one as a fleet starts; without this rule the first
+// ones, which have no seats, would connect with each other.
 func New(l layout.Layout, stored bool, members []Member) *Fleet {
 	f := &Fleet{
-		layout:   l,
-		stored:   stored,
+		layout:       l,
+		stored:       stored,
 		cellByDomain: make(map[string]string),
-		members:  make(map[string][]Member),
+		members:      make(map[string][]Member),
 		cellNames:    l.Cells(),
 	}
 	for _, m := range members {
@@ -95,21 +93,21 @@
 	return f
 }
 
-// Link is a connection that a process wants.
+// Link is a connection that a process needs.
 type Link struct {
 	ID string
-	// Dials: this process is to make the connection.
+	// Dials: this process opens the connection.
 	Dials bool
 }
 
-// SameProcess reports whether another link is with the same process.
+// SameProcess reports whether two links are with the same process.
 func (l Link) SameProcess(o Link) bool { return l.ID == o.ID }
 
-// CellMembers lists the members of a member's cell, those that schedule first.
+// CellMembers lists the members of a member's cell in the order of seats.
 func (f *Fleet) CellMembers(m Member) []Member { return f.members[f.cellByDomain[m.Domain]] }
 
-// Seats lists the members of a cell that schedule: those with more than half of
-// the most processor that any has, or more if the process widens its view.
+// Seats lists the members of a cell that may schedule: those with more than half of the
+// highest CPU capacity in the cell, or more of them after a number of widenings.
 func (f *Fleet) Seats(cell string, widened int) []Member { return seats(f.members[cell], widened) }
 
 // HasSeat reports whether a member has one of the seats of its cell.
@@ -131,7 +129,7 @@
 	return list[:min(n, len(list))]
 }
 
-// Links lists the connections that a process wants, in the order of their ids.
+// Links lists the connections that a process needs, ordered by ID.
 func (f *Fleet) Links(self Member, widened int) []Link {
 	if len(f.layout) == 0 {
 		return nil
@@ -144,8 +142,8 @@
 	return links
 }
 
-// linksWithinCell are the links within the own cell: with its seats, and from a seat with
-// all. Of two the one that registered later dials, since it surely knows the other.
+// linksWithinCell are the links within the own cell: with its seats, and from a seat with all
+// members. The later registered of two processes dials, since it surely knows the other.
 func (f *Fleet) linksWithinCell(self Member, widened int) []Link {
 	all := f.CellMembers(self)
 	top := seats(all, widened)
@@ -160,7 +158,7 @@
 }
 
 // linksToOtherCells are the links with seats of other cells. Those seats don't choose this
-// process, so it dials, unless the other has chosen it too and is the younger one.
+// process, so this process dials, unless the seat has chosen it too and registered later.
 func (f *Fleet) linksToOtherCells(self Member) []Link {
 	var links []Link
 	for _, c := range f.linkedCells(self) {
@@ -171,8 +169,8 @@
 	return links
 }
 
-// linkedCells lists the other cells in which a VM is connected with seats: some,
-// or all if there may be stored jobs. VMs spread over them.
+// linkedCells lists the other cells in which a VM connects with seats: gatewayCells of them,
+// spread over the VMs by rendezvous hashing, or all if stored jobs may exist.
 func (f *Fleet) linkedCells(self Member) []string {
 	own := f.cellByDomain[self.Domain]
 	cells := slices.DeleteFunc(slices.Clone(f.cellNames), func(c string) bool { return c == own })
@@ -184,8 +182,8 @@
 	return cells[:min(gatewayCells, len(cells))]
 }
 
-// gatewaySeats are the seats of another cell that a VM is connected with: one, or all
-// if there may be stored jobs. VMs spread over the seats.
+// gatewaySeats are the seats of another cell that a VM connects with: one, spread over the
+// VMs by rendezvous hashing, or all if stored jobs may exist.
 func (f *Fleet) gatewaySeats(self Member, cell string) []Member {
 	list := f.Seats(cell, 0)
 	if f.stored || len(list) == 0 {
@@ -196,7 +194,7 @@
 	})}
 }
 
-// hasChosen reports whether a member has hasChosen another one of another cell.
+// hasChosen reports whether a member (by) has chosen m, of another cell, as a gateway seat.
 func (f *Fleet) hasChosen(by, m Member) bool {
 	cell := f.cellByDomain[m.Domain]
 	return slices.Contains(f.linkedCells(by), cell) && contains(f.gatewaySeats(by, cell), m)
--- a/core/topology/topology_test.go
+++ b/core/topology/topology_test.go
@@ -9,7 +9,7 @@
 	"sapphirepoint.example/sapphirepoint/core/layout"
 )
 
-// testFleet is one of some domains, each a cell with three large VMs and small ones.
+// testFleet has a number of domains, each a cell with three large VMs and small ones.
 func testFleet(domains, vms int) (layout.Layout, []Member) {
 	var l layout.Layout
 	var members []Member
@@ -31,8 +31,8 @@
 	return l, members
 }
 
-// degrees counts the connections of each process, and checks that each pair has one
-// that dials.
+// degrees counts the connections of each process, and checks that exactly one side of each
+// pair dials.
 func degrees(g *WithT, f *Fleet, members []Member, widened int) map[string]int {
 	wanted := make(map[[2]string]int)
 	for _, m := range members {
@@ -54,10 +54,10 @@
 	return degree
 }
 
-// A fleet grows from 147 VMs to 1,050. A small VM has as many connections as before:
-// what it spends on heartbeats doesn't grow. Those of a large one grow with its
-// failure domain alone, by the small VMs that are connected with it.
-func TestConnectionsDontGrowWithTheFleet(t *testing.T) {
+// A fleet grows from 147 VMs to 1,050. A small VM must keep as many connections as before, so
+// that its cost of heartbeats doesn't grow. The connections of a large VM grow only with the
+// small VMs of its failure domain.
+func TestConnectionsDoNotGrowWithFleet(t *testing.T) {
 	g := NewWithT(t)
 	for _, domains := range []int{5, 35} {
 		l, members := testFleet(domains, 30)
@@ -69,15 +69,14 @@
 				g.Expect(n).To(Equal(3 + gatewayCells))
 				continue
 			}
-			// Each of the 30 VMs of a cell has a seat in two other cells, so each
-			// seat has those of 20 VMs on average.
+			// Each of the 30 VMs of a cell connects with a seat in two other cells, so
+			// each seat has connections from 20 such VMs on average.
 			g.Expect(n).To(BeNumerically("<=", 29+gatewayCells+3*20))
 		}
 	}
 }
 
-// Large VMs are many, or all VMs are alike. Those that schedule are bounded all the
-// same.
+// Large VMs are many, or all VMs are alike. The number of seats is limited all the same.
 func TestSeatsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	var members []Member
@@ -87,7 +86,7 @@
 	f := New(layout.Pooled(6), false, members)
 	seats := f.Seats("", 0)
 	g.Expect(seats).To(HaveLen(maxSeats))
-	g.Expect(seats[0].Number).To(BeEquivalentTo(1), "the oldest of VMs that are alike")
+	g.Expect(seats[0].Number).To(BeEquivalentTo(1), "the oldest of equal VMs")
 	for i, m := range members {
 		if !f.HasSeat(m, 0) {
 			g.Expect(f.Links(m, 0)).To(HaveLen(maxSeats), "VM %d", i)
@@ -95,9 +94,9 @@
 	}
 }
 
-// The schedulers of all cells are out of reach, and every VM looks for others. It
-// counts with twice as many seats each time; it doesn't connect with all.
-func TestLookingFurtherIsBounded(t *testing.T) {
+// The schedulers of all cells are unreachable, and every VM looks for others. It doubles its
+// seats each time and never connects with all VMs at once.
+func TestWideningIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	l, members := testFleet(5, 200)
 	f := New(l, false, members)
@@ -110,8 +109,8 @@
 	g.Expect(f.Seats("d1", 99)).To(HaveLen(200))
 }
 
-// Whoever is asked for a stored job must reach its shard, in whatever cell.
-func TestStoredJobsNeedAllSeats(t *testing.T) {
+// A process that is asked for a stored job must reach the job's shard, in whatever cell.
+func TestStoredJobsNeedLinksToAllSeats(t *testing.T) {
 	g := NewWithT(t)
 	l, members := testFleet(5, 30)
 	f := New(l, true, members)
@@ -119,18 +118,18 @@
 	g.Expect(f.Links(members[20], 0)).To(HaveLen(5 * 3))
 }
 
-// A fleet starts, and its members register one after the other. Nobody can lead before
-// the layout is known; if those who know only a few small VMs connected with them, each
-// would have connections that it never needs.
-func TestNobodyConnectsBeforeTheLayoutIsKnown(t *testing.T) {
+// A fleet starts, and its members register one by one. No process can lead before the layout
+// is known. If processes that know only a few small VMs connected with them, they would have
+// connections that are never needed.
+func TestNoLinksBeforeLayoutIsKnown(t *testing.T) {
 	g := NewWithT(t)
 	_, members := testFleet(5, 30)
 	g.Expect(New(nil, false, members).Links(members[20], 0)).To(BeEmpty())
 }
 
-// Settings don't tell the VMs' processor. All count as alike: if none had a seat,
-// nobody would connect or lead.
-func TestUnknownProcessors(t *testing.T) {
+// The CPU capacities of the VMs are unknown. All VMs count as equal: if none had a seat, no
+// process would connect or lead.
+func TestUnknownCPUCapacity(t *testing.T) {
 	g := NewWithT(t)
 	members := []Member{{ID: "a", VM: "a", Number: 1}, {ID: "b", VM: "b", Number: 2}}
 	f := New(layout.Pooled(1), false, members)
