--- a/core/gateway/gateway.go
+++ b/core/gateway/gateway.go
@@ -1,11 +1,11 @@
-// Package gateway holds the jobs that an entry process answers for. It hands
-// each to the scheduler in charge, again to the next one if that is lost, and
-// answers the caller once.
+// Package gateway holds the jobs that an entry process accepted from callers until they are
+// answered. It hands each job in to the scheduler of its shard, hands it over to the next
+// scheduler if that one is lost, and answers the caller once.
 //
-// In a deployment with cells a job that its scheduler has no room for, or that
-// has no scheduler in its cell, goes to another shard of the cell or to one of
-// another cell. What an earlier scheduler may have started of it must be over by
-// then: the runners of another shard can't tell.
+// In a deployment with cells, a job whose scheduler has no room, or whose cell has no
+// scheduler, goes to another shard of the cell or to one of another cell. By then, all runs
+// that an earlier scheduler may have started must have ended, since the runners of another
+// shard don't know of them.
 package gateway
 
 import (
@@ -23,43 +23,46 @@
 type Time = task.Time
 
 const (
-	// orphanRunLifetime is how long after a scheduler was last heard a run that it
-	// started may be alive where the next scheduler can't see it: until it
-	// misses this entry VM, stops the runs, and if runners don't answer lets
-	// their leases end.
+	// orphanRunLifetime is how long after the last contact with a scheduler a run that it
+	// started may be alive unknown to the next scheduler: the lost scheduler must first miss
+	// this entry VM, then it stops the runs, and if runners don't answer their leases expire.
 	orphanRunLifetime = 1300 * time.Millisecond
-	// noLeaderTimeout is how long a job waits for a scheduler at a start or a
-	// change of leader, which take less.
+	// noLeaderTimeout is how long a job waits for a scheduler at a start or a change of
+	// leader, which take less.
 	noLeaderTimeout = 300 * time.Millisecond
-	// noLeaderRetryAfter is when a caller may come back if nobody schedules.
+	// noLeaderRetryAfter is the delay after which a caller may retry if there is no scheduler.
 	noLeaderRetryAfter = time.Second
-	// answerGrace is how long after the caller's patience has ended the
-	// scheduler's own answer is waited for.
+	// answerGrace is how long after the caller's timeout the gateway still waits for the
+	// scheduler's own answer.
 	answerGrace = 50 * time.Millisecond
 )
 
 // Command is an output of the gateway.
 type Command interface{ command() }
 
-// HandIn hands a job to a scheduler.
+// HandIn submits a job to a scheduler.
 type HandIn struct {
 	At Time
 	To leader.ID
-	// Shard is that which gets the job, Home the one that it had first, and Wait how
-	// long a new job waits in Shard by the last word.
+	// Shard gets the job, Home is the shard that it belongs to, and Wait is the expected
+	// wait of a new job in Shard as last reported.
 	Shard, Home int
 	Wait        time.Duration
 	Job         *workload.Job
-	Due         time.Duration
-	Patience    time.Duration
-	Handed      int
-	Unknown     time.Duration
+	// Due is the time left to the job's latency objective, and Patience to the caller's
+	// timeout.
+	Due      time.Duration
+	Patience time.Duration
+	// Handed counts the schedulers that had the job before, and Unknown is how long runs
+	// that they started may still be alive.
+	Handed  int
+	Unknown time.Duration
 	// Domain is the failure domain of the entry VM.
 	Domain string
 }
 
-// Drop tells a scheduler that a job isn't its own any more: its caller has
-// left, or another scheduler gets it.
+// Drop tells a scheduler to drop a job: its caller has left or was answered, or, with
+// HandedOver, another scheduler gets it.
 type Drop struct {
 	At         Time
 	To         leader.ID
@@ -75,8 +78,8 @@
 	Outcome    workload.Outcome
 	RetryAfter time.Duration
 	Reason     string
-	// Scheduler gave the word, Handed counts the schedulers before it, and
-	// Took is the time in this process.
+	// Scheduler decided the outcome, Handed counts the schedulers before it, and Elapsed is
+	// the time from the job's arrival in this process.
 	Scheduler leader.ID
 	Handed    int
 	Elapsed   time.Duration
@@ -86,53 +89,54 @@
 func (Drop) command()   {}
 func (Reply) command()  {}
 
-// Verdict is a scheduler's word on a job.
+// Verdict is a scheduler's decision on a job.
 type Verdict struct {
 	From       leader.ID
 	Job        workload.JobID
 	Outcome    workload.Outcome
 	RetryAfter time.Duration
 	Reason     string
-	// NoRoom: the scheduler has started nothing of the job for want of room, and
-	// another one may have some.
+	// NoRoom: the scheduler has started nothing of the job for lack of free slots, and
+	// another scheduler may have some.
 	NoRoom bool
 }
 
-// FallbackShards are those that an entry process hands jobs to.
+// FallbackShards are the shards that an entry process hands jobs in to.
 type FallbackShards struct {
-	// SameCell are the shards of its own cell, and OtherCells those of other cells.
+	// SameCell are the shards of its own cell, OtherCells those of other cells.
 	SameCell, OtherCells []int
 }
 
+// inFlightJob is a job that waits for an answer.
 type inFlightJob struct {
 	job *workload.Job
-	// shard is that of the job, and home the one that it had first.
+	// shard has the job now, and home is the shard that it belongs to.
 	shard, home int
-	// refusedBy are the shards that had no room for it. doubtful: one of them
-	// couldn't tell whether anything had run of an earlier copy.
+	// refusedBy are the shards that had no room for it. mayHaveRun: one of them couldn't
+	// rule out that a run of an earlier copy was started.
 	refusedBy  []int
 	mayHaveRun bool
 	arrived    Time
 	due        Time
 	deadline   Time
 	requests   []uint64
-	// scheduler has the job; "" if none has. handed counts the ones before.
+	// scheduler has the job; "" if none has. handed counts the schedulers before it.
 	scheduler leader.ID
 	handed    int
-	// uncertainUntil is when runs of earlier schedulers are surely over.
+	// uncertainUntil is when all runs of earlier schedulers have ended.
 	uncertainUntil Time
 }
 
-// Gateway is the state. It isn't safe for concurrent use.
+// Gateway holds the jobs in flight. It isn't safe for concurrent use.
 type Gateway struct {
 	now       Time
 	choices   map[int]leader.Choice
 	jobs      map[workload.JobID]*inFlightJob
 	byRequest map[uint64]workload.JobID
 	domain    string
-	// fallback are set if jobs may go to another shard than their home.
+	// fallback is set if jobs may go to shards other than their home.
 	fallback FallbackShards
-	// expectedWaits is how long a new job would wait in a shard, by the last word.
+	// expectedWaits is how long a new job would wait in a shard, as last reported.
 	expectedWaits map[int]time.Duration
 	out           []Command
 }
@@ -147,18 +151,17 @@
 	}
 }
 
-// SetFallbackShards says to which shards jobs may go but their home.
+// SetFallbackShards sets the shards to which jobs may go if their home can't take them.
 func (g *Gateway) SetFallbackShards(s FallbackShards) { g.fallback = s }
 
-// SetExpectedWait notes how long a new job would wait in a shard.
+// SetExpectedWait records how long a new job would wait in a shard.
 func (g *Gateway) SetExpectedWait(shard int, d time.Duration) { g.expectedWaits[shard] = d }
 
-// ExpectedWait is how long a new job would wait in a shard, by the last word; 0 if there was
-// none.
+// ExpectedWait is how long a new job would wait in a shard, as last reported; 0 if it hasn't
+// been.
 func (g *Gateway) ExpectedWait(shard int) time.Duration { return g.expectedWaits[shard] }
 
-// HasReachableScheduler reports whether a new job finds a scheduler: that of its home, or any
-// that takes jobs of other shards.
+// HasReachableScheduler reports whether one of the fallback shards has a reachable scheduler.
 func (g *Gateway) HasReachableScheduler() bool {
 	for _, s := range append(slices.Clone(g.fallback.SameCell), g.fallback.OtherCells...) {
 		if g.hasReachableLeader(s) {
@@ -173,7 +176,7 @@
 	return c.Leader != "" && c.Reachable
 }
 
-// SetDomain says in which failure domain the process is.
+// SetDomain sets the failure domain of the process.
 func (g *Gateway) SetDomain(domain string) { g.domain = domain }
 
 // Ready returns the commands since the last call.
@@ -186,8 +189,8 @@
 // InFlight is the number of jobs that wait for an answer.
 func (g *Gateway) InFlight() int { return len(g.jobs) }
 
-// Submit takes a caller's request for a job of a shard. A second one with the
-// same id gets the same answer.
+// Submit takes a caller's request for a job of a shard. A second request with the same job ID
+// gets the same answer.
 func (g *Gateway) Submit(now Time, request uint64, shard int, job *workload.Job, patience time.Duration) {
 	g.now = now
 	if h := g.jobs[job.ID]; h != nil {
@@ -205,7 +208,7 @@
 	}
 }
 
-// CallerLeft notes that a caller has gone.
+// CallerLeft removes the request of a caller that has gone, and the job with its last request.
 func (g *Gateway) CallerLeft(now Time, request uint64) {
 	g.now = now
 	id, ok := g.byRequest[request]
@@ -229,8 +232,8 @@
 	}
 }
 
-// SetLeader takes the choice of a shard's leader. The one before has heard this process
-// until now at most.
+// SetLeader sets the choice of a shard's leader, and hands over the jobs of the former leader.
+// That leader has had contact with this process until now at the latest.
 func (g *Gateway) SetLeader(now Time, shard int, c leader.Choice) {
 	g.now = now
 	if c == g.choices[shard] {
@@ -248,8 +251,8 @@
 	}
 }
 
-// Reconnected hands in again what a scheduler may have dropped while it wasn't
-// heard.
+// Reconnected hands in again the jobs that a scheduler may have dropped while it had no
+// contact with this process.
 func (g *Gateway) Reconnected(now Time, id leader.ID) {
 	g.now = now
 	for _, h := range g.sortedJobs() {
@@ -260,16 +263,16 @@
 	}
 }
 
-// withdraw marks a job as being with no scheduler.
+// withdraw records that no scheduler has the job.
 func (g *Gateway) withdraw(h *inFlightJob) {
 	h.scheduler = ""
 	h.handed++
 	h.uncertainUntil = g.now + orphanRunLifetime
 }
 
-// chooseShard is the shard that a job goes to. While something may run of it that an
-// earlier scheduler has started, that is the shard it was in: only the runners of
-// that one list it.
+// chooseShard is the shard that a job goes to, if one has a reachable leader. While runs that
+// an earlier scheduler started may be alive, it is the shard that the job was in, since only
+// the runners of that shard list them.
 func (g *Gateway) chooseShard(h *inFlightJob) (int, bool) {
 	if h.handed > 0 && g.now < h.uncertainUntil || h.job.Stored {
 		return h.shard, g.hasReachableLeader(h.shard)
@@ -283,8 +286,8 @@
 	return g.shortestWait(h, g.fallback.OtherCells)
 }
 
-// shortestWait is the shard of some in which a job would wait least. Jobs with the same
-// wait everywhere spread over all.
+// shortestWait is the shard with the shortest expected wait among those with a reachable
+// leader that haven't refused the job. With equal waits, jobs spread over the shards.
 func (g *Gateway) shortestWait(h *inFlightJob, shards []int) (int, bool) {
 	best, found := 0, false
 	for i := range shards {
@@ -323,9 +326,9 @@
 	})
 }
 
-// HandleVerdict takes a scheduler's word. The word of one that no longer has the job
-// counts only if the job is complete, or in the store: a ready answer is
-// delivered, but another scheduler may yet complete what this one gave up.
+// HandleVerdict takes a scheduler's verdict. The verdict of a scheduler that no longer has the
+// job counts only if the job is completed or in the store. Other outcomes are ignored, since
+// the present scheduler may still complete what the former one gave up.
 func (g *Gateway) HandleVerdict(now Time, v Verdict) {
 	g.now = now
 	h := g.jobs[v.Job]
@@ -342,8 +345,8 @@
 	g.reply(h, v)
 }
 
-// redirect hands a job that was refused for want of room to a shard in which
-// nothing waits. It isn't handed on twice: by then others are short of room too.
+// redirect hands a job that was refused for lack of room to a shard with no expected wait. It
+// does so once per job: after a second refusal the other shards are short of room as well.
 func (g *Gateway) redirect(h *inFlightJob) bool {
 	if len(h.refusedBy) > 0 || h.handed > 0 || h.job.Stored {
 		return false
@@ -375,7 +378,7 @@
 	}
 }
 
-// GiveUp answers all callers, since the process ends.
+// GiveUp answers all callers because the process ends.
 func (g *Gateway) GiveUp(now Time, reason string) {
 	g.now = now
 	for _, h := range g.sortedJobs() {
@@ -383,8 +386,8 @@
 	}
 }
 
-// giveUp answers the callers of a job that something may have run of, and tells
-// its scheduler, if it has one.
+// giveUp answers the callers of a job that may have run in part, and tells its scheduler, if
+// it has one, to drop the job.
 func (g *Gateway) giveUp(h *inFlightJob, reason string) {
 	if h.scheduler != "" {
 		g.out = append(g.out, Drop{At: g.now, To: h.scheduler, Shard: h.shard, Job: h.job.ID})
@@ -392,12 +395,12 @@
 	g.reply(h, Verdict{From: h.scheduler, Job: h.job.ID, Outcome: workload.GaveUp, RetryAfter: noLeaderRetryAfter, Reason: reason})
 }
 
-// Tick answers what nobody else will.
+// Tick answers the jobs that no scheduler has answered in time.
 func (g *Gateway) Tick(now Time) {
 	g.now = now
 	for _, h := range g.sortedJobs() {
 		if h.scheduler == "" && now < h.deadline {
-			// What kept it with its shard may be over.
+			// Runs of the former scheduler may have ended by now.
 			g.handIn(h)
 		}
 		switch {
@@ -407,8 +410,8 @@
 			if h.handed > 0 && now < h.deadline {
 				continue
 			}
-			// Who scheduled before may have had the job by another entry VM, so
-			// this is no promise that nothing of it has run.
+			// The former scheduler may have had the job from another entry VM, so the
+			// answer doesn't promise that nothing of it has run.
 			g.giveUp(h, "no scheduler")
 		}
 	}
--- a/core/gateway/gateway_test.go
+++ b/core/gateway/gateway_test.go
@@ -39,7 +39,7 @@
 	return list
 }
 
-func TestOneAnswerForCopies(t *testing.T) {
+func TestCopiesGetTheSameAnswer(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
 	w.SetLeader(0, 0, leaderA)
@@ -51,9 +51,9 @@
 	g.Expect(w.InFlight()).To(BeZero())
 }
 
-// The scheduler is lost. Its jobs are handed to the next one with a word that
-// they may be running, and the old one, should it live, is told to leave them.
-func TestNextScheduler(t *testing.T) {
+// The scheduler is lost. Its jobs are handed over to the next scheduler, together with the
+// time for which they may still run, and the former scheduler is told to drop them.
+func TestJobsAreHandedOverToNextScheduler(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
 	w.SetLeader(0, 0, leaderA)
@@ -70,13 +70,13 @@
 	g.Expect(again[0].Patience).To(Equal(1900 * ms))
 
 	w.HandleVerdict(200*ms, Verdict{From: "a", Job: "j", Outcome: workload.GaveUp})
-	g.Expect(replies(w.Ready())).To(BeEmpty(), "the one that has the job decides")
+	g.Expect(replies(w.Ready())).To(BeEmpty(), "only the scheduler that has the job may give it up")
 	w.HandleVerdict(300*ms, Verdict{From: "a", Job: "j", Outcome: workload.Completed})
-	g.Expect(replies(w.Ready())).To(HaveLen(1), "but a ready answer is delivered")
+	g.Expect(replies(w.Ready())).To(HaveLen(1), "a completed job is answered whoever completed it")
 }
 
-// A scheduler refuses a job that another one had before. That one may have run
-// it, so the caller isn't told that nothing has run.
+// A scheduler refuses a job that another scheduler had before. That one may have run it, so
+// the answer isn't "not run".
 func TestRefusalAfterAHandover(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
@@ -90,8 +90,8 @@
 	g.Expect(r[0].Outcome).To(Equal(workload.GaveUp))
 }
 
-// Nobody schedules: a job waits for as long as a change takes. If it is known
-// that the scheduler can't be reached from here, its caller learns that at once.
+// There is no scheduler: a job waits for as long as a change of leader takes. If the leader
+// is known to be unreachable from here, the caller is answered at once.
 func TestNoScheduler(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
@@ -107,7 +107,7 @@
 	g.Expect(replies(w.Ready())).To(HaveLen(1))
 }
 
-func TestCallerLeaves(t *testing.T) {
+func TestJobIsDroppedWithLastCaller(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
 	w.SetLeader(0, 0, leaderA)
@@ -120,8 +120,8 @@
 	g.Expect(w.Ready()).To(ConsistOf(Drop{At: 20 * ms, To: "a", Job: "j"}))
 }
 
-// A scheduler says nothing more. The caller is answered when it would leave.
-func TestNoWord(t *testing.T) {
+// A scheduler doesn't answer. The caller is answered when its timeout and the grace end.
+func TestSchedulerDoesNotAnswer(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
 	w.SetLeader(0, 0, leaderA)
@@ -133,7 +133,7 @@
 	g.Expect(r[0].Outcome).To(Equal(workload.GaveUp))
 }
 
-func TestEndOfTheProcess(t *testing.T) {
+func TestGiveUpAtProcessEnd(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
 	w.SetLeader(0, 0, leaderA)
--- a/core/gateway/elsewhere_test.go
+++ b/core/gateway/redirect_test.go
@@ -10,8 +10,8 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// gatewayInCell returns a gateway in a cell of shards 0 and 1, beside one of shards 2 and 3
-// of which only 2 has a leader in reach.
+// gatewayInCell returns a gateway in a cell of shards 0 and 1, beside a cell of shards 2 and 3
+// of which only 2 has a reachable leader.
 func gatewayInCell() *Gateway {
 	g := New()
 	g.SetFallbackShards(FallbackShards{SameCell: []int{0, 1}, OtherCells: []int{2, 3}})
@@ -25,9 +25,9 @@
 	return Verdict{From: from, Job: id, Outcome: o, NoRoom: true, Reason: "wait of 2s expected"}
 }
 
-// A burst comes to one failure domain, whose runners have no room. Its callers are
-// served where nothing waits; none is sent round after that.
-func TestBurstGoesWhereRoomIs(t *testing.T) {
+// A burst comes to one failure domain whose runners have no room. Its callers are served in a
+// shard without waiting jobs; no job is redirected a second time.
+func TestRefusedJobGoesToShardWithRoom(t *testing.T) {
 	g := NewWithT(t)
 	gw := gatewayInCell()
 	gw.SetExpectedWait(1, 300*ms)
@@ -36,7 +36,7 @@
 	gw.HandleVerdict(5*ms, noRoom("a", "j", workload.NotRun))
 	again := handIns(gw.Ready())
 	g.Expect(again).To(HaveLen(1))
-	g.Expect(again[0].Shard).To(Equal(2), "in shard 1 others wait, and 3 has no leader")
+	g.Expect(again[0].Shard).To(Equal(2), "shard 1 has waiting jobs, shard 3 has no leader")
 	g.Expect(again[0].Handed).To(BeZero(), "nothing has run")
 	g.Expect(again[0].Patience).To(Equal(995 * ms))
 	gw.HandleVerdict(10*ms, noRoom("c", "j", workload.NotRun))
@@ -45,9 +45,9 @@
 	g.Expect(answers[0].Outcome).To(Equal(workload.NotRun))
 }
 
-// All domains are as full. The refusal is given at once, and handing the job on would
-// only add load.
-func TestNobodyHasRoom(t *testing.T) {
+// All domains are equally full. The job is refused at once; handing it in elsewhere would add
+// load and not find room.
+func TestRefusedIfNoShardHasRoom(t *testing.T) {
 	g := NewWithT(t)
 	gw := gatewayInCell()
 	gw.SetExpectedWait(1, 10*ms)
@@ -57,9 +57,9 @@
 	g.Expect(replies(gw.Ready())).To(HaveLen(1))
 }
 
-// The first scheduler couldn't tell whether an earlier copy of the job has run. That
-// another one refuses it too doesn't make "not run" true.
-func TestRefusalElsewhereIsNoMoreThanWasKnown(t *testing.T) {
+// The first scheduler couldn't rule out that an earlier copy of the job has run. A refusal by
+// another scheduler doesn't prove it either, so the answer isn't "not run".
+func TestSecondRefusalDoesNotProveNotRun(t *testing.T) {
 	g := NewWithT(t)
 	gw := gatewayInCell()
 	gw.Submit(0, 1, 0, testJob("j"), time.Second)
@@ -71,10 +71,10 @@
 	g.Expect(answers[0].Outcome).To(Equal(workload.GaveUp))
 }
 
-// A domain has lost its schedulers. New jobs go to another one at once. A job that
-// the lost scheduler had may run on: only the runners of its shard could tell, so it
-// goes elsewhere when that must be over, and not before.
-func TestJobsOfALostScheduler(t *testing.T) {
+// A domain has lost its schedulers. New jobs go to another domain at once. Runs of a job that
+// the lost scheduler had may continue, and only the runners of its shard know of them, so that
+// job goes elsewhere when they must have ended, and not before.
+func TestJobsOfLostSchedulerMoveAfterOrphanRuns(t *testing.T) {
 	g := NewWithT(t)
 	gw := gatewayInCell()
 	gw.SetLeader(0, 1, leader.Choice{})
@@ -96,7 +96,7 @@
 	g.Expect(list[0].Unknown).To(BeZero())
 }
 
-// A stored job belongs to one shard, whose owner alone may accept it.
+// A stored job belongs to one shard, and only the owner of its rows may accept it.
 func TestStoredJobsStayWithTheirShard(t *testing.T) {
 	g := NewWithT(t)
 	gw := gatewayInCell()
