--- a/core/gateway/gateway.go
+++ b/core/gateway/gateway.go
@@ -101,7 +101,7 @@
 	NoRoom bool
 }
 
-// FallbackShards are the shards that an entry process hands jobs in to.
+// FallbackShards are the shards that an entry process hands jobs in to, home shards included.
 type FallbackShards struct {
 	// SameCell are the shards of its own cell, OtherCells those of other cells.
 	SameCell, OtherCells []int
@@ -161,7 +161,8 @@
 // been.
 func (g *Gateway) ExpectedWait(shard int) time.Duration { return g.expectedWaits[shard] }
 
-// HasReachableScheduler reports whether one of the fallback shards has a reachable scheduler.
+// HasReachableScheduler reports whether a new job finds a scheduler: whether one of the fallback
+// shards, which include its home, has a reachable leader.
 func (g *Gateway) HasReachableScheduler() bool {
 	for _, s := range append(slices.Clone(g.fallback.SameCell), g.fallback.OtherCells...) {
 		if g.hasReachableLeader(s) {
--- a/core/ledger/call.go
+++ b/core/ledger/call.go
@@ -4,56 +4,56 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Ownership is one process's hold on a shard's rows.
+// Ownership is one process's ownership of a shard's rows.
 type Ownership struct {
-	// Epoch counts the times that the shard was taken.
+	// Epoch counts the times that the shard was claimed by a new owner.
 	Epoch uint64
-	// Version is that of the ownership row, on which writes are conditional.
+	// Version is the version of the ownership row, on which writes are conditional.
 	Version uint64
 }
 
-// Outcome is what came of a call to the store.
+// Outcome is the outcome of a call to the store.
 type Outcome uint8
 
 // The outcomes of calls.
 const (
-	// Applied: done.
+	// Applied: the store carried out the call.
 	Applied Outcome = iota
-	// Superseded: another process owns the shard; nothing was done.
+	// Superseded: another process owns the shard; the call had no effect.
 	Superseded
-	// Rejected: the store has refused the call and done nothing.
+	// Rejected: the store refused the call, which had no effect.
 	Rejected
-	// Unanswered: nobody knows; it may still be carried out.
+	// Unanswered: the outcome is unknown; the store may still carry out the call.
 	Unanswered
 )
 
 var outcomeNames = [...]string{"applied", "superseded", "turned-away", "unanswered"}
 
-// String is for logs.
+// String is the name for logs.
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // Command is an output of the ledger.
 type Command interface{ command() }
 
-// Claim takes the shard's rows, or renews the ownership of an epoch, which makes
-// earlier writes void. A ClaimResult follows.
+// Claim takes the shard's rows, or renews the ownership of an epoch. Either voids earlier
+// writes that haven't been carried out. A ClaimResult follows.
 type Claim struct {
 	Call uint64
-	// Renew is the epoch to be renewed; it is Superseded if this process doesn't
-	// own the shard under that epoch any more. 0 takes the shard from whoever
-	// has it, and begins an epoch.
+	// Renew is the epoch to be renewed; the outcome is Superseded if this process doesn't
+	// own the shard under that epoch any more. 0 takes the shard from its present owner
+	// and begins a new epoch.
 	Renew uint64
-	// Excluded are VMs to which the store is to refuse the shard for ExclusionTime.
+	// Excluded are VMs to which the store refuses the shard for ExclusionTime.
 	Excluded []string
 }
 
-// Read reads all records. A ReadResult follows.
+// Read reads all records of the shard. A ReadResult follows.
 type Read struct{ Call uint64 }
 
 // Check reads the version of the ownership row. A CheckResult follows.
 type Check struct{ Call uint64 }
 
-// Write saves records if the ownership row has the version. A WriteResult
+// Write saves records on condition that the ownership row has the version. A WriteResult
 // follows.
 type Write struct {
 	Call    uint64
@@ -61,16 +61,16 @@
 	Records []Record
 }
 
-// Loaded gives all records to the scheduler.
+// Loaded passes all records of the shard to the scheduler.
 type Loaded struct {
 	At    Time
 	Epoch uint64
-	// ClaimedAt is when the call was answered that took the shard.
+	// ClaimedAt is when the Claim was answered.
 	ClaimedAt Time
 	Records   []Record
 }
 
-// Saved says which records are in the store.
+// Saved lists records that are in the store.
 type Saved struct {
 	At      Time
 	Records []SavedRecord
@@ -82,10 +82,10 @@
 	Sequence uint64
 }
 
-// Verified says that this process owned the shard at the time OwnedAt.
+// Verified confirms that this process owned the shard at the time OwnedAt.
 type Verified struct{ At, OwnedAt Time }
 
-// Lost says that another process has taken the shard.
+// Lost tells that another process has claimed the shard.
 type Lost struct{ At Time }
 
 func (Claim) command()    {}
@@ -97,7 +97,7 @@
 func (Verified) command() {}
 func (Lost) command()     {}
 
-// Result is what came of a call to the store.
+// Result is the result of a call to the store.
 type Result interface{ result() }
 
 func (ClaimResult) result() {}
@@ -105,7 +105,7 @@
 func (CheckResult) result() {}
 func (WriteResult) result() {}
 
-// ClaimResult reports on a Claim.
+// ClaimResult is the result of a Claim.
 type ClaimResult struct {
 	Call      uint64
 	Outcome   Outcome
@@ -114,14 +114,14 @@
 	SentAt Time
 }
 
-// ReadResult reports on a Read.
+// ReadResult is the result of a Read.
 type ReadResult struct {
 	Call    uint64
 	Outcome Outcome
 	Records []Record
 }
 
-// CheckResult reports on a Check.
+// CheckResult is the result of a Check.
 type CheckResult struct {
 	Call    uint64
 	Outcome Outcome
@@ -130,7 +130,7 @@
 	SentAt Time
 }
 
-// WriteResult reports on a Write.
+// WriteResult is the result of a Write.
 type WriteResult struct {
 	Call    uint64
 	Outcome Outcome
--- a/core/ledger/exclusion.go
+++ b/core/ledger/exclusion.go
@@ -5,38 +5,36 @@
 	"time"
 )
 
-// A VM that was removed for good can't be told from one behind a cut, whose process
-// may take the shard in the store. So an owner that hasn't heard a VM for long has the
-// store refuse the shard to that VM for a time, and renews this while it can. Meanwhile
-// only processes that it hears could take the shard, also while the store is away from
-// this one.
+// A VM that was removed for good can't be told from one behind a network partition, whose
+// process may claim the shard in the store. Therefore an owner that has had no contact with a
+// VM for long has the store refuse the shard to that VM for ExclusionTime, and renews this
+// while it can. Until it expires, only processes that have contact with the owner can claim
+// the shard, also while the owner can't reach the store.
 
 const (
-	// ExclusionTime is how long the store refuses the shard to VMs from each renewal
-	// on. An outage of the store that lasts longer stops stored jobs.
+	// ExclusionTime is how long the store refuses the shard to excluded VMs after each
+	// renewal. A store outage that lasts longer stops stored jobs.
 	ExclusionTime = 30 * time.Second
-	// exclusionRenewal is how often that is renewed.
+	// exclusionRenewal is the time between renewals.
 	exclusionRenewal = 10 * time.Second
-	// exclusionMargin covers what two readings of the store's clock may differ by.
+	// exclusionMargin covers the difference between two readings of the store's clock.
 	exclusionMargin = time.Second
 )
 
-// exclusion is what the store refuses the shard to.
+// exclusion is the state of the VMs to which the store refuses the shard.
 type exclusion struct {
-	// wanted are the VMs that are to be refused, and requested those in the Claim on its
-	// way.
+	// wanted are the VMs to be refused, and requested those in the Claim in flight.
 	wanted, requested []string
-	// refused are those that the store surely refuses until a time.
+	// refused are the VMs that the store certainly refuses until a time.
 	refused          []string
 	until            Time
 	since, renewedAt Time
 }
 
-// Exclude says to which VMs the store is to refuse the shard, in order.
+// Exclude sets the VMs to which the store is to refuse the shard, in order.
 func (l *Ledger) Exclude(vms []string) { l.exclusion.wanted = vms }
 
-// Excludes reports whether the store refuses the shard to all of some VMs, and since
-// when.
+// Excludes reports whether the store refuses the shard to all of the VMs, and since when.
 func (l *Ledger) Excludes(now Time, vms []string) (since Time, all bool) {
 	for _, vm := range vms {
 		if !slices.Contains(l.exclusion.refused, vm) {
@@ -46,7 +44,7 @@
 	return l.exclusion.since, now < l.exclusion.until
 }
 
-// due reports whether the store is to be told.
+// due reports whether a Claim is needed to change or renew the exclusion.
 func (x *exclusion) due(now Time) bool {
 	if !slices.Equal(x.wanted, x.refused) {
 		return true
@@ -54,14 +52,14 @@
 	return len(x.wanted) > 0 && now-x.renewedAt >= exclusionRenewal
 }
 
-// claimSent notes that a Claim is sent. It may be carried out without an answer, so VMs that
-// it leaves out may take the shard from now on.
+// claimSent records that a Claim is sent. It may be carried out without an answer, so the VMs
+// that it omits may claim the shard from now on.
 func (x *exclusion) claimSent() {
 	x.requested = x.wanted
 	x.refused = slices.DeleteFunc(slices.Clone(x.refused), func(vm string) bool { return !slices.Contains(x.requested, vm) })
 }
 
-// claimApplied notes that a Claim was carried out that was sent at a time.
+// claimApplied records that the Claim that was sent at the time sentAt was carried out.
 func (x *exclusion) claimApplied(sentAt Time) {
 	if !slices.Equal(x.refused, x.requested) {
 		x.refused, x.since = x.requested, sentAt
--- a/core/ledger/exclusion_test.go
+++ b/core/ledger/exclusion_test.go
@@ -12,16 +12,16 @@
 	return all
 }
 
-// Guards against an owner that relies on a VM's being shut out though it isn't any more:
-// the renewal that would have kept it out stayed unanswered, or the time has run out.
-func TestExclusionHoldsOnlyForItsTime(t *testing.T) {
+// Guards against an owner that relies on an exclusion that isn't confirmed yet, or that has
+// expired because its renewal wasn't answered.
+func TestExclusionExpires(t *testing.T) {
 	b := openHarness(t)
 	b.l.Exclude([]string{"c2"})
 	b.tick(20 * ms)
 	c := takeOne[Claim](b)
-	b.g.Expect(c.Renew).To(Equal(uint64(3)), "it is renewed, not taken anew")
+	b.g.Expect(c.Renew).To(Equal(uint64(3)), "the epoch is renewed")
 	b.g.Expect(c.Excluded).To(Equal([]string{"c2"}))
-	b.g.Expect(b.excludes("c2")).To(BeFalse(), "nobody has said so yet")
+	b.g.Expect(b.excludes("c2")).To(BeFalse(), "the claim isn't answered yet")
 	b.answerClaim(c, Ownership{Epoch: 3, Version: 31})
 	b.g.Expect(b.excludes("c2")).To(BeTrue())
 	b.g.Expect(b.excludes("c1")).To(BeFalse())
@@ -35,9 +35,9 @@
 	b.g.Expect(b.excludes("c2")).To(BeFalse())
 }
 
-// Guards against an owner that relies on a VM's being shut out after it has asked the
-// store to let that VM in: the call may be carried out and stay unanswered.
-func TestExclusionEndsWhenItsEndIsAskedFor(t *testing.T) {
+// Guards against an owner that relies on the exclusion of a VM after it asked the store to
+// end it: the call may be carried out and stay unanswered.
+func TestExclusionEndsWithRequestToEndIt(t *testing.T) {
 	b := openHarness(t)
 	b.l.Exclude([]string{"c2"})
 	b.tick(20 * ms)
@@ -51,9 +51,8 @@
 	b.g.Expect(b.excludes("c2")).To(BeFalse())
 }
 
-// Guards against a shard that its new owner keeps others out of by the word of the one
-// before.
-func TestExclusionEndsWithTheOwnership(t *testing.T) {
+// Guards against a new owner that relies on the exclusion that the former owner requested.
+func TestExclusionEndsWithOwnership(t *testing.T) {
 	b := openHarness(t)
 	b.l.Exclude([]string{"c2"})
 	b.tick(20 * ms)
@@ -63,7 +62,7 @@
 	b.g.Expect(b.excludes("c2")).To(BeFalse())
 }
 
-// nextCheck lets the next nextCheck be sent, and returns its call.
+// nextCheck waits until the next check is sent, and returns its call.
 func (b *harness) nextCheck() uint64 {
 	b.tick(idleCheckInterval + 100*time.Millisecond)
 	list := takeAll[Check](b)
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -1,13 +1,12 @@
-// Package ledger keeps what must last of a shard's jobs in the platform's store.
+// Package ledger saves the records of a shard's stored jobs in the platform's store.
 //
-// One process owns a shard's rows at a time. It takes them by changing the
-// ownership row, and each of its writes is conditional on the version that this
-// change gave. So a write of a former owner, or one that the store carries out
-// seconds after its answer was given up, changes nothing once the shard has been
-// taken again.
+// One process owns a shard's rows at a time. It takes ownership by changing the ownership
+// row, and each of its writes is conditional on the version that resulted. A write of a former
+// owner, or one that the store carries out seconds after the caller gave up on it, therefore
+// has no effect once the shard has been taken again.
 //
-// A write without an answer is settled by taking the shard again, which makes it
-// void if it hasn't been carried out yet, and by writing the same rows again.
+// After a write without an answer, the ledger renews its ownership, which voids the write if
+// it hasn't been carried out yet, and writes the same rows again.
 //
 // A Ledger does no input or output and reads no clock.
 package ledger
@@ -24,79 +23,77 @@
 type Time = task.Time
 
 const (
-	// maxRowsPerWrite is the number of rows in one write: the store takes 100 with the
+	// maxRowsPerWrite limits the rows of one write: the store accepts 100 including the
 	// condition.
 	maxRowsPerWrite = 96
-	// maxWriteBytes is the size of one write: the store takes 1 MB, and base64 adds
-	// a third.
+	// maxWriteBytes limits the size of one write: the store accepts 1 MB, and base64 adds a
+	// third.
 	maxWriteBytes = 600 << 10
-	// maxWritesInFlight is the number of writes on their way. One at a time is enough
-	// while the store answers in some milliseconds; a slow one gets more, since
-	// each carries 48 jobs at most.
+	// maxWritesInFlight limits concurrent writes. One is enough while the store answers
+	// within milliseconds; a slow store needs more, since each write carries at most 48 jobs.
 	maxWritesInFlight = 4
-	// maxBatchWait is how long a record waits for the write before to be answered
-	// until it is sent beside it.
+	// maxBatchWait is how long a record waits for the previous write's answer before it is
+	// sent in a concurrent write.
 	maxBatchWait = 15 * time.Millisecond
 	// retryDelay is the pause after a call that failed.
 	retryDelay = 100 * time.Millisecond
-	// checkInterval is how often the ownership is checked if no write does it.
-	// With a store that answers in a quarter of a second it is then known to
-	// within 350 ms, less than the time after which a scheduler doubts it.
+	// checkInterval is the time between checks of the ownership if no write confirms it.
+	// With a store that answers in 250 ms, the last confirmation is then at most 350 ms old,
+	// less than the age at which a scheduler considers its ownership uncertain.
 	checkInterval = 100 * time.Millisecond
-	// idleCheckInterval is the same while nothing depends on the ownership, so
-	// that its loss is known before the next job comes.
+	// idleCheckInterval applies while no job depends on the ownership, so that its loss is
+	// known before the next job arrives.
 	idleCheckInterval = time.Second
-	// maxChecksInFlight bounds the checks on their way.
+	// maxChecksInFlight limits concurrent checks.
 	maxChecksInFlight = 4
-	// reclaimDelay is how long a shard is left to another process that took it
-	// while this one thinks that it leads: they can't hear each other.
+	// reclaimDelay is how long this process, as leader of the shard, leaves its rows to
+	// another process that took them. The two have no contact with each other.
 	reclaimDelay = 2 * time.Second
 )
 
-// phase is what the ledger is at.
+// phase is the state of the ownership.
 type phase uint8
 
 const (
 	// idle: the process doesn't lead the shard.
 	idle phase = iota
-	// claiming: a Claim is on its way, or due.
+	// claiming: a Claim is in flight or due.
 	claiming
-	// reading: a Read is on its way, or due.
+	// reading: a Read is in flight or due.
 	reading
-	// open: records are written.
+	// open: records can be written.
 	open
-	// quiescing: a write stays unanswered, or VMs are to be excluded; the shard is
-	// taken again when all writes are back.
+	// quiescing: a write got no answer, or the excluded VMs are to change; ownership is
+	// renewed when all writes have returned.
 	quiescing
-	// lost: another process has the shard.
+	// lost: another process owns the shard.
 	lost
 )
 
-// pendingRecord is a record that is to be saved.
+// pendingRecord is a record to be saved.
 type pendingRecord struct {
 	record   Record
 	sequence uint64
 	queuedAt Time
 }
 
-// Ledger is the state. It isn't safe for concurrent use.
+// Ledger saves the records of one shard. It isn't safe for concurrent use.
 type Ledger struct {
 	now   Time
 	phase phase
-	// loaded: the records have been read under an ownership that no other
-	// process has interrupted.
+	// loaded: the records have been read, and no other process has owned the shard since.
 	loaded    bool
 	ownership Ownership
 	claimedAt Time
 	lastCall  uint64
-	// call is the Claim or Read on its way, due when the next may be sent.
+	// call is the Claim or Read in flight, 0 if none; due is when the next may be sent.
 	call uint64
 	due  Time
 
-	// waiting are records to be sent, in order.
+	// waiting are the records to be sent, and order is the order of their jobs.
 	order   []workload.JobID
 	waiting map[workload.JobID]*pendingRecord
-	// writes are on their way, and busy the jobs in them.
+	// writes are in flight, and jobsInFlight are the jobs in them.
 	writes       map[uint64][]*pendingRecord
 	jobsInFlight map[workload.JobID]bool
 	checks       map[uint64]bool
@@ -106,7 +103,7 @@
 	verifiedAt   Time
 	checkedAt    Time
 	failingSince Time
-	// succeededAt is when the latest call was sent that succeeded.
+	// succeededAt is when the latest successful call was sent.
 	succeededAt Time
 	out         []Command
 }
@@ -143,7 +140,7 @@
 	return l.lastCall
 }
 
-// Acquire takes the shard.
+// Acquire claims the shard as the process becomes its leader.
 func (l *Ledger) Acquire(now Time) {
 	l.now = now
 	if l.phase != idle {
@@ -155,16 +152,15 @@
 	l.step()
 }
 
-// Release leaves the shard to another process. What isn't in the store yet isn't
-// saved.
+// Release ends the ledger's work for the shard as another process becomes the leader. Records
+// that aren't in the store yet are dropped.
 func (l *Ledger) Release() {
 	l.clear()
 	l.phase = idle
 	l.failingSince = 0
 }
 
-// FailingFor is how long all calls to the store have failed; 0 if the last one
-// hasn't.
+// FailingFor is how long all calls to the store have failed; 0 if the latest one succeeded.
 func (l *Ledger) FailingFor(now Time) time.Duration {
 	if l.failingSince == 0 {
 		return 0
@@ -172,8 +168,8 @@
 	return now - l.failingSince
 }
 
-// Save has a record written. A later record of the same job replaces one that
-// hasn't been sent.
+// Save queues a record for writing. It replaces an earlier record of the same job that hasn't
+// been sent.
 func (l *Ledger) Save(now Time, sequence uint64, r Record) {
 	l.now = now
 	if l.phase == idle || l.phase == lost {
@@ -190,7 +186,7 @@
 	l.step()
 }
 
-// replace keeps the job's work of a record that wasn't sent.
+// replace sets the record, and retains the job's definition if the new record has none.
 func (e *pendingRecord) replace(r Record, sequence uint64) {
 	if r.Definition == nil {
 		r.Definition = e.record.Definition
@@ -198,16 +194,16 @@
 	e.record, e.sequence = r, sequence
 }
 
-// Uncontested says that no other process can think that it leads the shard, so
-// that it needn't be left to one.
+// Uncontested tells that no other process can consider itself leader of the shard, so that
+// the reclaim delay needn't be waited for.
 func (l *Ledger) Uncontested(now Time) {
 	if l.phase == lost {
 		l.due = min(l.due, now+retryDelay)
 	}
 }
 
-// Tick does what is due. keeps says that jobs depend on the ownership, so that
-// it is to be checked.
+// Tick does what is due. inUse tells that jobs depend on the ownership, which is then checked
+// more often.
 func (l *Ledger) Tick(now Time, inUse bool) {
 	l.now = now
 	if l.phase == lost && now >= l.due {
@@ -229,7 +225,7 @@
 	}
 }
 
-// step sends what can be sent now.
+// step sends the calls that can be sent now.
 func (l *Ledger) step() {
 	switch {
 	case l.call != 0 || l.now < l.due:
@@ -254,7 +250,7 @@
 	}
 }
 
-// canWrite reports whether a write is to be sent now.
+// canWrite reports whether a write can be sent now.
 func (l *Ledger) canWrite() bool {
 	id, ok := l.nextSendable()
 	if !ok || len(l.writes) >= maxWritesInFlight {
@@ -263,8 +259,8 @@
 	return len(l.writes) == 0 || l.now-l.waiting[id].queuedAt >= maxBatchWait
 }
 
-// nextSendable is the first job with a record to be sent. Records of one job are
-// sent one after the other, since two writes may be carried out in any order.
+// nextSendable is the first job with a record that can be sent. Records of one job are sent
+// one after the other, since the store may carry out two writes in either order.
 func (l *Ledger) nextSendable() (workload.JobID, bool) {
 	for _, id := range l.order {
 		if !l.jobsInFlight[id] {
@@ -299,7 +295,7 @@
 	l.emit(w)
 }
 
-// HandleResult takes what came of a call to the store.
+// HandleResult takes the result of a call to the store.
 func (l *Ledger) HandleResult(now Time, r Result) {
 	l.now = now
 	switch r := r.(type) {
@@ -410,7 +406,7 @@
 	l.emit(s)
 }
 
-// requeue has records sent again, before the others.
+// requeue queues records to be sent again, before the others.
 func (l *Ledger) requeue(entries []*pendingRecord) {
 	ids := make([]workload.JobID, 0, len(entries)+len(l.order))
 	for _, e := range entries {
@@ -427,7 +423,7 @@
 	l.order = append(ids, l.order...)
 }
 
-// loseOwnership gives up the shard: what this process knows of it is old.
+// loseOwnership drops the state of the shard, which another process owns now.
 func (l *Ledger) loseOwnership() {
 	l.clear()
 	l.phase = lost
@@ -435,14 +431,14 @@
 	l.emit(Lost{At: l.now})
 }
 
-// recordFailure notes a call that recordFailure, unless a later one has succeeded meanwhile.
+// recordFailure records a failed call, unless a call that was sent later has succeeded.
 func (l *Ledger) recordFailure(sentAt Time) {
 	if l.failingSince == 0 && sentAt >= l.succeededAt {
 		l.failingSince = max(sentAt, 1)
 	}
 }
 
-// recordSuccess notes that this process owned the shard when a call was sent.
+// recordSuccess records that this process owned the shard when the call was sent.
 func (l *Ledger) recordSuccess(sentAt Time) {
 	l.failingSince = 0
 	l.succeededAt = max(l.succeededAt, sentAt)
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-// harness drives a ledger by hand.
+// harness drives a ledger step by step.
 type harness struct {
 	g   *WithT
 	l   *Ledger
@@ -22,7 +22,7 @@
 
 func newHarness(t *testing.T) *harness { return &harness{g: NewWithT(t), l: New(), now: time.Second} }
 
-// openHarness returns a bench whose ledger owns its shard under epoch 3.
+// openHarness returns a harness whose ledger owns its shard under epoch 3.
 func openHarness(t *testing.T) *harness {
 	b := newHarness(t)
 	b.l.Acquire(b.now)
@@ -77,10 +77,10 @@
 	return ids
 }
 
-// Two writes may be carried out in either order. A job's newer record is held
-// back until the older one's write is answered; otherwise the older could stay,
-// and a task that has ended would run again after a restart.
-func TestRecordsOfAJobFollowEachOther(t *testing.T) {
+// The store may carry out two writes in either order. A job's newer record is held back until
+// the write of the older one is answered. Otherwise the older record could remain in the
+// store, and a task that has ended would run again after a restart.
+func TestRecordsOfAJobAreWrittenInOrder(t *testing.T) {
 	b := openHarness(t)
 	b.l.Save(b.now, 1, Record{Job: "a", Definition: &workload.Job{ID: "a"}})
 	first := takeOne[Write](b)
@@ -98,10 +98,10 @@
 	b.g.Expect(takeOne[Saved](b).Records).To(Equal([]SavedRecord{{Job: "a", Sequence: 3}}))
 }
 
-// The answer to a write is lost, and the store may yet carry it out. Before the
-// rows are written again the ownership is renewed, so that it can't come after
-// them and bring an old state back.
-func TestLostAnswer(t *testing.T) {
+// The answer to a write is lost, and the store may still carry it out. The ownership is renewed
+// before the rows are written again, so that the lost write can't be carried out after them
+// and restore an old state.
+func TestUnansweredWriteIsRepeatedAfterRenewal(t *testing.T) {
 	b := openHarness(t)
 	b.l.Save(b.now, 1, Record{Job: "a", Definition: &workload.Job{ID: "a"}})
 	b.answerWrite(takeOne[Write](b), Unanswered)
@@ -114,25 +114,25 @@
 	b.g.Expect(again.Version).To(BeEquivalentTo(31))
 	b.g.Expect(again.Records[0].State).To(Equal(Cancelled))
 	b.g.Expect(again.Records[0].Definition).NotTo(BeNil(), "the first record's job may not be in the store")
-	b.g.Expect(takeAll[Read](b)).To(BeEmpty(), "nobody else has written")
+	b.g.Expect(takeAll[Read](b)).To(BeEmpty(), "no other process has written")
 }
 
-// While an answer is awaited another process takes the shard. The renewal finds
-// that; taking the shard back without reading it would go on with an old state.
-func TestRenewalFindsAnotherOwner(t *testing.T) {
+// While a write is unanswered, another process takes the shard. The renewal detects that. If
+// the ledger took the shard back without reading it, it would continue with an old state.
+func TestRenewalDetectsNewOwner(t *testing.T) {
 	b := openHarness(t)
 	b.l.Save(b.now, 1, Record{Job: "a"})
 	b.answerWrite(takeOne[Write](b), Unanswered)
 	b.l.HandleResult(b.now, ClaimResult{Call: takeOne[Claim](b).Call, Outcome: Superseded, SentAt: b.now})
 	takeOne[Lost](b)
 	b.tick(reclaimDelay - 100*ms)
-	b.g.Expect(takeAll[Claim](b)).To(BeEmpty(), "the other one has it for a while")
+	b.g.Expect(takeAll[Claim](b)).To(BeEmpty(), "the reclaim delay isn't over")
 	b.tick(200 * ms)
 	b.g.Expect(takeOne[Claim](b).Renew).To(BeZero())
 }
 
-// Several processes take the shard as a deployment starts, and all but one see
-// then that another leads. That one needn't wait before it takes it again.
+// Several processes claim the shard as a deployment starts, and all but one then find that
+// another process leads. The leader needn't wait for the reclaim delay.
 func TestUncontestedShardIsTakenAgain(t *testing.T) {
 	b := openHarness(t)
 	b.l.Save(b.now, 1, Record{Job: "a"})
@@ -142,14 +142,14 @@
 	b.tick(retryDelay + 20*ms)
 	c := takeOne[Claim](b)
 	b.answerClaim(c, Ownership{Epoch: 5, Version: 50})
-	b.g.Expect(takeAll[Write](b)).To(BeEmpty(), "what was to be saved before is void")
+	b.g.Expect(takeAll[Write](b)).To(BeEmpty(), "records queued before are dropped")
 	b.l.HandleResult(b.now, ReadResult{Call: takeOne[Read](b).Call})
 	b.g.Expect(takeOne[Loaded](b).Epoch).To(BeEquivalentTo(5))
 }
 
-// The store turns calls away. They have done nothing, so they are repeated as
-// they were, in order, without a renewal.
-func TestCallsTurnedAway(t *testing.T) {
+// The store rejects calls. They had no effect, so they are repeated unchanged and in order,
+// without a renewal.
+func TestRejectedCallsAreRepeated(t *testing.T) {
 	b := openHarness(t)
 	b.l.Save(b.now, 1, Record{Job: "a", Definition: &workload.Job{ID: "a"}})
 	first := takeOne[Write](b)
@@ -166,9 +166,9 @@
 	b.g.Expect(takeAll[Claim](b)).To(BeEmpty())
 }
 
-// A check that was sent before the ownership was renewed reads an old version.
-// It doesn't mean that another process has the shard.
-func TestOldCheck(t *testing.T) {
+// A check that was sent before the ownership was renewed reads an old version. That doesn't
+// mean that another process owns the shard.
+func TestStaleCheckIsNotALoss(t *testing.T) {
 	b := openHarness(t)
 	b.now += checkInterval
 	b.l.Tick(b.now, true)
@@ -185,9 +185,9 @@
 	takeOne[Lost](b)
 }
 
-// Four hundred jobs come at once. No write is larger than the store takes, and
-// no more are on their way than it can answer in time.
-func TestManyRecords(t *testing.T) {
+// Four hundred jobs arrive at once. No write is larger than the store accepts, and no more
+// are in flight than it can answer in time.
+func TestWritesAreLimited(t *testing.T) {
 	b := openHarness(t)
 	for i := range 400 {
 		id := workload.JobID(fmt.Sprintf("%04d", i))
@@ -207,9 +207,9 @@
 	b.g.Expect(saved).To(Equal(400))
 }
 
-// A process that gives up the lead has a write on its way. What comes of it is
-// nothing to the next leadership, which reads what is in the store.
-func TestAnswersAfterRetiring(t *testing.T) {
+// The process is no longer leader while a write is in flight. The result of that write has no
+// effect on its next leadership, which reads the store.
+func TestResultAfterReleaseIsIgnored(t *testing.T) {
 	b := openHarness(t)
 	b.l.Save(b.now, 1, Record{Job: "a"})
 	w := takeOne[Write](b)
--- a/core/ledger/record.go
+++ b/core/ledger/record.go
@@ -6,85 +6,85 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// State is how far a kept job is.
+// State is the state of a stored job.
 type State uint8
 
-// The states of a kept job.
+// The states of a stored job.
 const (
-	// Open jobs have tasks to be done.
+	// Open: tasks are still to be done.
 	Open State = iota
 	// Completed: all tasks are done.
 	Completed
 	// Failed: a task failed as often as the queue allows.
 	Failed
-	// Cancelled: its caller took it back.
+	// Cancelled: the caller cancelled the job.
 	Cancelled
-	// CancelledEarly: its caller took it back before it came. If it comes, it
+	// CancelledEarly: the caller cancelled the job before it arrived. If it arrives, it
 	// doesn't run.
 	CancelledEarly
-	// Forgotten: nothing is kept of it any more.
+	// Forgotten: the job's rows are deleted.
 	Forgotten
-	// Moving: the job is handed to another shard, and isn't done here any more.
+	// Moving: the job is being handed over to another shard, and doesn't run in this one.
 	Moving
-	// Moved: it is in the rows of that shard.
+	// Moved: the job is in the rows of the other shard.
 	Moved
 )
 
 var stateNames = [...]string{"open", "completed", "failed", "cancelled", "cancelled-early", "forgotten", "moving", "moved"}
 
-// String is for logs.
+// String is the name in stored rows and logs.
 func (s State) String() string { return stateNames[s] }
 
-// NeedsDefinition reports whether the job itself is still needed, beside how far it is.
+// NeedsDefinition reports whether the job's definition is still needed in the store.
 func (s State) NeedsDefinition() bool { return s == Open || s == Moving }
 
-// Bits is a set of small numbers, those of the tasks of a step.
+// Bits is a set of small numbers: the indexes of the tasks of a step.
 type Bits []byte
 
 // Has reports whether n is in the set.
 func (b Bits) Has(n int) bool { return n/8 < len(b) && b[n/8]&(1<<(n%8)) != 0 }
 
-// Set adds n, for which there must be room.
+// Set adds n, which must be below the capacity of the set.
 func (b Bits) Set(n int) { b[n/8] |= 1 << (n % 8) }
 
-// NewBits returns an empty set with room for the numbers below n.
+// NewBits returns an empty set for the numbers below n.
 func NewBits(n int) Bits { return make(Bits, (n+7)/8) }
 
-// Failure is a run that ended as failed. Step counts the steps of all occurrences
-// of a timed job, one occurrence after the other, as do the Done of a Record. Runs are named by their number, so
-// that one that two schedulers hear of counts once.
+// Failure is a run that failed. Step counts the steps of all occurrences of a timed job, one
+// occurrence after the other, as does the index of Record.Done. Run is the number of the run,
+// so that a failure reported by two schedulers counts once.
 type Failure struct {
 	Step  int
 	Index int
 	Run   int
 }
 
-// Record is what is kept of a job.
+// Record is the stored state of a job.
 type Record struct {
 	Job workload.JobID
-	// Definition is the job as it was accepted. In a record to be saved it is nil if
-	// it is in the store already.
+	// Definition is the job as it was accepted. In a record to be saved it is nil if the
+	// store already has it.
 	Definition *workload.Job
-	// Age is the time since the job was accepted, as it is read.
+	// Age is the time since the job was accepted, as of reading.
 	Age time.Duration
-	// Epoch is the ownership of the shard under which the job was accepted.
+	// Epoch is the ownership epoch of the shard in which the job was accepted.
 	Epoch uint64
 	State State
-	// Done are the tasks of each step of each occurrence that have ended well.
+	// Done has the tasks of each step of each occurrence that have succeeded.
 	Done []Bits
-	// Failures are the runs that have failed.
+	// Failures are the failed runs.
 	Failures []Failure
 	// Restarted: a task was started more than once.
 	Restarted bool
-	// To is the shard to which the job moves, or has moved. Hand counts the owners that
-	// it has had, all shards taken together.
+	// To is the shard that the job moves to or has moved to. Hand counts the owners that the
+	// job has had in all shards.
 	To, Hand int
-	// Unseen: a task was started again by the process that had started it before,
-	// while the earlier run was out of its sight.
+	// Unseen: a task was started again by the process that had started it before, while the
+	// state of the earlier run was unknown.
 	Unseen bool
 }
 
-// rowCount is the number of rows that saving the record writes or removes.
+// rowCount is the number of rows that saving the record writes or deletes.
 func (r *Record) rowCount() int {
 	if r.Definition != nil || !r.State.NeedsDefinition() {
 		return 2
@@ -92,7 +92,7 @@
 	return 1
 }
 
-// size is about how many bytes the record takes on the wire.
+// size is an estimate of the record's size in bytes on the wire.
 func (r *Record) size() int {
 	n := rowBytes
 	if r.Definition != nil {
@@ -104,7 +104,7 @@
 	return n + failureBytes*len(r.Failures)
 }
 
-// Sizes of the parts of a record in a call, generously.
+// Upper estimates of the sizes of a record's parts in a call, in bytes.
 const (
 	rowBytes     = 400
 	stepBytes    = 400
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -1,12 +1,11 @@
-// Package membership joins the platform's list of VMs, which lags behind the
-// truth, with what a process sees for itself, and says which nodes and
-// upstreams are to be reckoned with.
+// Package membership combines the platform's list of VMs, which lags behind the actual state,
+// with the connections and messages that a process observes, and determines which nodes and
+// upstreams are live.
 //
-// The list says who belongs to the system; sight says who is there. A node
-// counts while it is listed, isn't leaving and is connected, or was seen until
-// a short while ago. The list in force is never replaced by an older one, and
-// it stays in force for as long as no newer one can be read: a process that is
-// cut off from the platform goes on serving with the last list it had.
+// A node is live while it is listed, isn't leaving and is connected, or was connected until
+// AbsenceGrace ago. The list in force is never replaced by an older one, and it stays in force
+// for as long as no newer one can be read: a process that is cut off from the platform
+// continues with its latest list.
 package membership
 
 import (
@@ -16,20 +15,19 @@
 )
 
 const (
-	// AbsenceGrace is how long a node counts after its connection was lost, or
-	// after it was first listed. Without it, a connection that is merely
-	// replaced would move the ownership of slots to and fro, and two nodes that
-	// start together would each take all slots for their own; one would notice
-	// by a burst of refused starts.
+	// AbsenceGrace is how long a node stays live after its connection was lost, or after it
+	// was first listed. Without it, the replacement of a connection would move the ownership
+	// of slots back and forth, and two nodes that start together would each take ownership of
+	// all slots, which shows only in a burst of refused starts.
 	AbsenceGrace = 2 * time.Second
-	// LeavingNoticeTTL is how long an upstream's own word that it leaves stands
-	// against a list that doesn't say so yet.
+	// LeavingNoticeTTL is how long an upstream's own notice that it leaves overrides a list
+	// that doesn't show it yet.
 	LeavingNoticeTTL = 30 * time.Second
 )
 
-// presence is what is seen of one node.
+// presence is the state of the connections with one node.
 type presence struct {
-	// incarnations holds the connected incarnations and whether each is stopping.
+	// incarnations holds the connected incarnations, and for each whether it is stopping.
 	incarnations map[uint64]bool
 	absentSince  task.Time
 }
@@ -40,18 +38,18 @@
 	listed bool
 	list   task.Members
 	nodes  map[string]*presence
-	// leaving holds the upstreams that said that they leave, and until when
-	// that is believed.
+	// leaving holds the upstreams that sent notice that they leave, and when each notice
+	// expires.
 	leaving map[string]task.Time
 
 	live task.Members
-	// dirty is set when live must be worked out anew, and due is when it must
-	// be without any further event.
+	// dirty is set when live must be recomputed, and recomputeAt is when it must be without
+	// any further event; 0 if never.
 	dirty       bool
 	recomputeAt task.Time
 }
 
-// New returns a view of a node of the given name; nothing is listed.
+// New returns the view of the node named self, without a list.
 func New(self string) *View {
 	return &View{
 		self:    self,
@@ -60,21 +58,21 @@
 	}
 }
 
-// HasList says whether there is a list in force.
+// HasList reports whether a list is in force.
 func (v *View) HasList() bool { return v.listed }
 
-// Version is the version of the list in force, 0 if there is none.
+// Version is the version of the list in force; 0 if there is none.
 func (v *View) Version() uint64 { return v.list.Version }
 
 // List is the list in force as it was read. It must not be changed.
 func (v *View) List() task.Members { return v.list }
 
-// ApplyList puts a list in force if it is newer than the present one, and reports
-// whether it did.
+// ApplyList puts a list in force if it is newer than the present one, and reports whether it
+// did.
 //
-// Lists come from the platform and from peers, late and crossed. An older list
-// would bring a leaving upstream back, whose tasks would then be cut off; the
-// check on the version prevents that.
+// Lists come from the platform and from peers, late and out of order. An older list would make
+// a leaving upstream live again, and the tasks sent to it would be cut off. The check of the
+// version prevents that.
 func (v *View) ApplyList(now task.Time, m task.Members) bool {
 	if v.listed && m.Version <= v.list.Version {
 		return false
@@ -91,8 +89,8 @@
 	return true
 }
 
-// updateNodes begins the grace of nodes that are new on the list and forgets
-// those that are neither listed nor connected.
+// updateNodes starts the grace period of newly listed nodes and removes those that are neither
+// listed nor connected.
 func (v *View) updateNodes(now task.Time) {
 	listed := make(map[string]bool, len(v.list.Nodes))
 	for _, n := range v.list.Nodes {
@@ -106,8 +104,8 @@
 	}
 }
 
-// pruneLeaving forgets what upstreams said that are gone, or were replaced
-// under the same name.
+// pruneLeaving removes the notices of upstreams that aren't listed any more, or that were
+// replaced under the same name.
 func (v *View) pruneLeaving(addresses map[string]string) {
 	present := make(map[string]bool, len(v.list.Upstreams))
 	for _, u := range v.list.Upstreams {
@@ -135,8 +133,8 @@
 	v.dirty = true
 }
 
-// PeerDown records that the connection with an incarnation is lost. That of a
-// predecessor says nothing of the node's present process.
+// PeerDown records that the connection with an incarnation is lost. The loss of a former
+// incarnation doesn't affect the node's present process.
 func (v *View) PeerDown(now task.Time, p task.Incarnation) {
 	s := v.nodes[p.Node]
 	if s == nil {
@@ -149,8 +147,8 @@
 	v.dirty = true
 }
 
-// PeerStopping records whether a connected incarnation stops and has no more
-// tasks to start.
+// PeerStopping records whether a connected incarnation is stopping and has no more tasks to
+// start.
 func (v *View) PeerStopping(p task.Incarnation, stopping bool) {
 	s := v.nodes[p.Node]
 	if s == nil {
@@ -163,15 +161,15 @@
 	}
 }
 
-// UpstreamLeaving records that an upstream itself said that it leaves.
+// UpstreamLeaving records an upstream's own notice that it leaves.
 func (v *View) UpstreamLeaving(now task.Time, name string) {
 	v.leaving[name] = now + LeavingNoticeTTL
 	v.dirty = true
 }
 
-// Live returns the list in force with Leaving set on all that isn't to be
-// reckoned with, and whether it was worked out anew since the last call. The
-// process itself always counts as it is listed.
+// Live returns the list in force with Leaving set on every node and upstream that isn't live,
+// and whether it was recomputed since the last call. The process itself always has the state
+// that is listed.
 func (v *View) Live(now task.Time) (task.Members, bool) {
 	if !v.dirty && (v.recomputeAt == 0 || now < v.recomputeAt) {
 		return v.live, false
@@ -216,8 +214,8 @@
 }
 
 func (v *View) announcedLeaving(now task.Time, name string) bool {
-	until, said := v.leaving[name]
-	if !said {
+	until, announced := v.leaving[name]
+	if !announced {
 		return false
 	}
 	if now >= until {
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -20,15 +20,15 @@
 
 const self = "node-0"
 
-// model says from the whole history what the view has to say.
+// model derives the expected view from the whole history of events.
 type model struct {
 	view *membership.View
 	now  task.Time
 	list task.Members
-	// runs holds the connected runs of each node, true while stopping.
+	// runs holds the connected runs of each node; the value is true while a run is stopping.
 	runs      map[string]map[uint64]bool
 	lastSeen  map[string]task.Time
-	farewells map[string]task.Time
+	leavingSince map[string]task.Time
 }
 
 func drawList(t *rapid.T) task.Members {
@@ -76,9 +76,9 @@
 	for _, u := range l.Upstreams {
 		present[u.Name] = true
 	}
-	for name := range m.farewells {
+	for name := range m.leavingSince {
 		if !present[name] {
-			delete(m.farewells, name)
+			delete(m.leavingSince, name)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 	if !m.hasUpstream(name) {
 		return
 	}
-	m.farewells[name] = m.now
+	m.leavingSince[name] = m.now
 	m.view.UpstreamLeaving(m.now, name)
 }
 
@@ -155,7 +155,7 @@
 		}
 	}
 	for i, u := range m.list.Upstreams {
-		at, said := m.farewells[u.Name]
+		at, said := m.leavingSince[u.Name]
 		want := u.Leaving || said && m.now < at+membership.LeavingNoticeTTL
 		if live.Upstreams[i].Leaving != want {
 			t.Fatalf("at %v %s leaving=%v", m.now, u.Name, live.Upstreams[i].Leaving)
@@ -163,12 +163,12 @@
 	}
 }
 
-// Lists arrive late and crossed, connections come and go, nodes are replaced
-// under their names and stop, upstreams say that they leave. Work given to what
-// has gone would be cut off; slots kept for it would stand idle.
+// Lists arrive late and out of order, connections come and go, nodes stop and are replaced
+// under their names, and upstreams announce that they leave. Tasks sent to a VM that has gone
+// would be cut off, and slots reserved for it would stay idle.
 func TestViewAgreesWithHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &model{view: membership.New(self), runs: map[string]map[uint64]bool{}, lastSeen: map[string]task.Time{}, farewells: map[string]task.Time{}}
+		m := &model{view: membership.New(self), runs: map[string]map[uint64]bool{}, lastSeen: map[string]task.Time{}, leavingSince: map[string]task.Time{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"offer":    m.offer,
 			"up":       m.up,
@@ -183,9 +183,9 @@
 	})
 }
 
-// An upstream says that it leaves and its VM is then replaced under the same
-// name at another address. The new one must get work at once.
-func TestReplacedUpstreamIsWelcome(t *testing.T) {
+// An upstream announces that it leaves, and its VM is then replaced under the same name at
+// another address. The new upstream must get tasks at once.
+func TestReplacedUpstreamIsLive(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := membership.New(self)
 	v.ApplyList(0, task.Members{Version: 1, Upstreams: []task.Upstream{{Name: "up", Address: "10.0.0.1:80"}}})
@@ -197,9 +197,9 @@
 	g.Expect(live.Upstreams[0].Leaving).To(gomega.BeFalse())
 }
 
-// The list goes between processes as the platform's own message; a field lost
-// on the way would, say, send tasks of one institution to another's workers.
-func TestListSurvivesThePeerLink(t *testing.T) {
+// The list is sent between processes as the platform's own message. If a field were lost in
+// the conversion, tasks of one institution could go to workers of another.
+func TestListProtoRoundTrip(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := task.Members{
 		Version:   7,
--- a/core/membership/wire.go
+++ b/core/membership/wire.go
@@ -5,13 +5,13 @@
 	"sapphirepoint.example/sapphirepoint/gen/platformv1"
 )
 
-// MaxSlots is the most slots that one upstream is taken to have. A number that
-// went wrong on the way would otherwise make every process reserve memory until
-// it dies, all of them on the same list.
+// MaxSlots is the highest number of slots that is accepted for one upstream. A corrupted
+// number would otherwise make every process that reads the list reserve memory until it
+// crashes.
 const MaxSlots = 10_000
 
-// FromProto converts the platform's list. Members of an unknown role are left
-// out: a newer platform may list what this version has no use for.
+// FromProto converts the platform's list. Members of an unknown role are skipped: a newer
+// platform may list members that this version can't use.
 func FromProto(res *platformv1.ListResponse) task.Members {
 	m := task.Members{Version: res.GetVersion()}
 	for _, e := range res.GetMembers() {
@@ -41,7 +41,7 @@
 	return m
 }
 
-// ToProto converts a list for a peer.
+// ToProto converts a list for sending to a peer.
 func ToProto(m task.Members) *platformv1.ListResponse {
 	res := &platformv1.ListResponse{Version: m.Version}
 	for _, n := range m.Nodes {
--- a/core/routing/evacuation.go
+++ b/core/routing/evacuation.go
@@ -2,20 +2,18 @@
 
 import "slices"
 
-// Evacuations are the failure domains whose runners get no new tasks, by the
-// operator's word.
+// Evacuations are the failure domains whose runners get no new tasks, as set by the operator.
 type Evacuations struct {
-	// Version grows with each change of what the operator has written; 0 says that
-	// nothing is known.
+	// Version grows with each change by the operator; 0 means unknown.
 	Version uint64
 	// Domains are in order.
 	Domains []string
 }
 
-// Apply takes a later word, and reports whether it names other domains.
+// Apply replaces the evacuations by a newer version, and reports whether the domains differ.
 //
-// It comes from the store and from peers in any order. A domain that was evacuated
-// again must not be opened by the word of its opening before, which comes late.
+// Versions come from the store and from peers in any order. Without the check, a domain that
+// was evacuated again could be reopened by a late message about its earlier reopening.
 func (e *Evacuations) Apply(newer Evacuations) (changed bool) {
 	if newer.Version <= e.Version {
 		return false
--- a/core/routing/evacuation_test.go
+++ b/core/routing/evacuation_test.go
@@ -6,8 +6,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against a domain that gets tasks again by an old word that comes late.
-func TestALaterWordOnEvacuationsWins(t *testing.T) {
+// Guards against a domain that gets tasks again because of an old version that arrives late.
+func TestNewerEvacuationsWin(t *testing.T) {
 	g := NewWithT(t)
 	var e Evacuations
 	g.Expect(e.Apply(Evacuations{Version: 4})).To(BeFalse(), "nothing is evacuated")
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing holds the declared routes and services that an entry process
-// goes by, and finds the route of a request.
+// Package routing holds the routes and services that operators declare, and finds the route
+// of a request.
 package routing
 
 import (
@@ -7,23 +7,22 @@
 	"time"
 )
 
-// Route is a queue: which requests it takes and on what terms.
+// Route is a queue: the requests that it accepts and their terms.
 type Route struct {
 	Name    string
 	Host    string
 	Prefix  string
 	Service string
-	// Priority 0 comes first.
+	// Priority 0 is the highest.
 	Priority    int
 	MaxAttempts int
-	// Stretch times a job's longest chain of work, and Target more, is its
-	// latency objective.
+	// A job's latency objective is Stretch times the estimated run time of its longest
+	// chain of dependent steps, plus Target.
 	Stretch float64
 	Target  time.Duration
-	// Timeout is the longest that a request of the route is worked on; 0 is
-	// no limit.
+	// Timeout limits the time that a request of the route is processed; 0 is no limit.
 	Timeout time.Duration
-	// Advised: only another service knows which runners may run its tasks. Such
+	// Advised: only another service knows which runners may run the queue's tasks. Such
 	// queues aren't served yet.
 	Advised bool
 }
@@ -31,11 +30,11 @@
 // Service is a pool of runners.
 type Service struct {
 	Name string
-	// MaxConns is the connections that each runner takes from all entry VMs.
+	// MaxConns limits the connections that each runner accepts from all entry VMs.
 	MaxConns int
 }
 
-// Limits bound requests.
+// Limits are the limits of requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -43,7 +42,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Declaration is one version of what operators declare.
+// Declaration is one version of the operators' configuration.
 type Declaration struct {
 	Version  uint64
 	Routes   []Route
@@ -51,16 +50,15 @@
 	Limits   Limits
 }
 
-// Table is the declaration in force. It never goes back within a process.
+// Table is the declaration in force. Its version never decreases within a process.
 type Table struct {
 	current *Declaration
 }
 
-// Apply takes a declaration into force if it is newer, and reports whether.
+// Apply puts a declaration in force if it is newer, and reports whether it did.
 //
-// Versions arrive from the store and from peers in any order. A request routed
-// by a newer version followed by one routed by an older would show a caller a
-// service that was already withdrawn, so an older version is never applied.
+// Versions arrive from the store and from peers in any order. If an older version were applied
+// after a newer one, a caller could reach a service that was already withdrawn.
 func (t *Table) Apply(d *Declaration) bool {
 	if t.current != nil && d.Version <= t.current.Version {
 		return false
@@ -72,7 +70,7 @@
 // Current is the declaration in force; nil before the first.
 func (t *Table) Current() *Declaration { return t.current }
 
-// Version is 0 before the first declaration.
+// Version is the version of the declaration in force; 0 before the first.
 func (t *Table) Version() uint64 {
 	if t.current == nil {
 		return 0
@@ -80,8 +78,8 @@
 	return t.current.Version
 }
 
-// Find returns the route of a request: the longest prefix of its path among
-// the routes of its host; nil if there is none.
+// Find returns the route of a request: among the routes of its host, the one with the longest
+// matching prefix of its path; nil if there is none.
 func (t *Table) Find(host, path string) *Route {
 	if t.current == nil {
 		return nil
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestLongestPrefixOfTheHost(t *testing.T) {
+func TestLongestPrefixWins(t *testing.T) {
 	g := NewWithT(t)
 	var table Table
 	g.Expect(table.Find("h", "/a/1")).To(BeNil())
@@ -21,9 +21,9 @@
 	g.Expect(table.Find("i", "/b").Name).To(Equal("other"))
 }
 
-// An older version arrives after a newer one, from a store that is behind or
-// from a peer. A queue that was withdrawn would be open again.
-func TestNeverBack(t *testing.T) {
+// An older version arrives after a newer one, from a store that lags behind or from a peer. If
+// it were applied, a queue that was withdrawn would accept requests again.
+func TestOlderDeclarationIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	var table Table
 	g.Expect(table.Apply(&Declaration{Version: 7})).To(BeTrue())
--- a/core/workload/workload_test.go
+++ b/core/workload/workload_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestTaskNames(t *testing.T) {
+func TestTaskNameRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	n := TaskName{Job: "5c0e7a21d94b36f8", Step: 1, Index: 17}
 	g.Expect(n.String()).To(Equal("5c0e7a21d94b36f8.0.1.17"))
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestChain(t *testing.T) {
+func TestCriticalPath(t *testing.T) {
 	j := &Job{Steps: []Step{
 		{Tasks: 1, Estimate: time.Second},
 		{Tasks: 1, Estimate: 3 * time.Second},
@@ -29,7 +29,7 @@
 	NewWithT(t).Expect(j.CriticalPath()).To(Equal(3 * time.Second))
 }
 
-func TestCheck(t *testing.T) {
+func TestValidate(t *testing.T) {
 	cases := map[string]Job{
 		"no steps":        {},
 		"no tasks":        {Steps: []Step{{}}},
