--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -26,8 +26,8 @@
 	now  task.Time
 	list task.Members
 	// runs holds the connected runs of each node; the value is true while a run is stopping.
-	runs      map[string]map[uint64]bool
-	lastSeen  map[string]task.Time
+	runs         map[string]map[uint64]bool
+	lastSeen     map[string]task.Time
 	leavingSince map[string]task.Time
 }
 
--- a/core/workload/workload.go
+++ b/core/workload/workload.go
@@ -1,5 +1,5 @@
-// Package workload holds the types that describe what callers ask for and
-// where it may run: jobs of tasks, and the runners that carry them out.
+// Package workload holds the types that describe what callers submit and where it runs: jobs
+// of tasks, and runners.
 package workload
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/pkg/errors"
 )
 
-// JobID is chosen by the caller and stays the same when it sends a job again.
+// JobID is chosen by the caller and stays the same when the caller sends a job again.
 type JobID string
 
-// Resources is what a task needs or a runner has.
+// Resources is what a task requires or a runner has.
 type Resources struct {
 	// MilliCPU is in thousandths of a core.
 	MilliCPU int
@@ -23,7 +23,7 @@
 	GPU      int
 }
 
-// Fits reports whether r is within what is free.
+// Fits reports whether r is within the free resources.
 func (r Resources) Fits(free Resources) bool {
 	return r.MilliCPU <= free.MilliCPU && r.MemoryMB <= free.MemoryMB && r.GPU <= free.GPU
 }
@@ -38,17 +38,17 @@
 	return Resources{r.MilliCPU - o.MilliCPU, r.MemoryMB - o.MemoryMB, r.GPU - o.GPU}
 }
 
-// Step is a set of like tasks of a job.
+// Step is a set of equal tasks of a job.
 type Step struct {
 	Tasks int
 	Need  Resources
-	// Estimate is the caller's guess of a task's run time; it is often far off.
+	// Estimate is the caller's estimate of a task's run time; it is often far off.
 	Estimate time.Duration
-	// DependsOn lists earlier steps that must be done first.
+	// DependsOn lists the earlier steps that must be done first.
 	DependsOn []int
 	// Requires is a label that the runner must have, if any.
 	Requires string
-	// PreferredRack is where the data lies; elsewhere a task takes longer.
+	// PreferredRack is the rack that has the data; on other racks a task takes longer.
 	PreferredRack string
 	// MaxPerRunner limits the tasks of the step on one runner; 0 is no limit.
 	MaxPerRunner int
@@ -57,31 +57,31 @@
 // Job is what a caller submits, with the terms of its queue at arrival.
 type Job struct {
 	ID JobID
-	// Queue and Service are the route that the request took, under the
-	// configuration Version in force at its entry VM.
+	// Queue and Service are the route of the request, by the configuration Version in force
+	// at its entry VM.
 	Queue   string
 	Service string
 	Version uint64
-	// Priority 0 comes first.
+	// Priority 0 is the highest.
 	Priority int
-	// Stored jobs are kept in the platform's store from their acceptance on.
-	// The others are answered when they have ended, and kept nowhere.
+	// Stored jobs are saved in the platform's store from their acceptance on. Other jobs are
+	// answered when they have ended, and aren't saved.
 	Stored bool
-	// MaxAttempts is how often a task may end as failed before its job has.
+	// MaxAttempts is how often a task may fail before its job fails.
 	MaxAttempts int
-	// Objective is the latency objective, from the caller's first send.
+	// Objective is the latency objective, counted from the caller's first send.
 	Objective time.Duration
 	Spec      string
 	Steps     []Step
-	// Timed jobs run their steps Times times; 0 is once, at once. The first time
-	// is due at StartMs, in milliseconds since 1970, the others Interval apart.
-	// They may overlap.
+	// A timed job runs its steps Times times; 0 is once, without delay. The first occurrence
+	// is due at StartMs, in milliseconds since 1970, and the others follow at Interval.
+	// Occurrences may overlap.
 	Times    int
 	StartMs  int64
 	Interval time.Duration
 }
 
-// Occurrences is how often the steps run.
+// Occurrences is the number of times that the steps run.
 func (j *Job) Occurrences() int { return max(1, j.Times) }
 
 // DueMs is when an occurrence is due, in milliseconds since 1970.
@@ -113,10 +113,10 @@
 	return longest
 }
 
-// MaxTasks bounds a job. The largest jobs planned for have 980 tasks.
+// MaxTasks limits the tasks of a job. The largest expected jobs have 980 tasks.
 const MaxTasks = 4096
 
-// Validate reports what makes a job impossible to run.
+// Validate returns an error if the job can't be run.
 func (j *Job) Validate() error {
 	if len(j.Steps) == 0 {
 		return errors.New("the job has no steps")
@@ -143,21 +143,21 @@
 	return nil
 }
 
-// TaskName names a task.
+// TaskName identifies a task.
 type TaskName struct {
 	Job JobID
-	// Occurrence counts the times of a timed job from 0.
+	// Occurrence counts the occurrences of a timed job from 0.
 	Occurrence int
 	Step       int
 	Index      int
 }
 
-// String is the form that runners know: job.occurrence.step.index.
+// String is the form that runners use: job.occurrence.step.index.
 func (t TaskName) String() string {
 	return string(t.Job) + "." + strconv.Itoa(t.Occurrence) + "." + strconv.Itoa(t.Step) + "." + strconv.Itoa(t.Index)
 }
 
-// ParseTaskName reads the form of String.
+// ParseTaskName parses the form that String returns.
 func ParseTaskName(s string) (TaskName, error) {
 	parts := strings.Split(s, ".")
 	if len(parts) != 4 {
@@ -178,20 +178,20 @@
 	return TaskName{Job: JobID(parts[0]), Occurrence: occurrence, Step: step, Index: index}, nil
 }
 
-// RunKey names one start of a task.
+// RunKey identifies one start of a task.
 type RunKey struct {
 	Task TaskName
 	// Number grows with each start of the task.
 	Number int
 }
 
-// String is for logs.
+// String is the form for logs.
 func (k RunKey) String() string { return fmt.Sprintf("%s#%d", k.Task, k.Number) }
 
-// RunnerID is one lifetime of a runner; after a crash it has another.
+// RunnerID identifies one incarnation of a runner; after a crash it has another.
 type RunnerID string
 
-// Runner is what the platform's list says of a runner.
+// Runner is a runner's entry in the platform's list.
 type Runner struct {
 	ID       RunnerID
 	Service  string
@@ -200,22 +200,22 @@
 	Rack     string
 	Labels   []string
 	Capacity Resources
-	// Draining runners finish what they have and get nothing new.
+	// Draining runners finish their tasks and get no new ones.
 	Draining bool
-	// Lapsed: its entry went away while the store was, and may be back in a
-	// moment. It is used while it answers.
+	// Lapsed: the entry disappeared while the store was unavailable, and may reappear. The
+	// runner is used while it answers.
 	Lapsed bool
 	// Revision grows with each change of the entry.
 	Revision uint64
-	// Born is when its lifetime began, in milliseconds since 1970; 0 if that isn't
-	// known. A runner may start again under its id.
+	// Born is when the incarnation began, in milliseconds since 1970; 0 if unknown. It
+	// distinguishes incarnations of a runner that restarted under the same ID.
 	Born int64
 }
 
 // CompareRunners orders runners by their ids.
 func CompareRunners(a, b Runner) int { return cmp.Compare(a.ID, b.ID) }
 
-// HasLabel reports whether the runner has a label; all have the empty one.
+// HasLabel reports whether the runner has a label; every runner has the empty label.
 func (r *Runner) HasLabel(label string) bool {
 	if label == "" {
 		return true
@@ -228,39 +228,39 @@
 	return false
 }
 
-// EndKind is how a run ended.
+// EndKind is the way in which a run ended.
 type EndKind uint8
 
-// The kinds of ends.
+// The kinds of ends of runs.
 const (
 	// Done: the task succeeded.
 	Done EndKind = iota
-	// Failed: by the task's fault or the runner's.
+	// Failed: the task or the runner failed.
 	Failed
-	// Stopped: on an order.
+	// Stopped: the run was stopped by request.
 	Stopped
-	// LeaseExpired: its lease ran out.
+	// LeaseExpired: the run's lease expired.
 	LeaseExpired
-	// Aborted: another task that it works with ended or didn't come.
+	// Aborted: a task that this one works with ended or didn't start.
 	Aborted
 )
 
 var endNames = [...]string{"done", "failed", "stopped", "lapsed", "aborted"}
 
-// String is for logs.
+// String is the name for logs.
 func (k EndKind) String() string { return endNames[k] }
 
-// End is one end that a runner lists until it is acknowledged.
+// End is the end of a run, which a runner lists until it is acknowledged.
 type End struct {
-	// Sequence counts the ends of a lifetime of the runner, from 1.
+	// Sequence counts the ends of an incarnation of the runner, from 1.
 	Sequence uint64
 	Run      RunKey
 	Kind     EndKind
-	// Checkpoint is where the task can be resumed; "" if nowhere.
+	// Checkpoint is where the task can be resumed; "" if it can't.
 	Checkpoint string
 }
 
-// Outcome is the final word on a job.
+// Outcome is the final outcome of a job.
 type Outcome uint8
 
 // The outcomes.
@@ -269,17 +269,17 @@
 	Completed Outcome = iota
 	// JobFailed: a task failed as often as the queue allows.
 	JobFailed
-	// Cancelled: the caller took the job back.
+	// Cancelled: the caller cancelled the job.
 	Cancelled
-	// NotRun: nothing was started and nothing will be.
+	// NotRun: no task was started and none will be.
 	NotRun
-	// GaveUp: its time was up; some of it may have run.
+	// GaveUp: the job's time was up; some tasks may have run.
 	GaveUp
-	// Accepted: the job is in the store and will be done.
+	// Accepted: the job is in the store and will be run.
 	Accepted
 )
 
 var outcomeNames = [...]string{"completed", "failed", "cancelled", "not-run", "gave-up", "accepted"}
 
-// String is for logs.
+// String is the name for logs.
 func (o Outcome) String() string { return outcomeNames[o] }
