--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -231,13 +231,13 @@
 	switch c := c.(type) {
 	case schedule.Save:
 		s.ledger.Save(c.At, c.Sequence, c.Record)
-	case schedule.Settled:
+	case schedule.OutcomeSaved:
 		n.settled(s, c)
 	case schedule.Answer:
 		n.verdict(c)
-	case schedule.HandOn:
+	case schedule.MoveJob:
 		n.handOn(c.At, s, c)
-	case schedule.Taken:
+	case schedule.MoveAck:
 		n.tellTaken(c.At, c)
 	case schedule.Decision:
 		n.notice(c.Event, decisionFields(c)...)
@@ -256,9 +256,9 @@
 	case ledger.Saved:
 		s.schedule.Saved(c.At, c.Records)
 	case ledger.Verified:
-		s.schedule.Verified(c.At, c.OwnedAt)
+		s.schedule.RowOwnershipVerified(c.At, c.OwnedAt)
 	case ledger.Lost:
-		s.schedule.CustodyLost(c.At)
+		s.schedule.RowOwnershipLost(c.At)
 		clear(s.questions)
 	default:
 		n.emit(StoreCall{Shard: s.index, Call: c})
@@ -286,13 +286,13 @@
 	n.member.ID, n.member.Number = string(id), number
 	n.member.VM = schedule.EntryID(id).VM()
 	for _, s := range n.own {
-		s.schedule.SetNumber(number)
+		s.schedule.SetProcessNumber(number)
 	}
 	n.membersChanged(now)
 }
 
-// Declared takes a configuration into force if it is newer.
-func (n *Node) Declared(now Time, d *routing.Declaration, source string) {
+// ApplyDeclaration takes a configuration into force if it is newer.
+func (n *Node) ApplyDeclaration(now Time, d *routing.Declaration, source string) {
 	if !n.table.Apply(d) {
 		return
 	}
@@ -321,18 +321,18 @@
 	n.wait = 0
 	doubt := n.doubts(now, misses)
 	for _, s := range n.own {
-		s.schedule.Heard(now, schedule.EntryID(n.Self()))
+		s.schedule.EntryAlive(now, schedule.EntryID(n.Self()))
 		s.ledger.Exclude(gone)
 		since, all := n.rivalsHeardSince(now, s, gone)
-		s.schedule.SetAllHeard(all, since)
-		s.schedule.SetMissing(misses)
-		s.schedule.SetDoubt(doubt)
+		s.schedule.SetAllReachable(all, since)
+		s.schedule.SetUnreachable(misses)
+		s.schedule.SetOtherCellUnreachable(doubt)
 		s.schedule.SetAlternate(n.alternate(s))
 		if all && s.schedule.Leading() {
 			s.ledger.Uncontested(now)
 		}
-		s.ledger.Tick(now, s.schedule.Keeps() || len(s.questions) > 0)
-		s.schedule.SetStoreTrouble(s.ledger.FailingFor(now))
+		s.ledger.Tick(now, s.schedule.DependsOnRowOwnership() || len(s.questions) > 0)
+		s.schedule.SetStoreFailingFor(s.ledger.FailingFor(now))
 		s.schedule.Tick(now)
 		if s.schedule.Leading() {
 			n.wait = max(n.wait, s.schedule.Wait())
@@ -375,23 +375,23 @@
 // Table is the configuration in force.
 func (n *Node) Table() routing.Table { return n.table }
 
-// Version is that of the configuration in force; 0 before the first.
-func (n *Node) Version() uint64 { return n.table.Version() }
+// ConfigVersion is that of the configuration in force; 0 before the first.
+func (n *Node) ConfigVersion() uint64 { return n.table.Version() }
 
 // RunnersRevision is that of the list of runners that is known.
 func (n *Node) RunnersRevision() uint64 { return n.runners.Revision }
 
-// InHand is the number of jobs whose callers wait here.
-func (n *Node) InHand() int { return n.gateway.InFlight() }
+// JobsInFlight is the number of jobs whose callers wait here.
+func (n *Node) JobsInFlight() int { return n.gateway.InFlight() }
 
 // Serves reports whether new callers should come here: a job finds a scheduler,
 // though perhaps not that of its home.
 func (n *Node) Serves() bool {
-	return n.stopAt == 0 && n.table.Current() != nil && (n.ReachesAll() || n.gateway.HasReachableScheduler())
+	return n.stopAt == 0 && n.table.Current() != nil && (n.ReachesAllLeaders() || n.gateway.HasReachableScheduler())
 }
 
-// ReachesAll reports whether the leader of each shard of the own cell is in reach.
-func (n *Node) ReachesAll() bool {
+// ReachesAllLeaders reports whether the leader of each shard of the own cell is in reach.
+func (n *Node) ReachesAllLeaders() bool {
 	for _, s := range n.own {
 		if s.choice.Leader == "" || !s.choice.Reachable {
 			return false
