--- a/core/gateway/gateway.go
+++ b/core/gateway/gateway.go
@@ -96,7 +96,7 @@
 	Outcome    workload.Outcome
 	RetryAfter time.Duration
 	Reason     string
-	// NoRoom: the scheduler has started nothing of the job for lack of free slots, and
+	// NoRoom: the scheduler has started nothing of the job for lack of room, and
 	// another scheduler may have some.
 	NoRoom bool
 }
@@ -194,18 +194,18 @@
 // gets the same answer.
 func (g *Gateway) Submit(now Time, request uint64, shard int, job *workload.Job, patience time.Duration) {
 	g.now = now
-	if h := g.jobs[job.ID]; h != nil {
-		h.requests = append(h.requests, request)
-		h.deadline = max(h.deadline, now+patience)
+	if j := g.jobs[job.ID]; j != nil {
+		j.requests = append(j.requests, request)
+		j.deadline = max(j.deadline, now+patience)
 		g.byRequest[request] = job.ID
 		return
 	}
-	h := &inFlightJob{job: job, shard: shard, home: shard, arrived: now, due: now + job.Objective, deadline: now + patience, requests: []uint64{request}}
-	g.jobs[job.ID] = h
+	j := &inFlightJob{job: job, shard: shard, home: shard, arrived: now, due: now + job.Objective, deadline: now + patience, requests: []uint64{request}}
+	g.jobs[job.ID] = j
 	g.byRequest[request] = job.ID
-	g.handIn(h)
-	if c := g.choices[shard]; h.scheduler == "" && c.Leader != "" && !c.Reachable {
-		g.giveUp(h, "the scheduler can't be reached")
+	g.handIn(j)
+	if c := g.choices[shard]; j.scheduler == "" && c.Leader != "" && !c.Reachable {
+		g.giveUp(j, "the scheduler can't be reached")
 	}
 }
 
@@ -217,19 +217,19 @@
 		return
 	}
 	delete(g.byRequest, request)
-	h := g.jobs[id]
-	for i, r := range h.requests {
+	j := g.jobs[id]
+	for i, r := range j.requests {
 		if r == request {
-			h.requests = append(h.requests[:i], h.requests[i+1:]...)
+			j.requests = append(j.requests[:i], j.requests[i+1:]...)
 			break
 		}
 	}
-	if len(h.requests) > 0 {
+	if len(j.requests) > 0 {
 		return
 	}
 	delete(g.jobs, id)
-	if h.scheduler != "" {
-		g.out = append(g.out, Drop{At: g.now, To: h.scheduler, Shard: h.shard, Job: id})
+	if j.scheduler != "" {
+		g.out = append(g.out, Drop{At: g.now, To: j.scheduler, Shard: j.shard, Job: id})
 	}
 }
 
@@ -241,13 +241,13 @@
 		return
 	}
 	g.choices[shard] = c
-	for _, h := range g.sortedJobs() {
-		if h.shard == shard && h.scheduler != "" && h.scheduler != c.Leader {
-			g.out = append(g.out, Drop{At: now, To: h.scheduler, Shard: h.shard, Job: h.job.ID, HandedOver: true})
-			g.withdraw(h)
+	for _, j := range g.sortedJobs() {
+		if j.shard == shard && j.scheduler != "" && j.scheduler != c.Leader {
+			g.out = append(g.out, Drop{At: now, To: j.scheduler, Shard: j.shard, Job: j.job.ID, HandedOver: true})
+			g.withdraw(j)
 		}
-		if h.scheduler == "" {
-			g.handIn(h)
+		if j.scheduler == "" {
+			g.handIn(j)
 		}
 	}
 }
@@ -256,44 +256,44 @@
 // contact with this process.
 func (g *Gateway) Reconnected(now Time, id leader.ID) {
 	g.now = now
-	for _, h := range g.sortedJobs() {
-		if h.scheduler == id {
-			g.withdraw(h)
-			g.handIn(h)
+	for _, j := range g.sortedJobs() {
+		if j.scheduler == id {
+			g.withdraw(j)
+			g.handIn(j)
 		}
 	}
 }
 
 // withdraw records that no scheduler has the job.
-func (g *Gateway) withdraw(h *inFlightJob) {
-	h.scheduler = ""
-	h.handed++
-	h.uncertainUntil = g.now + orphanRunLifetime
+func (g *Gateway) withdraw(j *inFlightJob) {
+	j.scheduler = ""
+	j.handed++
+	j.uncertainUntil = g.now + orphanRunLifetime
 }
 
 // chooseShard is the shard that a job goes to, if one has a reachable leader. While runs that
 // an earlier scheduler started may be alive, it is the shard that the job was in, since only
 // the runners of that shard list them.
-func (g *Gateway) chooseShard(h *inFlightJob) (int, bool) {
-	if h.handed > 0 && g.now < h.uncertainUntil || h.job.Stored {
-		return h.shard, g.hasReachableLeader(h.shard)
+func (g *Gateway) chooseShard(j *inFlightJob) (int, bool) {
+	if j.handed > 0 && g.now < j.uncertainUntil || j.job.Stored {
+		return j.shard, g.hasReachableLeader(j.shard)
 	}
-	if g.hasReachableLeader(h.home) {
-		return h.home, true
+	if g.hasReachableLeader(j.home) {
+		return j.home, true
 	}
-	if s, ok := g.shortestWait(h, g.fallback.SameCell); ok {
+	if s, ok := g.shortestWait(j, g.fallback.SameCell); ok {
 		return s, true
 	}
-	return g.shortestWait(h, g.fallback.OtherCells)
+	return g.shortestWait(j, g.fallback.OtherCells)
 }
 
 // shortestWait is the shard with the shortest expected wait among those with a reachable
 // leader that haven't refused the job. With equal waits, jobs spread over the shards.
-func (g *Gateway) shortestWait(h *inFlightJob, shards []int) (int, bool) {
+func (g *Gateway) shortestWait(j *inFlightJob, shards []int) (int, bool) {
 	best, found := 0, false
 	for i := range shards {
-		s := shards[(h.home+i)%len(shards)]
-		if !g.hasReachableLeader(s) || slices.Contains(h.refusedBy, s) {
+		s := shards[(j.home+i)%len(shards)]
+		if !g.hasReachableLeader(s) || slices.Contains(j.refusedBy, s) {
 			continue
 		}
 		if !found || g.expectedWaits[s] < g.expectedWaits[best] {
@@ -303,26 +303,26 @@
 	return best, found
 }
 
-func (g *Gateway) handIn(h *inFlightJob) {
-	if shard, ok := g.chooseShard(h); ok {
-		g.handTo(h, shard)
+func (g *Gateway) handIn(j *inFlightJob) {
+	if shard, ok := g.chooseShard(j); ok {
+		g.handTo(j, shard)
 	}
 }
 
-func (g *Gateway) handTo(h *inFlightJob, shard int) {
-	h.shard = shard
-	h.scheduler = g.choices[shard].Leader
+func (g *Gateway) handTo(j *inFlightJob, shard int) {
+	j.shard = shard
+	j.scheduler = g.choices[shard].Leader
 	g.out = append(g.out, HandIn{
 		At:       g.now,
-		To:       h.scheduler,
+		To:       j.scheduler,
 		Shard:    shard,
-		Home:     h.home,
+		Home:     j.home,
 		Wait:     g.expectedWaits[shard],
-		Job:      h.job,
-		Due:      h.due - g.now,
-		Patience: h.deadline - g.now,
-		Handed:   h.handed,
-		Unknown:  max(0, h.uncertainUntil-g.now),
+		Job:      j.job,
+		Due:      j.due - g.now,
+		Patience: j.deadline - g.now,
+		Handed:   j.handed,
+		Unknown:  max(0, j.uncertainUntil-g.now),
 		Domain:   g.domain,
 	})
 }
@@ -332,49 +332,49 @@
 // the present scheduler may still complete what the former one gave up.
 func (g *Gateway) HandleVerdict(now Time, v Verdict) {
 	g.now = now
-	h := g.jobs[v.Job]
-	if h == nil || h.scheduler != v.From && v.Outcome != workload.Completed && v.Outcome != workload.Accepted {
+	j := g.jobs[v.Job]
+	if j == nil || j.scheduler != v.From && v.Outcome != workload.Completed && v.Outcome != workload.Accepted {
 		return
 	}
-	if v.NoRoom && g.redirect(h) {
-		h.mayHaveRun = v.Outcome != workload.NotRun
+	if v.NoRoom && g.redirect(j) {
+		j.mayHaveRun = v.Outcome != workload.NotRun
 		return
 	}
-	if v.Outcome == workload.NotRun && (h.handed > 0 || h.mayHaveRun) {
+	if v.Outcome == workload.NotRun && (j.handed > 0 || j.mayHaveRun) {
 		v.Outcome = workload.GaveUp
 	}
-	g.reply(h, v)
+	g.reply(j, v)
 }
 
 // redirect hands a job that was refused for lack of room to a shard with no expected wait. It
 // does so once per job: after a second refusal the other shards are short of room as well.
-func (g *Gateway) redirect(h *inFlightJob) bool {
-	if len(h.refusedBy) > 0 || h.handed > 0 || h.job.Stored {
+func (g *Gateway) redirect(j *inFlightJob) bool {
+	if len(j.refusedBy) > 0 || j.handed > 0 || j.job.Stored {
 		return false
 	}
-	h.refusedBy = append(h.refusedBy, h.shard)
+	j.refusedBy = append(j.refusedBy, j.shard)
 	for _, shards := range [][]int{g.fallback.SameCell, g.fallback.OtherCells} {
-		if s, ok := g.shortestWait(h, shards); ok && g.expectedWaits[s] == 0 {
-			g.handTo(h, s)
+		if s, ok := g.shortestWait(j, shards); ok && g.expectedWaits[s] == 0 {
+			g.handTo(j, s)
 			return true
 		}
 	}
 	return false
 }
 
-func (g *Gateway) reply(h *inFlightJob, v Verdict) {
-	delete(g.jobs, h.job.ID)
-	for _, r := range h.requests {
+func (g *Gateway) reply(j *inFlightJob, v Verdict) {
+	delete(g.jobs, j.job.ID)
+	for _, r := range j.requests {
 		delete(g.byRequest, r)
 		g.out = append(g.out, Reply{
 			Request:    r,
-			Job:        h.job,
+			Job:        j.job,
 			Outcome:    v.Outcome,
 			RetryAfter: v.RetryAfter,
 			Reason:     v.Reason,
 			Scheduler:  v.From,
-			Handed:     h.handed,
-			Elapsed:    g.now - h.arrived,
+			Handed:     j.handed,
+			Elapsed:    g.now - j.arrived,
 		})
 	}
 }
@@ -382,38 +382,38 @@
 // GiveUp answers all callers because the process ends.
 func (g *Gateway) GiveUp(now Time, reason string) {
 	g.now = now
-	for _, h := range g.sortedJobs() {
-		g.giveUp(h, reason)
+	for _, j := range g.sortedJobs() {
+		g.giveUp(j, reason)
 	}
 }
 
 // giveUp answers the callers of a job that may have run in part, and tells its scheduler, if
 // it has one, to drop the job.
-func (g *Gateway) giveUp(h *inFlightJob, reason string) {
-	if h.scheduler != "" {
-		g.out = append(g.out, Drop{At: g.now, To: h.scheduler, Shard: h.shard, Job: h.job.ID})
+func (g *Gateway) giveUp(j *inFlightJob, reason string) {
+	if j.scheduler != "" {
+		g.out = append(g.out, Drop{At: g.now, To: j.scheduler, Shard: j.shard, Job: j.job.ID})
 	}
-	g.reply(h, Verdict{From: h.scheduler, Job: h.job.ID, Outcome: workload.GaveUp, RetryAfter: noLeaderRetryAfter, Reason: reason})
+	g.reply(j, Verdict{From: j.scheduler, Job: j.job.ID, Outcome: workload.GaveUp, RetryAfter: noLeaderRetryAfter, Reason: reason})
 }
 
 // Tick answers the jobs that no scheduler has answered in time.
 func (g *Gateway) Tick(now Time) {
 	g.now = now
-	for _, h := range g.sortedJobs() {
-		if h.scheduler == "" && now < h.deadline {
+	for _, j := range g.sortedJobs() {
+		if j.scheduler == "" && now < j.deadline {
 			// Runs of the former scheduler may have ended by now.
-			g.handIn(h)
+			g.handIn(j)
 		}
 		switch {
-		case now > h.deadline+answerGrace:
-			g.giveUp(h, "no answer from the scheduler in time")
-		case h.scheduler == "" && now > h.arrived+noLeaderTimeout:
-			if h.handed > 0 && now < h.deadline {
+		case now > j.deadline+answerGrace:
+			g.giveUp(j, "no answer from the scheduler in time")
+		case j.scheduler == "" && now > j.arrived+noLeaderTimeout:
+			if j.handed > 0 && now < j.deadline {
 				continue
 			}
 			// The former scheduler may have had the job from another entry VM, so the
 			// answer doesn't promise that nothing of it has run.
-			g.giveUp(h, "no scheduler")
+			g.giveUp(j, "no scheduler")
 		}
 	}
 }
--- a/core/leader/leader.go
+++ b/core/leader/leader.go
@@ -337,8 +337,8 @@
 	return found
 }
 
-// ranksBefore ranks two processes for a shard: by class, then by age, or by rendezvous score
-// where a cell has several shards.
+// ranksBefore ranks two processes for a shard: by class, then by age. Rendezvous scores take the
+// place of age if this process's cell has several shards, and for shards of other cells.
 func (v *View) ranksBefore(x, y ID, shard int) bool {
 	if c := v.compareByClass(x, y); c != 0 {
 		return c < 0
--- a/core/leader/leader_test.go
+++ b/core/leader/leader_test.go
@@ -67,7 +67,7 @@
 	g.Expect(choose(v, 2*settlePeriod, false).Leader).To(Equal(ID("b")))
 
 	v = unsettledView()
-	g.Expect(choose(v, maxSettlePeriod, false).Leader).To(Equal(ID("b")), "somebody must")
+	g.Expect(choose(v, maxSettlePeriod, false).Leader).To(Equal(ID("b")), "it leads even if the peers stay unknown")
 }
 
 // After a power loss all processes of a deployment start at once. As soon as each has
--- a/core/ledger/exclusion.go
+++ b/core/ledger/exclusion.go
@@ -25,7 +25,8 @@
 type exclusion struct {
 	// wanted are the VMs to be refused, and requested those in the Claim in flight.
 	wanted, requested []string
-	// refused are the VMs that the store certainly refuses until a time.
+	// refused are the VMs that the store certainly refuses until the time until. since is
+	// when that set began, and renewedAt is when it was last renewed.
 	refused          []string
 	until            Time
 	since, renewedAt Time
