--- a/core/gateway/gateway_test.go
+++ b/core/gateway/gateway_test.go
@@ -13,8 +13,8 @@
 const ms = time.Millisecond
 
 var (
-	toA = leader.Choice{Leader: "a", Reachable: true}
-	toB = leader.Choice{Leader: "b", Reachable: true}
+	leaderA = leader.Choice{Leader: "a", Reachable: true}
+	leaderB = leader.Choice{Leader: "b", Reachable: true}
 )
 
 func testJob(id workload.JobID) *workload.Job {
@@ -39,10 +39,10 @@
 	return list
 }
 
-func TestOneAnswerForCopies(t *testing.T) {
+func TestCopiesGetTheSameAnswer(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.SetLeader(0, 0, toA)
+	w.SetLeader(0, 0, leaderA)
 	w.Submit(0, 1, 0, testJob("j"), time.Second)
 	w.Submit(10*ms, 2, 0, testJob("j"), time.Second)
 	g.Expect(handIns(w.Ready())).To(HaveLen(1))
@@ -51,38 +51,38 @@
 	g.Expect(w.InFlight()).To(BeZero())
 }
 
-// The scheduler is lost. Its jobs are handed to the next one with a word that
-// they may be running, and the old one, should it live, is told to leave them.
-func TestNextScheduler(t *testing.T) {
+// The scheduler is lost. Its jobs are handed over to the next scheduler, together with the
+// time for which they may still run, and the former scheduler is told to drop them.
+func TestJobsAreHandedOverToNextScheduler(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.SetLeader(0, 0, toA)
+	w.SetLeader(0, 0, leaderA)
 	w.Submit(0, 1, 0, testJob("j"), 2*time.Second)
 	w.Ready()
-	w.SetLeader(100*ms, 0, toB)
+	w.SetLeader(100*ms, 0, leaderB)
 	out := w.Ready()
 	g.Expect(out).To(ContainElement(Drop{At: 100 * ms, To: "a", Job: "j", HandedOver: true}))
 	again := handIns(out)
 	g.Expect(again).To(HaveLen(1))
 	g.Expect(again[0].To).To(Equal(leader.ID("b")))
 	g.Expect(again[0].Handed).To(Equal(1))
-	g.Expect(again[0].Unknown).To(Equal(unknownLife))
+	g.Expect(again[0].Unknown).To(Equal(orphanRunLifetime))
 	g.Expect(again[0].Patience).To(Equal(1900 * ms))
 
 	w.HandleVerdict(200*ms, Verdict{From: "a", Job: "j", Outcome: workload.GaveUp})
-	g.Expect(replies(w.Ready())).To(BeEmpty(), "the one that has the job decides")
+	g.Expect(replies(w.Ready())).To(BeEmpty(), "only the scheduler that has the job may give it up")
 	w.HandleVerdict(300*ms, Verdict{From: "a", Job: "j", Outcome: workload.Completed})
-	g.Expect(replies(w.Ready())).To(HaveLen(1), "but a ready answer is delivered")
+	g.Expect(replies(w.Ready())).To(HaveLen(1), "a completed job is answered whoever completed it")
 }
 
-// A scheduler refuses a job that another one had before. That one may have run
-// it, so the caller isn't told that nothing has run.
+// A scheduler refuses a job that another scheduler had before. That one may have run it, so
+// the answer isn't "not run".
 func TestRefusalAfterAHandover(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.SetLeader(0, 0, toA)
+	w.SetLeader(0, 0, leaderA)
 	w.Submit(0, 1, 0, testJob("j"), 2*time.Second)
-	w.SetLeader(100*ms, 0, toB)
+	w.SetLeader(100*ms, 0, leaderB)
 	w.Ready()
 	w.HandleVerdict(200*ms, Verdict{From: "b", Job: "j", Outcome: workload.NotRun})
 	r := replies(w.Ready())
@@ -90,27 +90,27 @@
 	g.Expect(r[0].Outcome).To(Equal(workload.GaveUp))
 }
 
-// Nobody schedules: a job waits for as long as a change takes. If it is known
-// that the scheduler can't be reached from here, its caller learns that at once.
+// There is no scheduler: a job waits for as long as a change of leader takes. If the leader
+// is known to be unreachable from here, the caller is answered at once.
 func TestNoScheduler(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
 	w.Submit(0, 1, 0, testJob("j"), 2*time.Second)
-	w.Tick(leaderWait)
+	w.Tick(noLeaderTimeout)
 	g.Expect(replies(w.Ready())).To(BeEmpty())
-	w.Tick(leaderWait + ms)
+	w.Tick(noLeaderTimeout + ms)
 	r := replies(w.Ready())
 	g.Expect(r).To(HaveLen(1))
-	g.Expect(r[0].RetryAfter).To(Equal(retryNoLeader))
+	g.Expect(r[0].RetryAfter).To(Equal(noLeaderRetryAfter))
 	w.SetLeader(time.Second, 0, leader.Choice{Leader: "a"})
 	w.Submit(time.Second, 2, 0, testJob("k"), 2*time.Second)
 	g.Expect(replies(w.Ready())).To(HaveLen(1))
 }
 
-func TestCallerLeaves(t *testing.T) {
+func TestJobIsDroppedWithLastCaller(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.SetLeader(0, 0, toA)
+	w.SetLeader(0, 0, leaderA)
 	w.Submit(0, 1, 0, testJob("j"), time.Second)
 	w.Submit(0, 2, 0, testJob("j"), time.Second)
 	w.Ready()
@@ -120,23 +120,23 @@
 	g.Expect(w.Ready()).To(ConsistOf(Drop{At: 20 * ms, To: "a", Job: "j"}))
 }
 
-// A scheduler says nothing more. The caller is answered when it would leave.
-func TestNoWord(t *testing.T) {
+// A scheduler doesn't answer. The caller is answered when its timeout and the grace end.
+func TestSchedulerDoesNotAnswer(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.SetLeader(0, 0, toA)
+	w.SetLeader(0, 0, leaderA)
 	w.Submit(0, 1, 0, testJob("j"), time.Second)
 	w.Ready()
-	w.Tick(time.Second + answerSlack + ms)
+	w.Tick(time.Second + answerGrace + ms)
 	r := replies(w.Ready())
 	g.Expect(r).To(HaveLen(1))
 	g.Expect(r[0].Outcome).To(Equal(workload.GaveUp))
 }
 
-func TestEndOfTheProcess(t *testing.T) {
+func TestGiveUpAtProcessEnd(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
-	w.SetLeader(0, 0, toA)
+	w.SetLeader(0, 0, leaderA)
 	w.Submit(0, 1, 0, testJob("j"), time.Second)
 	w.Ready()
 	w.GiveUp(10*ms, "the process ends")
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -1,13 +1,12 @@
-// Package ledger keeps what must last of a shard's jobs in the platform's store.
+// Package ledger saves the records of a shard's stored jobs in the platform's store.
 //
-// One process owns a shard's rows at a time. It takes them by changing the
-// ownership row, and each of its writes is conditional on the version that this
-// change gave. So a write of a former owner, or one that the store carries out
-// seconds after its answer was given up, changes nothing once the shard has been
-// taken again.
+// One process owns a shard's rows at a time. It takes ownership by changing the ownership
+// row, and each of its writes is conditional on the version that resulted. A write of a former
+// owner, or one that the store carries out seconds after the caller gave up on it, therefore
+// has no effect once the shard has been taken again.
 //
-// A write without an answer is settled by taking the shard again, which makes it
-// void if it hasn't been carried out yet, and by writing the same rows again.
+// After a write without an answer, the ledger renews its ownership, which voids the write if
+// it hasn't been carried out yet, and writes the same rows again.
 //
 // A Ledger does no input or output and reads no clock.
 package ledger
@@ -24,89 +23,87 @@
 type Time = task.Time
 
 const (
-	// mostRows is the number of rows in one write: the store takes 100 with the
+	// maxRowsPerWrite limits the rows of one write: the store accepts 100 including the
 	// condition.
-	mostRows = 96
-	// mostBytes is the size of one write: the store takes 1 MB, and base64 adds
-	// a third.
-	mostBytes = 600 << 10
-	// mostWrites is the number of writes on their way. One at a time is enough
-	// while the store answers in some milliseconds; a slow one gets more, since
-	// each carries 48 jobs at most.
-	mostWrites = 4
-	// linger is how long a record waits for the write before to be answered
-	// until it is sent beside it.
-	linger = 15 * time.Millisecond
-	// retryPause is the pause after a call that failed.
-	retryPause = 100 * time.Millisecond
-	// checkInterval is how often the ownership is checked if no write does it.
-	// With a store that answers in a quarter of a second it is then known to
-	// within 350 ms, less than the time after which a scheduler doubts it.
+	maxRowsPerWrite = 96
+	// maxWriteBytes limits the size of one write: the store accepts 1 MB, and base64 adds a
+	// third.
+	maxWriteBytes = 600 << 10
+	// maxWritesInFlight limits concurrent writes. One is enough while the store answers
+	// within milliseconds; a slow store needs more, since each write carries at most 48 jobs.
+	maxWritesInFlight = 4
+	// maxBatchWait is how long a record waits for the previous write's answer before it is
+	// sent in a concurrent write.
+	maxBatchWait = 15 * time.Millisecond
+	// retryDelay is the pause after a call that failed.
+	retryDelay = 100 * time.Millisecond
+	// checkInterval is the time between checks of the ownership if no write confirms it.
+	// With a store that answers in 250 ms, the last confirmation is then at most 350 ms old,
+	// less than the age at which a scheduler considers its ownership uncertain.
 	checkInterval = 100 * time.Millisecond
-	// idleCheckInterval is the same while nothing depends on the ownership, so
-	// that its loss is known before the next job comes.
+	// idleCheckInterval applies while no job depends on the ownership, so that its loss is
+	// known before the next job arrives.
 	idleCheckInterval = time.Second
-	// mostChecks bounds the checks on their way.
-	mostChecks = 4
-	// reclaimPause is how long a shard is left to another process that took it
-	// while this one thinks that it leads: they can't hear each other.
-	reclaimPause = 2 * time.Second
+	// maxChecksInFlight limits concurrent checks.
+	maxChecksInFlight = 4
+	// reclaimDelay is how long this process, as leader of the shard, leaves its rows to
+	// another process that took them. The two have no contact with each other.
+	reclaimDelay = 2 * time.Second
 )
 
-// phase is what the ledger is at.
+// phase is the state of the ownership.
 type phase uint8
 
 const (
 	// idle: the process doesn't lead the shard.
 	idle phase = iota
-	// claiming: a Claim is on its way, or due.
+	// claiming: a Claim is in flight or due.
 	claiming
-	// reading: a Read is on its way, or due.
+	// reading: a Read is in flight or due.
 	reading
-	// open: records are written.
+	// open: records can be written.
 	open
-	// settling: a write stays unanswered, or VMs are to be excluded; the shard is
-	// taken again when all writes are back.
-	settling
-	// lost: another process has the shard.
+	// quiescing: a write got no answer, or the excluded VMs are to change; ownership is
+	// renewed when all writes have returned.
+	quiescing
+	// lost: another process owns the shard.
 	lost
 )
 
-// entry is a record that is to be saved.
-type entry struct {
+// pendingRecord is a record to be saved.
+type pendingRecord struct {
 	record   Record
 	sequence uint64
-	since    Time
+	queuedAt Time
 }
 
-// Ledger is the state. It isn't safe for concurrent use.
+// Ledger saves the records of one shard. It isn't safe for concurrent use.
 type Ledger struct {
 	now   Time
 	phase phase
-	// loaded: the records have been read under an ownership that no other
-	// process has interrupted.
+	// loaded: the records have been read, and no other process has owned the shard since.
 	loaded    bool
 	ownership Ownership
 	claimedAt Time
 	lastCall  uint64
-	// call is the Claim or Read on its way, due when the next may be sent.
+	// call is the Claim or Read in flight, 0 if none; due is when the next may be sent.
 	call uint64
 	due  Time
 
-	// waiting are records to be sent, in order.
+	// waiting are the records to be sent, and order is the order of their jobs.
 	order   []workload.JobID
-	waiting map[workload.JobID]*entry
-	// writes are on their way, and busy the jobs in them.
-	writes map[uint64][]*entry
-	busy   map[workload.JobID]bool
-	checks map[uint64]bool
+	waiting map[workload.JobID]*pendingRecord
+	// writes are in flight, and jobsInFlight are the jobs in them.
+	writes       map[uint64][]*pendingRecord
+	jobsInFlight map[workload.JobID]bool
+	checks       map[uint64]bool
 
 	exclusion exclusion
 
 	verifiedAt   Time
 	checkedAt    Time
 	failingSince Time
-	// succeededAt is when the latest call was sent that succeeded.
+	// succeededAt is when the latest successful call was sent.
 	succeededAt Time
 	out         []Command
 }
@@ -123,9 +120,9 @@
 	l.exclusion = exclusion{wanted: l.exclusion.wanted}
 	l.call, l.due = 0, 0
 	l.order = nil
-	l.waiting = make(map[workload.JobID]*entry)
-	l.writes = make(map[uint64][]*entry)
-	l.busy = make(map[workload.JobID]bool)
+	l.waiting = make(map[workload.JobID]*pendingRecord)
+	l.writes = make(map[uint64][]*pendingRecord)
+	l.jobsInFlight = make(map[workload.JobID]bool)
 	l.checks = make(map[uint64]bool)
 }
 
@@ -143,7 +140,7 @@
 	return l.lastCall
 }
 
-// Acquire takes the shard.
+// Acquire claims the shard as the process becomes its leader.
 func (l *Ledger) Acquire(now Time) {
 	l.now = now
 	if l.phase != idle {
@@ -155,16 +152,15 @@
 	l.step()
 }
 
-// Release leaves the shard to another process. What isn't in the store yet isn't
-// saved.
+// Release ends the ledger's work for the shard as another process becomes the leader. Records
+// that aren't in the store yet are dropped.
 func (l *Ledger) Release() {
 	l.clear()
 	l.phase = idle
 	l.failingSince = 0
 }
 
-// FailingFor is how long all calls to the store have failed; 0 if the last one
-// hasn't.
+// FailingFor is how long all calls to the store have failed; 0 if the latest one succeeded.
 func (l *Ledger) FailingFor(now Time) time.Duration {
 	if l.failingSince == 0 {
 		return 0
@@ -172,8 +168,8 @@
 	return now - l.failingSince
 }
 
-// Save has a record written. A later record of the same job replaces one that
-// hasn't been sent.
+// Save queues a record for writing. It replaces an earlier record of the same job that hasn't
+// been sent.
 func (l *Ledger) Save(now Time, sequence uint64, r Record) {
 	l.now = now
 	if l.phase == idle || l.phase == lost {
@@ -181,7 +177,7 @@
 	}
 	e := l.waiting[r.Job]
 	if e == nil {
-		l.waiting[r.Job] = &entry{record: r, sequence: sequence, since: now}
+		l.waiting[r.Job] = &pendingRecord{record: r, sequence: sequence, queuedAt: now}
 		l.order = append(l.order, r.Job)
 		l.step()
 		return
@@ -190,38 +186,38 @@
 	l.step()
 }
 
-// replace keeps the job's work of a record that wasn't sent.
-func (e *entry) replace(r Record, sequence uint64) {
+// replace sets the record, and retains the job's definition if the new record has none.
+func (e *pendingRecord) replace(r Record, sequence uint64) {
 	if r.Definition == nil {
 		r.Definition = e.record.Definition
 	}
 	e.record, e.sequence = r, sequence
 }
 
-// Uncontested says that no other process can think that it leads the shard, so
-// that it needn't be left to one.
+// Uncontested tells that no other process can consider itself leader of the shard, so that
+// the reclaim delay needn't be waited for.
 func (l *Ledger) Uncontested(now Time) {
 	if l.phase == lost {
-		l.due = min(l.due, now+retryPause)
+		l.due = min(l.due, now+retryDelay)
 	}
 }
 
-// Tick does what is due. keeps says that jobs depend on the ownership, so that
-// it is to be checked.
-func (l *Ledger) Tick(now Time, keeps bool) {
+// Tick does what is due. inUse tells that jobs depend on the ownership, which is then checked
+// more often.
+func (l *Ledger) Tick(now Time, inUse bool) {
 	l.now = now
 	if l.phase == lost && now >= l.due {
 		l.phase = claiming
 	}
 	if l.phase == open && l.exclusion.due(now) {
-		l.phase = settling
+		l.phase = quiescing
 	}
 	l.step()
 	interval := idleCheckInterval
-	if keeps {
+	if inUse {
 		interval = checkInterval
 	}
-	if l.phase == open && now-l.checkedAt >= interval && len(l.checks) < mostChecks {
+	if l.phase == open && now-l.checkedAt >= interval && len(l.checks) < maxChecksInFlight {
 		l.checkedAt = now
 		call := l.nextCall()
 		l.checks[call] = true
@@ -229,14 +225,14 @@
 	}
 }
 
-// step sends what can be sent now.
+// step sends the calls that can be sent now.
 func (l *Ledger) step() {
 	switch {
 	case l.call != 0 || l.now < l.due:
 	case l.phase == claiming:
 		l.call = l.nextCall()
-		l.exclusion.ask()
-		c := Claim{Call: l.call, Excluded: l.exclusion.asked}
+		l.exclusion.claimSent()
+		c := Claim{Call: l.call, Excluded: l.exclusion.requested}
 		if l.loaded {
 			c.Renew = l.ownership.Epoch
 		}
@@ -245,29 +241,29 @@
 		l.call = l.nextCall()
 		l.emit(Read{Call: l.call})
 	case l.phase == open:
-		for l.mayWrite() {
+		for l.canWrite() {
 			l.write()
 		}
-	case l.phase == settling && len(l.writes) == 0:
+	case l.phase == quiescing && len(l.writes) == 0:
 		l.phase = claiming
 		l.step()
 	}
 }
 
-// mayWrite reports whether a write is to be sent now.
-func (l *Ledger) mayWrite() bool {
-	id, ok := l.nextFree()
-	if !ok || len(l.writes) >= mostWrites {
+// canWrite reports whether a write can be sent now.
+func (l *Ledger) canWrite() bool {
+	id, ok := l.nextSendable()
+	if !ok || len(l.writes) >= maxWritesInFlight {
 		return false
 	}
-	return len(l.writes) == 0 || l.now-l.waiting[id].since >= linger
+	return len(l.writes) == 0 || l.now-l.waiting[id].queuedAt >= maxBatchWait
 }
 
-// nextFree is the first job with a record to be sent. Records of one job are
-// sent one after the other, since two writes may be carried out in any order.
-func (l *Ledger) nextFree() (workload.JobID, bool) {
+// nextSendable is the first job with a record that can be sent. Records of one job are sent
+// one after the other, since the store may carry out two writes in either order.
+func (l *Ledger) nextSendable() (workload.JobID, bool) {
 	for _, id := range l.order {
-		if !l.busy[id] {
+		if !l.jobsInFlight[id] {
 			return id, true
 		}
 	}
@@ -276,64 +272,64 @@
 
 func (l *Ledger) write() {
 	w := Write{Call: l.nextCall(), Version: l.ownership.Version}
-	var entries []*entry
-	var rest []workload.JobID
+	var entries []*pendingRecord
+	var remaining []workload.JobID
 	rows, size := 0, 0
 	for _, id := range l.order {
 		e := l.waiting[id]
-		rows += e.record.weight()
+		rows += e.record.rowCount()
 		size += e.record.size()
-		if l.busy[id] || rows > mostRows || size > mostBytes && len(entries) > 0 {
-			rows -= e.record.weight()
+		if l.jobsInFlight[id] || rows > maxRowsPerWrite || size > maxWriteBytes && len(entries) > 0 {
+			rows -= e.record.rowCount()
 			size -= e.record.size()
-			rest = append(rest, id)
+			remaining = append(remaining, id)
 			continue
 		}
 		entries = append(entries, e)
 		w.Records = append(w.Records, e.record)
 		delete(l.waiting, id)
-		l.busy[id] = true
+		l.jobsInFlight[id] = true
 	}
-	l.order = rest
+	l.order = remaining
 	l.writes[w.Call] = entries
 	l.emit(w)
 }
 
-// HandleResult takes what came of a call to the store.
+// HandleResult takes the result of a call to the store.
 func (l *Ledger) HandleResult(now Time, r Result) {
 	l.now = now
 	switch r := r.(type) {
 	case ClaimResult:
-		l.claimed(r)
+		l.handleClaim(r)
 	case ReadResult:
-		l.read(r)
+		l.handleRead(r)
 	case CheckResult:
-		l.checked(r)
+		l.handleCheck(r)
 	case WriteResult:
-		l.written(r)
+		l.handleWrite(r)
 	default:
 		panic(fmt.Sprintf("unknown result %T", r))
 	}
 }
 
-func (l *Ledger) claimed(r ClaimResult) {
+func (l *Ledger) handleClaim(r ClaimResult) {
 	if r.Call != l.call || l.phase != claiming {
 		return
 	}
 	l.call = 0
 	if r.Outcome == Superseded && l.loaded {
-		l.supersede()
+		l.loseOwnership()
 		return
 	}
 	if r.Outcome != Applied {
-		l.failed(r.SentAt)
-		l.due = l.now + retryPause
+		l.recordFailure(r.SentAt)
+		l.due = l.now + retryDelay
 		return
 	}
 	l.ownership = r.Ownership
 	l.claimedAt = l.now
-	l.exclusion.granted(r.SentAt)
-	l.succeeded(r.SentAt)
+	l.exclusion.claimApplied(r.SentAt)
+	l.recordSuccess(r.SentAt)
 	l.phase = reading
 	if l.loaded {
 		l.phase = open
@@ -341,14 +337,14 @@
 	l.step()
 }
 
-func (l *Ledger) read(r ReadResult) {
+func (l *Ledger) handleRead(r ReadResult) {
 	if r.Call != l.call || l.phase != reading {
 		return
 	}
 	l.call = 0
 	if r.Outcome != Applied {
-		l.failed(l.now)
-		l.due = l.now + retryPause
+		l.recordFailure(l.now)
+		l.due = l.now + retryDelay
 		return
 	}
 	l.failingSince = 0
@@ -358,51 +354,51 @@
 	l.step()
 }
 
-func (l *Ledger) checked(r CheckResult) {
+func (l *Ledger) handleCheck(r CheckResult) {
 	if !l.checks[r.Call] {
 		return
 	}
 	delete(l.checks, r.Call)
 	switch {
 	case r.Outcome != Applied:
-		l.failed(r.SentAt)
+		l.recordFailure(r.SentAt)
 	case l.phase == open && r.Version != l.ownership.Version && r.SentAt > l.claimedAt:
-		l.supersede()
+		l.loseOwnership()
 	case r.Version == l.ownership.Version:
-		l.succeeded(r.SentAt)
+		l.recordSuccess(r.SentAt)
 	}
 	l.step()
 }
 
-func (l *Ledger) written(r WriteResult) {
+func (l *Ledger) handleWrite(r WriteResult) {
 	entries, ok := l.writes[r.Call]
 	if !ok {
 		return
 	}
 	delete(l.writes, r.Call)
 	for _, e := range entries {
-		delete(l.busy, e.record.Job)
+		delete(l.jobsInFlight, e.record.Job)
 	}
 	switch r.Outcome {
 	case Applied:
-		l.succeeded(r.SentAt)
-		l.saved(entries)
+		l.recordSuccess(r.SentAt)
+		l.emitSaved(entries)
 	case Superseded:
-		l.supersede()
+		l.loseOwnership()
 		return
 	case Rejected:
-		l.failed(r.SentAt)
-		l.putBack(entries)
-		l.due = l.now + retryPause
+		l.recordFailure(r.SentAt)
+		l.requeue(entries)
+		l.due = l.now + retryDelay
 	default:
-		l.failed(r.SentAt)
-		l.putBack(entries)
-		l.phase = settling
+		l.recordFailure(r.SentAt)
+		l.requeue(entries)
+		l.phase = quiescing
 	}
 	l.step()
 }
 
-func (l *Ledger) saved(entries []*entry) {
+func (l *Ledger) emitSaved(entries []*pendingRecord) {
 	s := Saved{At: l.now, Records: make([]SavedRecord, len(entries))}
 	for i, e := range entries {
 		s.Records[i] = SavedRecord{Job: e.record.Job, Sequence: e.sequence}
@@ -410,8 +406,8 @@
 	l.emit(s)
 }
 
-// putBack has records sent again, before the others.
-func (l *Ledger) putBack(entries []*entry) {
+// requeue queues records to be sent again, before the others.
+func (l *Ledger) requeue(entries []*pendingRecord) {
 	ids := make([]workload.JobID, 0, len(entries)+len(l.order))
 	for _, e := range entries {
 		id := e.record.Job
@@ -427,23 +423,23 @@
 	l.order = append(ids, l.order...)
 }
 
-// supersede gives up the shard: what this process knows of it is old.
-func (l *Ledger) supersede() {
+// loseOwnership drops the state of the shard, which another process owns now.
+func (l *Ledger) loseOwnership() {
 	l.clear()
 	l.phase = lost
-	l.due = l.now + reclaimPause
+	l.due = l.now + reclaimDelay
 	l.emit(Lost{At: l.now})
 }
 
-// failed notes a call that failed, unless a later one has succeeded meanwhile.
-func (l *Ledger) failed(sentAt Time) {
+// recordFailure records a failed call, unless a call that was sent later has succeeded.
+func (l *Ledger) recordFailure(sentAt Time) {
 	if l.failingSince == 0 && sentAt >= l.succeededAt {
 		l.failingSince = max(sentAt, 1)
 	}
 }
 
-// succeeded notes that this process owned the shard when a call was sent.
-func (l *Ledger) succeeded(sentAt Time) {
+// recordSuccess records that this process owned the shard when the call was sent.
+func (l *Ledger) recordSuccess(sentAt Time) {
 	l.failingSince = 0
 	l.succeededAt = max(l.succeededAt, sentAt)
 	if sentAt <= l.verifiedAt {
