--- a/core/fleet/members.go
+++ b/core/fleet/members.go
@@ -22,7 +22,7 @@
 // SetMembers says which processes are registered. Some may be gone for good.
 func (n *Node) SetMembers(now Time, list []topology.Member) {
 	n.members = list
-	n.view.Found(now)
+	n.view.PeersDiscovered(now)
 	n.membersChanged(now)
 }
 
@@ -37,7 +37,7 @@
 	list := slices.DeleteFunc(slices.Clone(n.members), func(m topology.Member) bool { return m.VM == n.member.VM })
 	n.fleet = topology.New(n.layout, n.stored == HasStoredJobs, append(list, n.member))
 	n.vms = nil
-	for _, m := range n.fleet.InCell(n.member) {
+	for _, m := range n.fleet.CellMembers(n.member) {
 		n.vms = append(n.vms, m.VM)
 	}
 	for vm := range n.unheard {
@@ -54,7 +54,7 @@
 	if n.fleet == nil {
 		return
 	}
-	n.seated = n.fleet.Seated(n.member, n.widened)
+	n.seated = n.fleet.HasSeat(n.member, n.widened)
 	links := n.fleet.Links(n.member, n.widened)
 	for _, s := range n.own {
 		l := topology.Link{ID: string(s.choice.Leader)}
@@ -74,11 +74,11 @@
 // configuration and the shards are known nobody can lead, and looking would be for
 // nothing.
 func (n *Node) lookFurther(now Time) {
-	if n.ReachesAll() || !n.view.Informed() {
+	if n.ReachesAllLeaders() || !n.view.CanSchedule() {
 		n.reachedAt = now
 	}
 	step := aloneAfter
-	if n.gateway.Reaches() {
+	if n.gateway.HasReachableScheduler() {
 		step = aloneServed
 	}
 	widened := int((now - n.reachedAt) / step)
@@ -90,33 +90,33 @@
 	n.connect()
 }
 
-// Place is where a process stands in its fleet, for dumps and metrics.
-type Place struct {
+// MembershipStatus is where a process stands in its fleet, for dumps and metrics.
+type MembershipStatus struct {
 	// Cell is the process's own; "" if runners are pooled.
 	Cell string `json:"cell,omitempty"`
 	// Seated: the VM is one of those that schedule first.
 	Seated bool `json:"seated"`
-	// Widened is how often the number of seats was doubled.
-	Widened int `json:"widened"`
-	// Members is the number of registered processes, and Unheard that of the VMs
+	// SeatDoublings is how often the number of seats was doubled.
+	SeatDoublings int `json:"widened"`
+	// Members is the number of registered processes, and UnreachableVMs that of the VMs
 	// of the cell that aren't heard.
-	Members int `json:"members"`
-	Unheard int `json:"unheard"`
-	// Wanted is the number of connections asked for.
-	Wanted int `json:"wanted_connections"`
+	Members        int `json:"members"`
+	UnreachableVMs int `json:"unheard"`
+	// WantedConnections is the number of connections asked for.
+	WantedConnections int `json:"wanted_connections"`
 }
 
-// Place describes this process.
-func (n *Node) Place() Place {
-	return Place{
-		Cell: n.cell, Seated: n.seated, Widened: n.widened,
-		Members: len(n.members), Unheard: len(n.unheard), Wanted: len(n.links),
+// MembershipStatus describes this process.
+func (n *Node) MembershipStatus() MembershipStatus {
+	return MembershipStatus{
+		Cell: n.cell, Seated: n.seated, SeatDoublings: n.widened,
+		Members: len(n.members), UnreachableVMs: len(n.unheard), WantedConnections: len(n.links),
 	}
 }
 
-// Widened is how often the number of seats was doubled; 0 while a scheduler is in
+// SeatDoublings is how often the number of seats was doubled; 0 while a scheduler is in
 // reach.
-func (n *Node) Widened() int { return n.widened }
+func (n *Node) SeatDoublings() int { return n.widened }
 
 // noteUnheard notes since when no process of a VM is heard. One that isn't may
 // live behind a cut, and lead there, also if this process has never heard it.
@@ -135,7 +135,7 @@
 			n.unheard[vm] = now
 		}
 	}
-	n.view.SetComplete(n.hearsAll())
+	n.view.SetAllVMsReachable(n.hearsAll())
 }
 
 // meetsStrangers reports whether an older process that could lead this one's cell is
@@ -147,8 +147,8 @@
 	}
 	for _, m := range n.fleet.Seats(n.cell, n.widened) {
 		id := leader.ID(m.ID)
-		heard := n.view.LastHeard(id)
-		if m.Number < n.number && heard > 0 && now-heard <= leader.LostAfter && n.view.Report(id).Number == 0 {
+		heard := n.view.LastContact(id)
+		if m.Number < n.number && heard > 0 && now-heard <= leader.HeartbeatTimeout && n.view.Report(id).Number == 0 {
 			return true
 		}
 	}
--- a/core/fleet/storedjobs.go
+++ b/core/fleet/storedjobs.go
@@ -24,8 +24,8 @@
 // String is for logs.
 func (k StoredJobs) String() string { return storedJobsNames[k] }
 
-// StoreRead tells whether the store has any stored jobs, as it was read.
-func (n *Node) StoreRead(now Time, any bool) {
+// StoredJobsRead tells whether the store has any stored jobs, as it was read.
+func (n *Node) StoredJobsRead(now Time, any bool) {
 	if any {
 		n.learnStored(now, HasStoredJobs)
 		return
@@ -49,7 +49,7 @@
 // ownRows takes the rows of a shard that this process leads, if it may have some.
 func (n *Node) ownRows(now Time, s *shard) {
 	if s.schedule.Leading() && n.stored != NoStoredJobs {
-		s.ledger.Lead(now)
+		s.ledger.Acquire(now)
 	}
 }
 
--- a/core/fleet/strain.go
+++ b/core/fleet/strain.go
@@ -20,24 +20,24 @@
 	strainSettle = 1500 * time.Millisecond
 )
 
-// Strained takes how long work that was ready has waited for the processor in the
+// RecordCPUWait takes how long work that was ready has waited for the processor in the
 // last moments. A leader whose VM has turned slow lets another one lead. It isn't
 // lost, so without this it would be taken for lost while it is late, and as the
 // oldest take the lead back when it is heard again, time and again; its callers
 // and those of all others would wait.
-func (n *Node) Strained(now Time, wait time.Duration) {
+func (n *Node) RecordCPUWait(now Time, wait time.Duration) {
 	twice := n.strained
 	n.strained = wait >= strainMost
 	if !n.strained || !twice && wait < strainSure {
 		return
 	}
 	recent := n.strainedAt > 0 && now-n.strainedAt < strainPause
-	if !n.Leads() || recent || now-n.ledAt < strainSettle || !n.view.Relief(now) {
+	if !n.Leads() || recent || now-n.ledAt < strainSettle || !n.view.HasIdleSuccessor(now) {
 		return
 	}
 	n.strainedAt = now
-	n.warn("process-strained", Field{"wait", ms(wait)}, Field{"jobs", n.gateway.InHand()})
-	n.view.Strain()
+	n.warn("process-strained", Field{"wait", ms(wait)}, Field{"jobs", n.gateway.InFlight()})
+	n.view.RecordStarvation()
 	n.heartbeatAll(now)
 	n.follow(now)
 }
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -1,12 +1,11 @@
-// Package membership joins the platform's list of VMs, which lags behind the
-// truth, with what a process sees for itself, and says which nodes and
-// upstreams are to be reckoned with.
+// Package membership combines the platform's list of VMs, which lags behind the actual state,
+// with the connections and messages that a process observes, and determines which nodes and
+// upstreams are live.
 //
-// The list says who belongs to the system; sight says who is there. A node
-// counts while it is listed, isn't leaving and is connected, or was seen until
-// a short while ago. The list in force is never replaced by an older one, and
-// it stays in force for as long as no newer one can be read: a process that is
-// cut off from the platform goes on serving with the last list it had.
+// A node is live while it is listed, isn't leaving and is connected, or was connected until
+// AbsenceGrace ago. The list in force is never replaced by an older one, and it stays in force
+// for as long as no newer one can be read: a process that is cut off from the platform
+// continues with its latest list.
 package membership
 
 import (
@@ -16,22 +15,21 @@
 )
 
 const (
-	// AbsenceGrace is how long a node counts after its connection was lost, or
-	// after it was first listed. Without it, a connection that is merely
-	// replaced would move the ownership of slots to and fro, and two nodes that
-	// start together would each take all slots for their own; one would notice
-	// by a burst of refused starts.
+	// AbsenceGrace is how long a node stays live after its connection was lost, or after it
+	// was first listed. Without it, the replacement of a connection would move the ownership
+	// of slots back and forth, and two nodes that start together would each take ownership of
+	// all slots, which shows only in a burst of refused starts.
 	AbsenceGrace = 2 * time.Second
-	// LeavingHold is how long an upstream's own word that it leaves stands
-	// against a list that doesn't say so yet.
-	LeavingHold = 30 * time.Second
+	// LeavingNoticeTTL is how long an upstream's own notice that it leaves overrides a list
+	// that doesn't show it yet.
+	LeavingNoticeTTL = 30 * time.Second
 )
 
-// sight is what is seen of one node.
-type sight struct {
-	// runs holds the connected incarnations and whether each is stopping.
-	runs        map[uint64]bool
-	absentSince task.Time
+// presence is the state of the connections with one node.
+type presence struct {
+	// incarnations holds the connected incarnations, and for each whether it is stopping.
+	incarnations map[uint64]bool
+	absentSince  task.Time
 }
 
 // View is one process's view of the members.
@@ -39,43 +37,43 @@
 	self   string
 	listed bool
 	list   task.Members
-	nodes  map[string]*sight
-	// leaving holds the upstreams that said that they leave, and until when
-	// that is believed.
+	nodes  map[string]*presence
+	// leaving holds the upstreams that sent notice that they leave, and when each notice
+	// expires.
 	leaving map[string]task.Time
 
 	live task.Members
-	// stale is set when live must be worked out anew, and due is when it must
-	// be without any further event.
-	stale bool
-	due   task.Time
+	// dirty is set when live must be recomputed, and recomputeAt is when it must be without
+	// any further event; 0 if never.
+	dirty       bool
+	recomputeAt task.Time
 }
 
-// New returns a view of a node of the given name; nothing is listed.
+// New returns the view of the node named self, without a list.
 func New(self string) *View {
 	return &View{
 		self:    self,
-		nodes:   make(map[string]*sight),
+		nodes:   make(map[string]*presence),
 		leaving: make(map[string]task.Time),
 	}
 }
 
-// Listed says whether there is a list in force.
-func (v *View) Listed() bool { return v.listed }
+// HasList reports whether a list is in force.
+func (v *View) HasList() bool { return v.listed }
 
-// Version is the version of the list in force, 0 if there is none.
+// Version is the version of the list in force; 0 if there is none.
 func (v *View) Version() uint64 { return v.list.Version }
 
 // List is the list in force as it was read. It must not be changed.
 func (v *View) List() task.Members { return v.list }
 
-// Offer puts a list in force if it is newer than the present one, and reports
-// whether it did.
+// ApplyList puts a list in force if it is newer than the present one, and reports whether it
+// did.
 //
-// Lists come from the platform and from peers, late and crossed. An older list
-// would bring a leaving upstream back, whose tasks would then be cut off; the
-// check on the version prevents that.
-func (v *View) Offer(now task.Time, m task.Members) bool {
+// Lists come from the platform and from peers, late and out of order. An older list would make
+// a leaving upstream live again, and the tasks sent to it would be cut off. The check of the
+// version prevents that.
+func (v *View) ApplyList(now task.Time, m task.Members) bool {
 	if v.listed && m.Version <= v.list.Version {
 		return false
 	}
@@ -85,30 +83,30 @@
 	}
 	v.list = m
 	v.listed = true
-	v.stale = true
-	v.keepNodes(now)
-	v.keepFarewells(addresses)
+	v.dirty = true
+	v.updateNodes(now)
+	v.pruneLeaving(addresses)
 	return true
 }
 
-// keepNodes begins the grace of nodes that are new on the list and forgets
-// those that are neither listed nor connected.
-func (v *View) keepNodes(now task.Time) {
+// updateNodes starts the grace period of newly listed nodes and removes those that are neither
+// listed nor connected.
+func (v *View) updateNodes(now task.Time) {
 	listed := make(map[string]bool, len(v.list.Nodes))
 	for _, n := range v.list.Nodes {
 		listed[n.Name] = true
-		v.sightOf(now, n.Name)
+		v.presenceOf(now, n.Name)
 	}
 	for name, s := range v.nodes {
-		if !listed[name] && len(s.runs) == 0 {
+		if !listed[name] && len(s.incarnations) == 0 {
 			delete(v.nodes, name)
 		}
 	}
 }
 
-// keepFarewells forgets what upstreams said that are gone, or were replaced
-// under the same name.
-func (v *View) keepFarewells(addresses map[string]string) {
+// pruneLeaving removes the notices of upstreams that aren't listed any more, or that were
+// replaced under the same name.
+func (v *View) pruneLeaving(addresses map[string]string) {
 	present := make(map[string]bool, len(v.list.Upstreams))
 	for _, u := range v.list.Upstreams {
 		present[u.Name] = u.Address == addresses[u.Name]
@@ -120,10 +118,10 @@
 	}
 }
 
-func (v *View) sightOf(now task.Time, name string) *sight {
+func (v *View) presenceOf(now task.Time, name string) *presence {
 	s := v.nodes[name]
 	if s == nil {
-		s = &sight{runs: make(map[uint64]bool), absentSince: now}
+		s = &presence{incarnations: make(map[uint64]bool), absentSince: now}
 		v.nodes[name] = s
 	}
 	return s
@@ -131,53 +129,53 @@
 
 // PeerUp records that an incarnation is connected.
 func (v *View) PeerUp(now task.Time, p task.Incarnation) {
-	v.sightOf(now, p.Node).runs[p.Run] = false
-	v.stale = true
+	v.presenceOf(now, p.Node).incarnations[p.Run] = false
+	v.dirty = true
 }
 
-// PeerDown records that the connection with an incarnation is lost. That of a
-// predecessor says nothing of the node's present process.
+// PeerDown records that the connection with an incarnation is lost. The loss of a former
+// incarnation doesn't affect the node's present process.
 func (v *View) PeerDown(now task.Time, p task.Incarnation) {
 	s := v.nodes[p.Node]
 	if s == nil {
 		return
 	}
-	delete(s.runs, p.Run)
-	if len(s.runs) == 0 {
+	delete(s.incarnations, p.Run)
+	if len(s.incarnations) == 0 {
 		s.absentSince = now
 	}
-	v.stale = true
+	v.dirty = true
 }
 
-// PeerStopping records whether a connected incarnation stops and has no more
-// tasks to start.
+// PeerStopping records whether a connected incarnation is stopping and has no more tasks to
+// start.
 func (v *View) PeerStopping(p task.Incarnation, stopping bool) {
 	s := v.nodes[p.Node]
 	if s == nil {
 		return
 	}
-	was, connected := s.runs[p.Run]
+	was, connected := s.incarnations[p.Run]
 	if connected && was != stopping {
-		s.runs[p.Run] = stopping
-		v.stale = true
+		s.incarnations[p.Run] = stopping
+		v.dirty = true
 	}
 }
 
-// UpstreamLeaving records that an upstream itself said that it leaves.
+// UpstreamLeaving records an upstream's own notice that it leaves.
 func (v *View) UpstreamLeaving(now task.Time, name string) {
-	v.leaving[name] = now + LeavingHold
-	v.stale = true
+	v.leaving[name] = now + LeavingNoticeTTL
+	v.dirty = true
 }
 
-// Live returns the list in force with Leaving set on all that isn't to be
-// reckoned with, and whether it was worked out anew since the last call. The
-// process itself always counts as it is listed.
+// Live returns the list in force with Leaving set on every node and upstream that isn't live,
+// and whether it was recomputed since the last call. The process itself always has the state
+// that is listed.
 func (v *View) Live(now task.Time) (task.Members, bool) {
-	if !v.stale && (v.due == 0 || now < v.due) {
+	if !v.dirty && (v.recomputeAt == 0 || now < v.recomputeAt) {
 		return v.live, false
 	}
-	v.stale = false
-	v.due = 0
+	v.dirty = false
+	v.recomputeAt = 0
 	v.live = task.Members{
 		Version:   v.list.Version,
 		Nodes:     make([]task.Node, len(v.list.Nodes)),
@@ -188,7 +186,7 @@
 		v.live.Nodes[i] = n
 	}
 	for i, u := range v.list.Upstreams {
-		u.Leaving = u.Leaving || v.saidLeaving(now, u.Name)
+		u.Leaving = u.Leaving || v.announcedLeaving(now, u.Name)
 		v.live.Upstreams[i] = u
 	}
 	return v.live, true
@@ -199,37 +197,37 @@
 		return true
 	}
 	s := v.nodes[name]
-	for _, stopping := range s.runs {
+	for _, stopping := range s.incarnations {
 		if !stopping {
 			return true
 		}
 	}
-	if len(s.runs) > 0 {
+	if len(s.incarnations) > 0 {
 		return false
 	}
 	end := s.absentSince + AbsenceGrace
 	if now >= end {
 		return false
 	}
-	v.lookAt(end)
+	v.scheduleRecompute(end)
 	return true
 }
 
-func (v *View) saidLeaving(now task.Time, name string) bool {
-	until, said := v.leaving[name]
-	if !said {
+func (v *View) announcedLeaving(now task.Time, name string) bool {
+	until, announced := v.leaving[name]
+	if !announced {
 		return false
 	}
 	if now >= until {
 		delete(v.leaving, name)
 		return false
 	}
-	v.lookAt(until)
+	v.scheduleRecompute(until)
 	return true
 }
 
-func (v *View) lookAt(at task.Time) {
-	if v.due == 0 || at < v.due {
-		v.due = at
+func (v *View) scheduleRecompute(at task.Time) {
+	if v.recomputeAt == 0 || at < v.recomputeAt {
+		v.recomputeAt = at
 	}
 }
--- a/core/schedule/move.go
+++ b/core/schedule/move.go
@@ -142,7 +142,7 @@
 // movingRecord returns the record with all that another shard needs to continue the job.
 func (j *job) movingRecord() ledger.Record {
 	r := j.record()
-	r.Work = j.work
+	r.Definition = j.work
 	return r
 }
 
@@ -171,7 +171,7 @@
 func (s *Scheduler) movedJob(m *move) MovedJob {
 	r := m.record
 	return MovedJob{
-		Job:      r.Work,
+		Job:      r.Definition,
 		Age:      m.age + s.now - m.since,
 		Hand:     r.Hand,
 		Done:     r.Done,
@@ -189,7 +189,7 @@
 	}
 	delete(s.rows.moving, id)
 	m.arrived = true
-	m.record.Done, m.record.Failures, m.record.Work = nil, nil, nil
+	m.record.Done, m.record.Failures, m.record.Definition = nil, nil, nil
 	m.record.State = ledger.Moved
 	k := s.rows.retained[id]
 	k.state = ledger.Moved
@@ -243,7 +243,7 @@
 	id := m.Job.ID
 	s.dropRetained(id)
 	j := s.restored(ledger.Record{
-		Job: id, Work: m.Job, Age: m.Age, Epoch: s.rows.epoch - uint64(m.Hand),
+		Job: id, Definition: m.Job, Age: m.Age, Epoch: s.rows.epoch - uint64(m.Hand),
 		Done: m.Done, Failures: m.Failures, Unseen: m.Unseen, Restarted: true,
 	})
 	j.priorRunsOverAt = s.now
--- a/core/schedule/restore.go
+++ b/core/schedule/restore.go
@@ -43,7 +43,7 @@
 
 // restore adds a job that another scheduler had.
 func (s *Scheduler) restore(r ledger.Record) {
-	if r.Work == nil || s.jobs[r.Job] != nil {
+	if r.Definition == nil || s.jobs[r.Job] != nil {
 		return
 	}
 	j := s.restored(r)
@@ -55,13 +55,13 @@
 
 // restored builds a job from its record.
 func (s *Scheduler) restored(r ledger.Record) *job {
-	j := newJob(r.Work, s.now)
+	j := newJob(r.Definition, s.now)
 	j.stored = &stored{epoch: r.Epoch, accepted: true, failures: r.Failures, unseen: r.Unseen, unseenByPredecessor: r.Unseen}
 	j.started, j.restarted = true, r.Restarted
 	j.priorSchedulers = int(s.rows.epoch - r.Epoch)
 	j.priorRunsOverAt = s.rows.priorRunsOverAt
 	j.listsNeededSince = s.now
-	j.setDue(s.now-r.Age, r.Work.Objective)
+	j.setDue(s.now-r.Age, r.Definition.Objective)
 	s.updateDue(j)
 	s.jobs[r.Job] = j
 	s.rows.open++
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -132,7 +132,7 @@
 func (p *Process) watchOperator(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.retry(ctx, "configuration", func() error {
-			o, err := p.store.Operator(ctx)
+			o, err := p.store.OperatorSettings(ctx)
 			if err != nil {
 				return err
 			}
@@ -142,14 +142,14 @@
 	}
 }
 
-func (p *Process) operatorRead(o Operator) {
+func (p *Process) operatorRead(o OperatorSettings) {
 	if o.Declaration == nil {
 		p.log.Warn().Msg("configuration-unreadable")
 	}
 	p.post(func(now Time) {
-		p.node.Evacuated(now, o.Evacuations, "store")
+		p.node.ApplyEvacuations(now, o.Evacuations, "store")
 		if o.Declaration != nil {
-			p.node.Declared(now, o.Declaration, "store")
+			p.node.ApplyDeclaration(now, o.Declaration, "store")
 		}
 	})
 }
@@ -207,13 +207,13 @@
 	if err != nil || len(l) == 0 {
 		return err
 	}
-	any, err := p.store.AnyRecords(ctx)
+	any, err := p.store.HasRecords(ctx)
 	if err != nil {
 		return err
 	}
 	p.post(func(now Time) {
-		p.node.StoreRead(now, any)
-		p.node.Layout(now, l)
+		p.node.StoredJobsRead(now, any)
+		p.node.ApplyLayout(now, l)
 	})
 	return nil
 }
