--- a/core/schedule/acknowledge.go
+++ b/core/schedule/acknowledge.go
@@ -88,8 +88,8 @@
 	if t == nil {
 		return false
 	}
-	hand := e.Run.Number / runsPerScheduler
-	return t.lastStarted > e.Run.Number || hand < j.priorSchedulers-1 || hand < j.priorSchedulers && j.stored.unseenByPredecessor
+	schedulerIndex := e.Run.Number / runsPerScheduler
+	return t.lastStarted > e.Run.Number || schedulerIndex < j.priorSchedulers-1 || schedulerIndex < j.priorSchedulers && j.stored.unseenByPredecessor
 }
 
 // recheckEnds processes again the ends whose jobs may be stored ones, now that the stored jobs
--- a/core/schedule/admission.go
+++ b/core/schedule/admission.go
@@ -148,10 +148,10 @@
 }
 
 // queuedWork returns the waiting work of the jobs of a service that a filter selects.
-func (s *Scheduler) queuedWork(service string, some func(*job) bool) time.Duration {
+func (s *Scheduler) queuedWork(service string, filter func(*job) bool) time.Duration {
 	var sum time.Duration
 	for _, q := range s.queue {
-		if q.work.Service == service && some(q) {
+		if q.work.Service == service && filter(q) {
 			sum += s.waitingWork(q)
 		}
 	}
--- a/core/schedule/entries.go
+++ b/core/schedule/entries.go
@@ -67,7 +67,7 @@
 }
 
 // SetUnreachable sets whether a VM that may be alive is unreachable.
-func (s *Scheduler) SetUnreachable(some bool) { s.anyUnreachable = some }
+func (s *Scheduler) SetUnreachable(unreachable bool) { s.anyUnreachable = unreachable }
 
 // SetOtherCellUnreachable sets whether a VM of another cell is unreachable, or was recently. Copies
 // of its jobs may arrive here, and only that cell's scheduler knows what has run of them.
--- a/core/schedule/evacuation.go
+++ b/core/schedule/evacuation.go
@@ -27,7 +27,7 @@
 	if len(s.evacuated) == 0 {
 		return false
 	}
-	some := false
+	hasRunners := false
 	for _, r := range s.runnerList {
 		if r.info.Service != service || r.gone {
 			continue
@@ -35,9 +35,9 @@
 		if !r.evacuated {
 			return false
 		}
-		some = true
+		hasRunners = true
 	}
-	return some
+	return hasRunners
 }
 
 const evacuatedReason = "all runners are in evacuated failure domains"
--- a/core/schedule/listing.go
+++ b/core/schedule/listing.go
@@ -15,9 +15,9 @@
 	unlistedGrace = 2500 * time.Millisecond
 	// longSilence is the length of such a silence: less than an entry takes to expire.
 	longSilence = time.Second
-	// lapsedCheck is how often an idle runner with an expired entry is checked, so that its
+	// lapsedCheckInterval is how often an idle runner with an expired entry is checked, so that its
 	// loss is noticed before a job is placed on it.
-	lapsedCheck = 200 * time.Millisecond
+	lapsedCheckInterval = 200 * time.Millisecond
 )
 
 // noteAnswerAfterSilence handles an answer of a runner that was silent for some time.
--- a/core/schedule/move.go
+++ b/core/schedule/move.go
@@ -215,7 +215,7 @@
 	if !s.leading || !s.rows.loaded || !s.ownsRows() {
 		return
 	}
-	if k, ok := s.rows.retained[id]; ok && !k.returns(m) {
+	if k, ok := s.rows.retained[id]; ok && !k.isReturn(m) {
 		if k.saving == 0 {
 			s.emit(MoveAck{At: s.now, To: from, Shard: m.From, Job: id})
 		}
@@ -234,9 +234,9 @@
 	s.acceptMoved(from, m)
 }
 
-// returns reports whether a job that had moved away comes back: it has had more owners since.
+// isReturn reports whether a job that had moved away comes back: it has had more owners since.
 // Otherwise this is the same move repeated, since its acknowledgement was lost.
-func (k retained) returns(m MovedJob) bool { return k.move != nil && m.Hand > k.move.record.Hand }
+func (k retained) isReturn(m MovedJob) bool { return k.move != nil && m.Hand > k.move.record.Hand }
 
 // acceptMoved restores a job of another shard and saves it before any of its tasks is started.
 func (s *Scheduler) acceptMoved(from EntryID, m MovedJob) {
--- a/core/schedule/move_test.go
+++ b/core/schedule/move_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// moved returns a job of shard 2, one of whose two tasks is done.
-func moved(hand int) MovedJob {
+// movedJobOfShard2 returns a job of shard 2, one of whose two tasks is done.
+func movedJobOfShard2(hand int) MovedJob {
 	j := storedJob(2, 200*ms)
 	return MovedJob{From: 2, Job: j, Hand: hand, Age: time.Second, Done: openRecord(j, 1, 0).Done}
 }
@@ -111,7 +111,7 @@
 // Guards against a job that is lost or runs twice when the messages of a move are repeated.
 func TestMovedJobIsAcceptedOnce(t *testing.T) {
 	b := leading(t, testRunner("r1"))
-	m := moved(2)
+	m := movedJobOfShard2(2)
 	b.s.AcceptMovedJob(b.now, entryA, m)
 	save := one[Save](b)
 	b.g.Expect(save.Record.Definition).To(Equal(m.Job))
--- a/core/schedule/ownership.go
+++ b/core/schedule/ownership.go
@@ -98,7 +98,7 @@
 	case len(r.runs) > 0:
 		s.hold(r)
 	case r.info.Lapsed || r.unlisted:
-		r.nextHoldAt = s.now + lapsedCheck
+		r.nextHoldAt = s.now + lapsedCheckInterval
 	default:
 		r.nextHoldAt = s.now + idleCheckInterval
 	}
--- a/core/schedule/placement.go
+++ b/core/schedule/placement.go
@@ -12,10 +12,10 @@
 	// fit: a probability of one tenth costs as much as a runner that would stay entirely free.
 	missWeight = 10.0
 	// slowRunnerGain is the gain of placing a task that has time on a slower runner, which
-	// leaves the faster ones to more urgent tasks. Runners slower than maxSoughtPace times the
+	// leaves the faster ones to more urgent tasks. Runners slower than maxPreferredPace times the
 	// usual gain no more, and cost slowRunnerPenalty.
 	slowRunnerGain    = 0.3
-	maxSoughtPace     = 1.5
+	maxPreferredPace  = 1.5
 	slowRunnerPenalty = 5.0
 	// remoteDomainPenalty keeps tasks in the failure domain of their caller while there is room;
 	// it outweighs any gain by fit. If a domain is cut off, runs beyond the partition must end
@@ -43,8 +43,8 @@
 
 // full reports whether tasks that need no more than those of a step have found no room.
 func (p *placer) full(step *workload.Step, service string) bool {
-	big, ok := p.smallestUnplaced[service]
-	return ok && big.Fits(step.Need)
+	need, ok := p.smallestUnplaced[service]
+	return ok && need.Fits(step.Need)
 }
 
 // place chooses a runner for a task; nil if there is no room.
@@ -105,8 +105,8 @@
 	pace := r.health.pace() * p.s.remoteFactor(t, r)
 	c += missWeight * (1 - completionProbability(t.step().Estimate, pace, t.job.deadline-p.s.now))
 	relative := pace / p.usualPace(r.info.Service)
-	c -= slowRunnerGain * min(relative, maxSoughtPace)
-	c += slowRunnerPenalty * max(0, relative-maxSoughtPace)
+	c -= slowRunnerGain * min(relative, maxPreferredPace)
+	c += slowRunnerPenalty * max(0, relative-maxPreferredPace)
 	if t.job.domain != "" && r.info.Domain != t.job.domain {
 		c += remoteDomainPenalty
 	}
--- a/core/schedule/reach.go
+++ b/core/schedule/reachability.go
@@ -27,8 +27,8 @@
 	// VMs are reachable before: processes dial each other every 250 ms, and a leader announces
 	// itself at once.
 	discoveryWait = 600 * time.Millisecond
-	// presenceToken is refused by all runners, since each has seen a higher one.
-	presenceToken = 0
+	// reachabilityToken is refused by all runners, since each has seen a higher one.
+	reachabilityToken = 0
 )
 
 // partitioned updates and reports whether a runner may be led by an unreachable process.
@@ -54,7 +54,7 @@
 	}
 	r.holdInFlight = true
 	r.holdSentAt = s.now
-	s.emit(Hold{Runner: r.info.ID, Address: r.info.Address, Token: presenceToken, ReachabilityOnly: true, Timeout: s.callTimeout()})
+	s.emit(Hold{Runner: r.info.ID, Address: r.info.Address, Token: reachabilityToken, ReachabilityOnly: true, Timeout: s.callTimeout()})
 }
 
 // handleReachability handles the result of checkReachability.
--- a/core/schedule/results.go
+++ b/core/schedule/results.go
@@ -69,8 +69,8 @@
 func (s *Scheduler) applyLists(r *runner, res HoldResult) {
 	first := !r.owned
 	r.owned = true
-	whole := len(res.Ends) < maxEndsPerList
-	if whole {
+	complete := len(res.Ends) < maxEndsPerList
+	if complete {
 		r.listAsOf = max(r.listAsOf, res.Clock.SentAt)
 	}
 	if first {
@@ -91,7 +91,7 @@
 		s.noteListedRun(r, k)
 		r.runs[k].noteCheckpoint(res.Checkpoints[k])
 	}
-	if whole {
+	if complete {
 		s.dropStopped(r, listed, res.Clock.SentAt)
 	}
 }
--- a/core/schedule/schedule.go
+++ b/core/schedule/schedule.go
@@ -327,11 +327,11 @@
 
 // callTimeout returns the present timeout of an order.
 func (s *Scheduler) callTimeout() time.Duration {
-	least := CallTimeout
+	minTimeout := CallTimeout
 	if s.now-s.leadingSince < warmUpTime {
-		least = warmUpTimeout
+		minTimeout = warmUpTimeout
 	}
-	return min(max(least, timeoutFactor*s.callLatency), maxTimeout)
+	return min(max(minTimeout, timeoutFactor*s.callLatency), maxTimeout)
 }
 
 // recordLatency updates the averaged latency. An order without an answer counts with the
