--- /dev/null
+++ b/core/fleet/checker_test.go
@@ -0,0 +1,193 @@
+package fleet_test
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"sapphirepoint.example/sapphirepoint/core/fleet"
+	"sapphirepoint.example/sapphirepoint/core/workload"
+)
+
+// checker sees what runners and callers see, and notes each broken promise.
+type checker struct {
+	w          *world
+	violations []string
+	running    map[workload.TaskName]map[workload.RunKey]*fakeRunner
+	done       map[workload.TaskName]bool
+	// starts are when each task of a stored job was started.
+	starts map[workload.TaskName][]time.Duration
+	// acknowledgedAt are the ends of tasks of stored jobs that were acknowledged while
+	// the runner's lease lasted, and failures how many of them were failures.
+	acknowledgedAt map[workload.TaskName]time.Duration
+	failures       map[workload.TaskName]int
+	// failed are all runs that have failed.
+	failed map[workload.TaskName]int
+}
+
+func newChecker(w *world) *checker {
+	return &checker{
+		w:              w,
+		running:        make(map[workload.TaskName]map[workload.RunKey]*fakeRunner),
+		done:           make(map[workload.TaskName]bool),
+		starts:         make(map[workload.TaskName][]time.Duration),
+		acknowledgedAt: make(map[workload.TaskName]time.Duration),
+		failures:       make(map[workload.TaskName]int),
+		failed:         make(map[workload.TaskName]int),
+	}
+}
+
+func (t *checker) report(format string, args ...any) {
+	t.violations = append(t.violations, fmt.Sprintf("at %v: ", t.w.now)+fmt.Sprintf(format, args...))
+}
+
+func (t *checker) started(r *fakeRunner, k workload.RunKey) {
+	live := t.running[k.Task]
+	if live == nil {
+		live = make(map[workload.RunKey]*fakeRunner)
+		t.running[k.Task] = live
+	}
+	for other, at := range live {
+		t.report("%v starts on %s while %v runs on %s", k, r.info.ID, other, at.info.ID)
+	}
+	live[k] = r
+	if at, ok := t.w.evacuations.since[r.info.Domain]; ok && t.w.now > at+evacuationDelay {
+		t.report("%v starts on %s, in a domain that was evacuated at %v", k, r.info.ID, at)
+	}
+	j := t.w.jobs[k.Task.Job]
+	j.starts++
+	if j.work.Stored {
+		t.checkStoredStart(j, k)
+	}
+	if j.refused {
+		t.report("%v starts on %s though its caller was told that it hasn't run", k, r.info.ID)
+	}
+}
+
+func (t *checker) ended(_ *fakeRunner, k workload.RunKey, kind workload.EndKind) {
+	delete(t.running[k.Task], k)
+	if kind == workload.Done {
+		t.done[k.Task] = true
+	}
+	if kind == workload.Failed {
+		t.failed[k.Task]++
+	}
+}
+
+func (t *checker) answered(j *fakeJob, o workload.Outcome) {
+	j.outcome, j.answered, j.took = o, true, t.w.now-j.sent
+	switch o {
+	case workload.NotRun:
+		j.refused = true
+		if j.starts > 0 {
+			t.report("job %s: its caller is told that it hasn't run; %d runs were started", j.work.ID, j.starts)
+		}
+	case workload.Completed:
+		for i := range j.work.Tasks() {
+			if !t.done[workload.TaskName{Job: j.work.ID, Index: i}] {
+				t.report("job %s is complete without task %d", j.work.ID, i)
+			}
+		}
+	}
+	if j.work.Stored {
+		return
+	}
+	// A process that was frozen gives its answers as it wakes.
+	if t.w.now > j.sent+j.patience+200*time.Millisecond && t.w.now > t.w.lastWakeAt+200*time.Millisecond {
+		t.report("job %s is answered %v after its caller has left", j.work.ID, t.w.now-j.sent-j.patience)
+	}
+}
+
+// maxStartAfterCancel is how long after its cancelling a job may still be started.
+const maxStartAfterCancel = 3 * time.Second
+
+func (t *checker) checkStoredStart(j *fakeJob, k workload.RunKey) {
+	t.starts[k.Task] = append(t.starts[k.Task], t.w.now)
+	if at, ok := t.acknowledgedAt[k.Task]; ok {
+		t.report("%v starts though an end of the task at %v was acknowledged", k, at)
+	}
+	if t.failures[k.Task] >= j.work.MaxAttempts {
+		t.report("%v starts after %d failures", k, t.failures[k.Task])
+	}
+	if j.cancelled > 0 && t.w.now > j.cancelled+maxStartAfterCancel {
+		t.report("%v starts %v after its job was cancelled", k, t.w.now-j.cancelled)
+	}
+	if j.ended && j.outcome == workload.Completed {
+		t.report("%v starts after its job was shown as completed", k)
+	}
+}
+
+// acknowledged notes that a runner may forget an end. One before which its lease
+// has ended counts for nothing.
+func (t *checker) acknowledged(e fakeEnd) {
+	task := e.Run.Task
+	if j := t.w.jobs[task.Job]; !j.work.Stored || e.lapsed {
+		return
+	}
+	switch e.Kind {
+	case workload.Done:
+		t.acknowledgedAt[task] = e.at
+		for _, at := range t.starts[task] {
+			if at > e.at {
+				t.report("the end of %v at %v is acknowledged though the task was started again at %v", e.Run, e.at, at)
+			}
+		}
+	case workload.Failed:
+		t.failures[task]++
+	}
+}
+
+// checkShownState checks what the caller of an accepted job is told of it.
+func (t *checker) checkShownState(j *fakeJob, cancel bool, a fleet.StateAnswer) {
+	s := a.State
+	switch {
+	case a.Unreachable || s.Unsure || j.ended:
+		return
+	case !s.Known:
+		t.report("job %s was accepted at %v and isn't known", j.work.ID, j.accepted)
+		return
+	case cancel:
+		j.cancelled, j.ended, j.outcome = t.w.now, true, s.Outcome
+		return
+	case !s.Ended:
+		return
+	}
+	j.ended, j.outcome = true, s.Outcome
+	switch s.Outcome {
+	case workload.Completed:
+		t.answered(j, workload.Completed)
+	case workload.Cancelled:
+		if j.cancelSent == 0 {
+			t.report("job %s is shown as cancelled", j.work.ID)
+		}
+	case workload.JobFailed:
+		t.checkFailed(j)
+	}
+}
+
+// checkKnown checks that a process doesn't deny a job that was accepted and that its caller
+// hasn't cancelled, ended or not.
+func (t *checker) checkKnown(j *fakeJob, n *fakeNode, a fleet.StateAnswer) {
+	if !a.Unreachable && !a.State.Unsure && !a.State.Known && j.cancelSent == 0 {
+		t.report("job %s was accepted at %v and isn't known to %s", j.work.ID, j.accepted, n.id)
+	}
+}
+
+func (t *checker) checkFailed(j *fakeJob) {
+	for task, n := range t.failed {
+		if task.Job == j.work.ID && n >= j.work.MaxAttempts {
+			return
+		}
+	}
+	t.report("job %s is shown as failed", j.work.ID)
+}
+
+// checkSettled checks that all accepted jobs have ended, after a calm while.
+func (t *checker) checkSettled() {
+	for _, id := range slices.Sorted(maps.Keys(t.w.jobs)) {
+		if j := t.w.jobs[id]; j.work.Stored && j.accepted > 0 && !j.ended {
+			t.report("job %s was accepted at %v and hasn't ended", id, j.accepted)
+		}
+	}
+}
--- a/core/fleet/strain_test.go
+++ b/core/fleet/cpuwait_test.go
@@ -19,7 +19,7 @@
 		w.load(60, 3*time.Second)
 		w.run(1500 * time.Millisecond)
 		slow := w.leader()
-		w.lag[slow.name] = 100 * time.Millisecond
+		w.sendDelay[slow.name] = 100 * time.Millisecond
 		w.do(slow, func() { slow.node.RecordCPUWait(w.now, 20*time.Millisecond) })
 		w.run(10 * time.Millisecond)
 		g.Expect(w.leader()).To(Equal(slow), "a short wait is no reason")
@@ -34,8 +34,8 @@
 		g.Expect(next).NotTo(Equal(slow))
 		w.run(6 * time.Second)
 		g.Expect(w.leader()).To(Equal(next))
-		g.Expect(w.truth.broken).To(BeEmpty())
-		w.expectNothingAgain(g, seed)
+		g.Expect(w.checker.violations).To(BeEmpty())
+		w.expectNoTaskStartedTwice(g, seed)
 		for id, j := range w.jobs {
 			g.Expect(j.outcome).To(Equal(workload.Completed), "seed %d: job %s", seed, id)
 		}
@@ -44,7 +44,7 @@
 
 // All VMs are short of processor. The lead goes round once, and then stays for
 // a while: each change costs all callers some time.
-func TestTheLeadDoesntGoRoundAndRound(t *testing.T) {
+func TestLeadershipDoesNotCycle(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 1)
 	w.run(time.Second)
@@ -95,7 +95,7 @@
 }
 
 // A process that has just come to lead is busy for a moment. That is no strain.
-func TestATakeoverIsNoStrain(t *testing.T) {
+func TestTakeoverIsNotTreatedAsCPUStarvation(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 1)
 	n := w.leader()
--- a/core/fleet/denial_test.go
+++ b/core/fleet/denial_test.go
@@ -19,8 +19,8 @@
 		g := NewWithT(t)
 		w := deployment(1, 1)
 		if known {
-			earlier := w.storedJob()
-			w.try(earlier)
+			earlier := w.newStoredJob()
+			w.sendJob(earlier)
 			w.run(3 * time.Second)
 			g.Expect(earlier.accepted).NotTo(BeZero())
 		}
@@ -28,29 +28,29 @@
 		fresh := w.nodes[5]
 		g.Expect(fresh).NotTo(Equal(old))
 		for _, o := range w.nodes {
-			w.parted[[2]string{fresh.name, o.name}] = true
+			w.partitioned[[2]string{fresh.name, o.name}] = true
 		}
 		w.kill(fresh, 20*time.Millisecond)
 		w.run(30 * time.Millisecond)
 		for !fresh.node.Leads() {
 			w.run(time.Millisecond)
 		}
-		job := w.storedJob()
+		job := w.newStoredJob()
 		w.do(fresh, func() { fresh.node.Submit(w.now, 1000, job.work, time.Second) })
 		fresh.requests[1000] = job
 		for job.accepted == 0 {
 			w.run(time.Millisecond)
 		}
 		g.Expect(old.node.Leads()).To(BeTrue())
-		old.questions[1001] = &askedJob{job: job}
+		old.queries[1001] = &jobQuery{job: job}
 		w.do(old, func() { old.node.Query(w.now, 1001, job.work.ID, false) })
 		w.run(600 * time.Millisecond)
-		g.Expect(w.truth.broken).To(BeEmpty())
+		g.Expect(w.checker.violations).To(BeEmpty())
 	}
 }
 
-// storedJob is a job for keeps that hasn't been sent yet, and isn't cancelled.
-func (w *world) storedJob() *fakeJob {
+// newStoredJob is a job for keeps that hasn't been sent yet, and isn't cancelled.
+func (w *world) newStoredJob() *fakeJob {
 	w.storedShare = 1
 	defer func() { w.storedShare = 0 }()
 	j := w.newJob("a", 1, time.Second, 2*time.Second)
@@ -65,13 +65,13 @@
 	t.Parallel()
 	for i := range *seeds {
 		seed := *firstSeed + uint64(i)
-		w, played := deniedRun(seed)
-		NewWithT(t).Expect(w.truth.broken).To(BeEmpty(), "seed %d: %v", seed, played)
+		w, played := denialRun(seed)
+		NewWithT(t).Expect(w.checker.violations).To(BeEmpty(), "seed %d: %v", seed, played)
 	}
 }
 
 // Runs that once broke a promise, with the cause.
-var deniedRegressions = map[uint64]string{
+var denialRegressions = map[uint64]string{
 	8101338: "a process that woke accepted a job of a dead one out of its buffers, whose caller had been refused",
 	8200462: "a new owner showed a job as completed, and the one before started a task of it again, not knowing yet that it wasn't the owner",
 	8200245: "a job was completed by the end of a run whose task had been started again, which the owner after the next didn't know",
@@ -79,21 +79,21 @@
 
 func TestDeniedRegressions(t *testing.T) {
 	t.Parallel()
-	for seed, cause := range deniedRegressions {
-		w, played := deniedRun(seed)
-		NewWithT(t).Expect(w.truth.broken).To(BeEmpty(), "seed %d, %s: %v", seed, cause, played)
+	for seed, cause := range denialRegressions {
+		w, played := denialRun(seed)
+		NewWithT(t).Expect(w.checker.violations).To(BeEmpty(), "seed %d, %s: %v", seed, cause, played)
 	}
 }
 
-// deniedRun plays a pooled deployment or one of cells, of one or two shards.
-func deniedRun(seed uint64) (*world, []string) {
+// denialRun plays a pooled deployment or one of cells, of one or two shards.
+func denialRun(seed uint64) (*world, []string) {
 	shards := 1 + int(seed%2)
 	w := deployment(seed, shards)
 	if seed%4 >= 2 {
 		w = cellDeployment(seed, shards)
 	}
-	w.storedShare, w.askAll = 0.7, true
-	names := append(storedTroubles(), "restart", "restart", "unknown restart", "unknown restart")
+	w.storedShare, w.queryAll = 0.7, true
+	names := append(storedFaultNames(), "restart", "restart", "unknown restart", "unknown restart")
 	_, played := randomRunOf(w, names)
 	return w, played
 }
@@ -103,17 +103,17 @@
 func TestHandInOfADeadProcessIsntTaken(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 1)
-	w.try(w.storedJob())
+	w.sendJob(w.newStoredJob())
 	w.run(3 * time.Second)
 	old, entry := w.leader(), w.nodes[5]
 	g.Expect(entry).NotTo(Equal(old))
-	job := w.storedJob()
+	job := w.newStoredJob()
 	w.freeze(old, 2*time.Second)
 	w.do(entry, func() { entry.node.Submit(w.now, 1000, job.work, 2*time.Second) })
 	w.run(20 * time.Millisecond)
 	w.kill(entry, time.Minute)
 	for _, o := range w.nodes {
-		w.parted[[2]string{old.name, o.name}] = true
+		w.partitioned[[2]string{old.name, o.name}] = true
 	}
 	w.run(3 * time.Second)
 	g.Expect(old.node.Leads()).To(BeTrue())
@@ -126,17 +126,17 @@
 func TestHandInOfADeadProcessIsntTakenByANewLeader(t *testing.T) {
 	g := NewWithT(t)
 	w := cellDeployment(1, 1)
-	w.try(w.storedJob())
+	w.sendJob(w.newStoredJob())
 	w.run(3 * time.Second)
 	old, other, entry := w.nodes[0], w.nodes[1], w.nodes[2]
 	if !old.node.Leads() {
 		old, other = other, old
 	}
-	job := w.storedJob()
-	for w.divided.OfStoredJob(job.work.ID) != 0 {
-		job = w.storedJob()
+	job := w.newStoredJob()
+	for w.cellLayout.OfStoredJob(job.work.ID) != 0 {
+		job = w.newStoredJob()
 	}
-	w.parted[[2]string{old.name, other.name}] = true
+	w.partitioned[[2]string{old.name, other.name}] = true
 	w.run(time.Second)
 	w.freeze(old, 2*time.Second)
 	w.do(entry, func() { entry.node.Submit(w.now, 1000, job.work, 2*time.Second) })
--- a/core/fleet/evacuation.go
+++ b/core/fleet/evacuation.go
@@ -17,7 +17,7 @@
 	first := n.evacuations.Version == 0 && e.Version > 0
 	changed := n.evacuations.Apply(e)
 	if first {
-		n.setAble()
+		n.updateAble()
 	}
 	if !changed {
 		return
@@ -31,7 +31,7 @@
 	for _, s := range n.own {
 		s.schedule.SetEvacuated(now, e.Domains)
 	}
-	n.heartbeatAll(now)
+	n.sendHeartbeats(now)
 }
 
 // knowsDomain reports whether a failure domain has a runner or an entry VM, as far as
--- a/core/fleet/evacuation_test.go
+++ b/core/fleet/evacuation_test.go
@@ -11,8 +11,8 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// evacuateTime is how long after the operator's word starts in a domain must have ceased.
-const evacuateTime = 2 * time.Second
+// evacuationDelay is how long after the operator's word starts in a domain must have ceased.
+const evacuationDelay = 2 * time.Second
 
 // operatorRows are the failure domains that the operator has evacuated, by since when.
 type operatorRows struct {
@@ -20,7 +20,7 @@
 	since   map[string]time.Duration
 }
 
-func (o *operatorRows) newest() routing.Evacuations {
+func (o *operatorRows) latest() routing.Evacuations {
 	e := routing.Evacuations{Version: o.version + 1}
 	for d := range o.since {
 		e.Domains = append(e.Domains, d)
@@ -37,7 +37,7 @@
 	w.evacuations.since[domain] = w.now
 }
 
-func (w *world) takeBack(domain string) {
+func (w *world) revokeEvacuation(domain string) {
 	w.evacuations.version++
 	delete(w.evacuations.since, domain)
 }
@@ -69,7 +69,7 @@
 	evacuated := w.startedIn("b")
 	w.run(4 * time.Second)
 	g.Expect(evacuated()).To(BeZero())
-	w.takeBack("b")
+	w.revokeEvacuation("b")
 	w.run(time.Second)
 	back := w.startedIn("b")
 	w.run(2 * time.Second)
@@ -80,7 +80,7 @@
 	w.run(2 * time.Second)
 	g.Expect(again()).To(BeZero())
 	w.run(10 * time.Second)
-	g.Expect(w.truth.broken).To(BeEmpty())
+	g.Expect(w.checker.violations).To(BeEmpty())
 	g.Expect(w.unanswered()).To(BeZero())
 }
 
@@ -88,7 +88,7 @@
 func (w *world) unanswered() int {
 	n := 0
 	for _, j := range w.jobs {
-		if !j.answered && w.now > j.sent+j.patience+resend {
+		if !j.answered && w.now > j.sent+j.patience+resendInterval {
 			n++
 		}
 	}
@@ -101,19 +101,19 @@
 	g := NewWithT(t)
 	w := deployment(1, 1)
 	w.load(40, 8*time.Second)
-	w.storeAway[w.leader().name] = true
+	w.storeUnreachable[w.leader().name] = true
 	w.run(time.Second)
 	w.evacuate("b")
 	w.run(time.Second)
 	started := w.startedIn("b")
 	w.run(3 * time.Second)
 	g.Expect(started()).To(BeZero())
-	g.Expect(w.truth.broken).To(BeEmpty())
+	g.Expect(w.checker.violations).To(BeEmpty())
 }
 
 // Guards against a leader that takes over while the store is away, and doesn't know what
 // the one before knew; and against a process that starts then.
-func TestAnEvacuationOutlivesItsLeaders(t *testing.T) {
+func TestAnEvacuationSurvivesLeaderChanges(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 1)
 	w.load(40, 12*time.Second)
@@ -133,7 +133,7 @@
 	}
 	w.run(4 * time.Second)
 	g.Expect(started()).To(BeZero())
-	g.Expect(w.truth.broken).To(BeEmpty())
+	g.Expect(w.checker.violations).To(BeEmpty())
 }
 
 // Guards against callers who wait in vain: with all domains evacuated nothing can be
@@ -160,13 +160,13 @@
 		w.run(4 * time.Second)
 		g.Expect(early.outcome).To(Equal(workload.Completed), "what runs goes on to its end")
 		for _, d := range []string{"a", "b", "c"} {
-			w.takeBack(d)
+			w.revokeEvacuation(d)
 		}
 		w.run(time.Second)
 		j = w.submit("a", 4, 100*time.Millisecond, 3*time.Second)
 		w.run(time.Second)
 		g.Expect(j.outcome).To(Equal(workload.Completed))
-		g.Expect(w.truth.broken).To(BeEmpty())
+		g.Expect(w.checker.violations).To(BeEmpty())
 	}
 }
 
@@ -186,5 +186,5 @@
 	for _, j := range jobs {
 		g.Expect(j.outcome).To(Equal(workload.Completed))
 	}
-	g.Expect(w.truth.broken).To(BeEmpty())
+	g.Expect(w.checker.violations).To(BeEmpty())
 }
--- a/core/fleet/gone.go
+++ b/core/fleet/gone.go
@@ -13,11 +13,11 @@
 // never is the time of what hasn't happened.
 const never = Time(math.MaxInt64)
 
-// longUnheard lists the VMs of the cell that haven't been heard for so long that they
+// presumedGone lists the VMs of the cell that haven't been heard for so long that they
 // are taken to be gone for good, in order.
-func (n *Node) longUnheard(now Time) []string {
+func (n *Node) presumedGone(now Time) []string {
 	var list []string
-	for vm, since := range n.unheard {
+	for vm, since := range n.unreachableSince {
 		if now-since >= schedule.MissingMost {
 			list = append(list, vm)
 		}
@@ -26,22 +26,22 @@
 	return list
 }
 
-// noteOthersHeard notes since when all VMs are heard but those that are gone.
-func (n *Node) noteOthersHeard(now Time, gone []string) {
-	switch all := n.vms != nil && len(n.unheard) == len(gone); {
+// updateOthersReachable notes since when all VMs are heard but those that are gone.
+func (n *Node) updateOthersReachable(now Time, gone []string) {
+	switch all := n.cellVMs != nil && len(n.unreachableSince) == len(gone); {
 	case !all:
-		n.othersHeardSince = never
-	case n.othersHeardSince == never:
-		n.othersHeardSince = now
+		n.othersReachableSince = never
+	case n.othersReachableSince == never:
+		n.othersReachableSince = now
 	}
 }
 
-// rivalsHeardSince is since when a process of every VM is heard that could take a
+// rivalsReachableSince is since when a process of every VM is heard that could take a
 // shard's rows: the store refuses them to those of gone that the owner has excluded.
-func (n *Node) rivalsHeardSince(now Time, s *shard, gone []string) (since Time, all bool) {
-	if n.othersHeardSince == never || len(gone) == 0 {
-		return n.othersHeardSince, n.othersHeardSince != never
+func (n *Node) rivalsReachableSince(now Time, s *shard, gone []string) (since Time, all bool) {
+	if n.othersReachableSince == never || len(gone) == 0 {
+		return n.othersReachableSince, n.othersReachableSince != never
 	}
 	since, all = s.ledger.Excludes(now, gone)
-	return max(since, n.othersHeardSince), all
+	return max(since, n.othersReachableSince), all
 }
--- a/core/fleet/gone_test.go
+++ b/core/fleet/gone_test.go
@@ -20,16 +20,16 @@
 	gone.removed = true
 	w.nodes = w.nodes[:5]
 	w.run(time.Minute)
-	jobs := w.storedJobs(4)
+	jobs := w.submitStoredJobs(4)
 	g.Expect(jobs).To(HaveLen(4))
 	w.storeDown = true
 	w.run(2 * time.Second)
 	for _, j := range jobs {
-		g.Expect(w.truth.done).To(HaveKey(workload.TaskName{Job: j.work.ID}), "stopped")
+		g.Expect(w.checker.done).To(HaveKey(workload.TaskName{Job: j.work.ID}), "stopped")
 	}
 	w.storeDown = false
 	w.run(3 * time.Second)
-	g.Expect(w.truth.broken).To(BeEmpty())
+	g.Expect(w.checker.violations).To(BeEmpty())
 }
 
 // Guards against tasks that run twice since a process that was taken for gone wakes behind
@@ -39,22 +39,22 @@
 	w := deployment(1, 1)
 	back := w.nodes[5]
 	for _, n := range w.nodes[:5] {
-		w.parted[[2]string{n.name, back.name}] = true
+		w.partitioned[[2]string{n.name, back.name}] = true
 	}
 	w.freeze(back, 50*time.Second)
 	w.run(45 * time.Second)
-	jobs := w.storedJobs(4)
+	jobs := w.submitStoredJobs(4)
 	g.Expect(jobs).To(HaveLen(4))
 	owner := w.store.rows(0).owner
 	for _, n := range w.nodes[:5] {
-		w.storeAway[n.name] = true
+		w.storeUnreachable[n.name] = true
 	}
 	w.run(12 * time.Second)
 	g.Expect(w.store.rows(0).owner).To(Equal(owner), "the other one has taken the shard")
-	clear(w.storeAway)
-	clear(w.parted)
+	clear(w.storeUnreachable)
+	clear(w.partitioned)
 	w.run(5 * time.Second)
-	g.Expect(w.truth.broken).To(BeEmpty())
+	g.Expect(w.checker.violations).To(BeEmpty())
 }
 
 // Guards against a VM that stays shut out of its shard after it is heard again: the last
@@ -65,7 +65,7 @@
 	back := w.nodes[5]
 	w.kill(back, 40*time.Second)
 	w.run(35 * time.Second)
-	g.Expect(w.storedJobs(2)).To(HaveLen(2))
+	g.Expect(w.submitStoredJobs(2)).To(HaveLen(2))
 	w.run(15 * time.Second)
 	for _, n := range w.nodes[:5] {
 		w.endProcess(n, false)
@@ -74,5 +74,5 @@
 	w.nodes = w.nodes[5:]
 	w.run(5 * time.Second)
 	g.Expect(w.store.rows(0).owner).To(Equal(back.id))
-	g.Expect(w.truth.broken).To(BeEmpty())
+	g.Expect(w.checker.violations).To(BeEmpty())
 }
--- a/core/fleet/handover_test.go
+++ b/core/fleet/handover_test.go
@@ -14,8 +14,8 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// expectNothingAgain checks that no task was started more than once.
-func (w *world) expectNothingAgain(g *WithT, seed uint64) {
+// expectNoTaskStartedTwice checks that no task was started more than once.
+func (w *world) expectNoTaskStartedTwice(g *WithT, seed uint64) {
 	for id, j := range w.jobs {
 		g.Expect(j.starts).To(BeNumerically("<=", j.work.Tasks()), "seed %d: job %s", seed, id)
 	}
@@ -32,8 +32,8 @@
 		w.run(1500 * time.Millisecond)
 		w.stop(w.leader())
 		w.run(4 * time.Second)
-		g.Expect(w.truth.broken).To(BeEmpty())
-		w.expectNothingAgain(g, seed)
+		g.Expect(w.checker.violations).To(BeEmpty())
+		w.expectNoTaskStartedTwice(g, seed)
 	}
 }
 
@@ -47,11 +47,11 @@
 		w.load(60, 3*time.Second)
 		w.run(1500 * time.Millisecond)
 		n := w.leader()
-		w.lag[n.name] = 120 * time.Millisecond
+		w.sendDelay[n.name] = 120 * time.Millisecond
 		w.stop(n)
 		w.run(4 * time.Second)
-		g.Expect(w.truth.broken).To(BeEmpty())
-		w.expectNothingAgain(g, seed)
+		g.Expect(w.checker.violations).To(BeEmpty())
+		w.expectNoTaskStartedTwice(g, seed)
 	}
 }
 
@@ -60,7 +60,7 @@
 // small VMs would all connect with each other, and their heartbeats take the
 // processor from callers for the rest of the day. Once all is known and no
 // scheduler is in reach, one does.
-func TestNobodyIsAloneBeforeTheStart(t *testing.T) {
+func TestSeatsAreNotWidenedBeforeTheConfigurationIsKnown(t *testing.T) {
 	g := NewWithT(t)
 	n := fleet.New(schedule.DefaultConfig(), grace, 400, 0)
 	n.Registered(0, "a#1", 1)
@@ -104,7 +104,7 @@
 	g.Expect(len(sent)).To(BeNumerically("~", 2*3*time.Second/leader.HeartbeatInterval, 4))
 	for i := 2; i+1 < len(sent); i += 2 {
 		pair, next := sent[i]-sent[i-1], sent[i+1]-sent[i]
-		g.Expect(min(pair, next)).To(BeNumerically("<=", 2*delay))
+		g.Expect(min(pair, next)).To(BeNumerically("<=", 2*messageDelay))
 	}
 }
 
@@ -123,7 +123,7 @@
 			domain = "b"
 		}
 		w.cutOff(domain, 3*time.Second)
-		w.linkDelay = 300 * time.Millisecond
+		w.connectDelay = 300 * time.Millisecond
 		w.run(2900 * time.Millisecond)
 		taken := make(map[workload.RunnerID]uint64)
 		for _, r := range w.runners {
@@ -136,6 +136,6 @@
 			}
 		}
 		g.Expect(w.leader()).To(Equal(old))
-		g.Expect(w.truth.broken).To(BeEmpty())
+		g.Expect(w.checker.violations).To(BeEmpty())
 	}
 }
--- a/core/fleet/jobs.go
+++ b/core/fleet/jobs.go
@@ -14,34 +14,34 @@
 
 // Submit takes a caller's request.
 func (n *Node) Submit(now Time, request uint64, job *workload.Job, patience time.Duration) {
-	n.checkPause(now)
+	n.detectStall(now)
 	n.lastArrival = now
 	if job.Stored {
-		n.seeStored(now)
+		n.noteStoredJob(now)
 	}
 	if !job.Stored && !n.timeToServe(now, job) {
 		outcome := workload.NotRun
-		if now < n.doubtUntil {
+		if now < n.uncertainUntil {
 			outcome = workload.GaveUp
 		}
-		n.emit(Answer{gateway.Reply{Request: request, Job: job, Outcome: outcome, RetryAfter: retryStopping, Reason: "this process is about to end"}})
+		n.emit(Answer{gateway.Reply{Request: request, Job: job, Outcome: outcome, RetryAfter: stopRetryAfter, Reason: "this process is about to end"}})
 		return
 	}
 	if len(n.shards) == 0 {
-		n.arriveEarly(now, request, job, patience)
+		n.queueEarly(now, request, job, patience)
 		return
 	}
-	n.gateway.Arrive(now, request, n.ofJob(job), job, patience)
+	n.gateway.Arrive(now, request, n.shardOfJob(job), job, patience)
 }
 
 // CallerLeft notes that a caller has gone.
 func (n *Node) CallerLeft(now Time, request uint64) {
-	n.leftEarly(request)
+	n.dropEarly(request)
 	n.gateway.Left(now, request)
 }
 
-// verdict passes the scheduler's word to the process that has the caller.
-func (n *Node) verdict(a schedule.Answer) {
+// sendVerdict passes the scheduler's word to the process that has the caller.
+func (n *Node) sendVerdict(a schedule.Answer) {
 	event := "job-ended"
 	if a.Outcome == workload.Accepted {
 		event = "job-accepted"
@@ -96,7 +96,7 @@
 		return
 	}
 	if c.Job.Stored {
-		n.seeStored(now)
+		n.noteStoredJob(now)
 	}
 	s.schedule.Submit(now, schedule.Submission{
 		Job:      c.Job,
--- a/core/fleet/lapsed.go
+++ b/core/fleet/lapsed.go
@@ -21,37 +21,37 @@
 //	comes back                               | it is an entry like any other
 
 const (
-	// lapsedTime is how long such an entry is kept: those of sound runners are
+	// lapsedRetention is how long such an entry is kept: those of sound runners are
 	// back within two seconds of the store's return, and the list is read every
 	// 0.6 s by those who need it.
-	lapsedTime = 2500 * time.Millisecond
-	// awayLately is how long ago the last call to the store may have failed for
+	lapsedRetention = 2500 * time.Millisecond
+	// recentStoreFailure is how long ago the last call to the store may have failed for
 	// it to have just been away. A call that is left unanswered is given up after
 	// 2 s, by when the store may be back.
-	awayLately = 2500 * time.Millisecond
+	recentStoreFailure = 2500 * time.Millisecond
 )
 
 // StoreFailed notes that a call to the store has failed.
 func (n *Node) StoreFailed(now Time) { n.storeFailedAt = now }
 
-// keepLapsed adds to a list that was read from the store the runners that it lacks
+// retainLapsed adds to a list that was read from the store the runners that it lacks
 // since the store was away.
-func (n *Node) keepLapsed(now Time, list RunnerList) RunnerList {
-	there := make(map[workload.RunnerID]bool, len(list.Runners))
+func (n *Node) retainLapsed(now Time, list RunnerList) RunnerList {
+	present := make(map[workload.RunnerID]bool, len(list.Runners))
 	for _, r := range list.Runners {
-		there[r.ID] = true
+		present[r.ID] = true
 	}
 	for _, id := range list.Unreadable {
-		there[id] = true
+		present[id] = true
 	}
-	away := n.storeFailedAt > 0 && now-n.storeFailedAt < awayLately
+	storeFailedRecently := n.storeFailedAt > 0 && now-n.storeFailedAt < recentStoreFailure
 	since := make(map[workload.RunnerID]Time)
 	for _, r := range n.runners.Runners {
 		at, lapsed := n.lapsedSince[r.ID]
 		if !lapsed {
 			at = now
 		}
-		if there[r.ID] || r.Draining || !lapsed && !away || now-at >= lapsedTime {
+		if present[r.ID] || r.Draining || !lapsed && !storeFailedRecently || now-at >= lapsedRetention {
 			continue
 		}
 		since[r.ID] = at
@@ -63,8 +63,8 @@
 	return list
 }
 
-// noteLapsed notes which runners of a list that another process has told are kept.
-func (n *Node) noteLapsed(now Time, list RunnerList) {
+// recordLapsed notes which runners of a list that another process has told are kept.
+func (n *Node) recordLapsed(now Time, list RunnerList) {
 	since := make(map[workload.RunnerID]Time)
 	for _, r := range list.Runners {
 		if !r.Lapsed {
--- a/core/fleet/lapsed_test.go
+++ b/core/fleet/lapsed_test.go
@@ -24,14 +24,14 @@
 	return l
 }
 
-// lister is a node and the time up to which it has ticked.
-type lister struct {
+// runnerListNode is a node and the time up to which it has ticked.
+type runnerListNode struct {
 	*fleet.Node
 	now time.Duration
 }
 
-// at lets time pass up to a moment.
-func (n *lister) at(now time.Duration) *lister {
+// advanceTo lets time pass up to a moment.
+func (n *runnerListNode) advanceTo(now time.Duration) *runnerListNode {
 	for n.now < now {
 		n.now += fleet.TickInterval
 		n.Tick(n.now)
@@ -39,10 +39,10 @@
 	return n
 }
 
-// newLister returns one that leads and has read of runners a, b and c, the last of
+// newRunnerListNode returns one that leads and has read of runners a, b and c, the last of
 // which drains.
-func newLister() *lister {
-	n := &lister{Node: fleet.New(schedule.DefaultConfig(), grace, 400, 0)}
+func newRunnerListNode() *runnerListNode {
+	n := &runnerListNode{Node: fleet.New(schedule.DefaultConfig(), grace, 400, 0)}
 	n.Registered(0, "a#1", 1)
 	n.ApplyLayout(0, layout.Pooled(1))
 	n.ApplyDeclaration(0, &routing.Declaration{Version: 1}, "store")
@@ -50,11 +50,11 @@
 	l := listOf(1, "a", "b", "c")
 	l.Runners[2].Draining = true
 	n.RunnersRead(0, l)
-	return n.at(s)
+	return n.advanceTo(s)
 }
 
-// told is what another process is told of the list as it connects.
-func (n *lister) told() map[workload.RunnerID]bool {
+// sentList is what another process is sentList of the list as it connects.
+func (n *runnerListNode) sentList() map[workload.RunnerID]bool {
 	n.Ready()
 	n.PeerUp(n.now, "b#2")
 	n.Receive(n.now, "b#2", fleet.Heartbeat{Report: leader.Report{Number: 2, Shards: 1}})
@@ -75,65 +75,65 @@
 
 // The store was away, and entries have lapsed. Those of runners that hadn't said
 // that they drain are kept for a while, and other processes are told so.
-func TestEntriesThatLapseWithTheStoreAreKept(t *testing.T) {
+func TestEntriesThatLapseDuringAStoreOutageAreRetained(t *testing.T) {
 	g := NewWithT(t)
-	n := newLister()
-	n.at(5 * s).StoreFailed(5 * s)
-	n.at(6*s).RunnersRead(6*s, listOf(2, "a"))
-	g.Expect(n.told()).To(Equal(map[workload.RunnerID]bool{"a": false, "b": true}))
-	n.at(8*s).RunnersRead(8*s, listOf(3, "a"))
-	g.Expect(n.told()).To(HaveKey(workload.RunnerID("b")), "its time isn't over")
-	n.at(9*s).RunnersRead(9*s, listOf(4, "a"))
-	g.Expect(n.told()).NotTo(HaveKey(workload.RunnerID("b")))
+	n := newRunnerListNode()
+	n.advanceTo(5 * s).StoreFailed(5 * s)
+	n.advanceTo(6*s).RunnersRead(6*s, listOf(2, "a"))
+	g.Expect(n.sentList()).To(Equal(map[workload.RunnerID]bool{"a": false, "b": true}))
+	n.advanceTo(8*s).RunnersRead(8*s, listOf(3, "a"))
+	g.Expect(n.sentList()).To(HaveKey(workload.RunnerID("b")), "its time isn't over")
+	n.advanceTo(9*s).RunnersRead(9*s, listOf(4, "a"))
+	g.Expect(n.sentList()).NotTo(HaveKey(workload.RunnerID("b")))
 }
 
 // An entry that comes back is one like any other, and may go again.
 func TestAnEntryComesBack(t *testing.T) {
 	g := NewWithT(t)
-	n := newLister()
-	n.at(5 * s).StoreFailed(5 * s)
-	n.at(6*s).RunnersRead(6*s, listOf(2, "a"))
-	n.at(7*s).RunnersRead(7*s, listOf(3, "a", "b"))
-	g.Expect(n.told()).To(Equal(map[workload.RunnerID]bool{"a": false, "b": false}))
-	n.at(20*s).RunnersRead(20*s, listOf(4, "a"))
-	g.Expect(n.told()).To(HaveLen(1))
+	n := newRunnerListNode()
+	n.advanceTo(5 * s).StoreFailed(5 * s)
+	n.advanceTo(6*s).RunnersRead(6*s, listOf(2, "a"))
+	n.advanceTo(7*s).RunnersRead(7*s, listOf(3, "a", "b"))
+	g.Expect(n.sentList()).To(Equal(map[workload.RunnerID]bool{"a": false, "b": false}))
+	n.advanceTo(20*s).RunnersRead(20*s, listOf(4, "a"))
+	g.Expect(n.sentList()).To(HaveLen(1))
 }
 
 // An entry goes while the store is well, or names no runner to use any more: what
 // it stood for isn't used.
-func TestEntriesThatGoAreNotKept(t *testing.T) {
+func TestEntriesRemovedWithoutAStoreOutageAreNotRetained(t *testing.T) {
 	g := NewWithT(t)
-	n := newLister()
-	n.at(6*s).RunnersRead(6*s, listOf(2, "a"))
-	g.Expect(n.told()).To(HaveLen(1))
+	n := newRunnerListNode()
+	n.advanceTo(6*s).RunnersRead(6*s, listOf(2, "a"))
+	g.Expect(n.sentList()).To(HaveLen(1))
 
-	n = newLister()
-	n.at(5 * s).StoreFailed(5 * s)
+	n = newRunnerListNode()
+	n.advanceTo(5 * s).StoreFailed(5 * s)
 	l := listOf(2, "a")
 	l.Unreadable = []workload.RunnerID{"b"}
-	n.at(6*s).RunnersRead(6*s, l)
-	g.Expect(n.told()).To(HaveLen(1))
+	n.advanceTo(6*s).RunnersRead(6*s, l)
+	g.Expect(n.sentList()).To(HaveLen(1))
 }
 
 // Another process has kept such an entry and is lost. Its successor was told, and
 // keeps it for as long.
-func TestTheNextLeaderKeepsThemToo(t *testing.T) {
+func TestNextLeaderRetainsLapsedEntries(t *testing.T) {
 	g := NewWithT(t)
-	n := newLister()
+	n := newRunnerListNode()
 	l := listOf(2, "a", "b")
 	l.Runners[1].Lapsed = true
-	n.at(6*s).PeerUp(6*s, "b#2")
+	n.advanceTo(6*s).PeerUp(6*s, "b#2")
 	n.Receive(6*s, "b#2", l)
-	n.at(7*s).RunnersRead(7*s, listOf(3, "a"))
-	g.Expect(n.told()).To(Equal(map[workload.RunnerID]bool{"a": false, "b": true}))
+	n.advanceTo(7*s).RunnersRead(7*s, listOf(3, "a"))
+	g.Expect(n.sentList()).To(Equal(map[workload.RunnerID]bool{"a": false, "b": true}))
 }
 
 // Guards against leaders of other shards that go on starting tasks on a runner whose room
 // has shrunk: only the process that reads the list for all would know.
-func TestOthersAreToldOfARunnersRoom(t *testing.T) {
+func TestCapacityChangesAreSentToOtherLeaders(t *testing.T) {
 	g := NewWithT(t)
-	n := newLister()
-	n.at(5 * s).told()
+	n := newRunnerListNode()
+	n.advanceTo(5 * s).sentList()
 	room := func() int {
 		for _, c := range n.Ready() {
 			send, ok := c.(fleet.Send)
--- a/core/fleet/large_test.go
+++ b/core/fleet/large_test.go
@@ -18,8 +18,8 @@
 	largePerDomain   = 3
 	runnersPerDomain = 180
 	shardsPerDomain  = 3
-	// seatsMost is the most VMs of a cell that schedule.
-	seatsMost = 16
+	// maxSeats is the most VMs of a cell that schedule.
+	maxSeats = 16
 	// outsideLinks is the number of connections of a VM with other cells that it has
 	// chosen itself.
 	outsideLinks = 2
@@ -45,15 +45,15 @@
 		}
 	}
 	for _, n := range w.nodes {
-		w.after(w.span(0, 300), func() { w.boot(n) })
+		w.after(w.randomDuration(0, 300), func() { w.boot(n) })
 	}
 	return w
 }
 
-// restart counts anew.
-func (w *world) restart() {
+// resetCounters counts anew.
+func (w *world) resetCounters() {
 	for _, n := range w.nodes {
-		n.sent, n.connected, n.led = 0, 0, 0
+		n.messagesSent, n.connectionsMade, n.timesLed = 0, 0, 0
 	}
 }
 
@@ -81,35 +81,35 @@
 			leaders[i][s.Leader] = true
 		}
 	}
-	g.Expect(leaders).To(HaveLen(len(w.divided)))
+	g.Expect(leaders).To(HaveLen(len(w.cellLayout)))
 	for shard, of := range leaders {
 		g.Expect(of).To(HaveLen(1), "shard %d", shard)
 	}
 }
 
-// expectCheap checks what each VM has spent in a time: a heartbeat on each connection
+// expectMessageBudget checks what each VM has spent in a time: a heartbeat on each connection
 // in each interval, and a few messages beside; a leader tells also what it leads.
-func (w *world) expectCheap(g *WithT, d time.Duration, vms int) {
-	w.expectCheapWith(g, d, vms, 2*(largePerDomain+outsideLinks))
+func (w *world) expectMessageBudget(g *WithT, d time.Duration, vms int) {
+	w.expectMessageBudgetWith(g, d, vms, 2*(largePerDomain+outsideLinks))
 }
 
-// expectCheapWith does so with another bound for the connections that a small VM has
+// expectMessageBudgetWith does so with another bound for the connections that a small VM has
 // made.
-func (w *world) expectCheapWith(g *WithT, d time.Duration, vms, connections int) {
+func (w *world) expectMessageBudgetWith(g *WithT, d time.Duration, vms, maxConnections int) {
 	for _, n := range w.nodes {
-		links := len(n.links)
+		connections := len(n.connections)
 		heartbeats := int(d/leader.HeartbeatInterval) + 1
 		// A heartbeat at once, a layout, a list of runners and a configuration.
 		others := 4
 		if n.large() {
 			others += shardsPerDomain
 		}
-		g.Expect(n.sent).To(BeNumerically("<=", links*(heartbeats+others)), "%s, %d connections", n.name, links)
+		g.Expect(n.messagesSent).To(BeNumerically("<=", connections*(heartbeats+others)), "%s, %d connections", n.name, connections)
 		if !n.large() {
-			g.Expect(n.connected).To(BeNumerically("<=", connections), n.name)
+			g.Expect(n.connectionsMade).To(BeNumerically("<=", maxConnections), n.name)
 			continue
 		}
-		g.Expect(links).To(BeNumerically("<=", 2*vms*outsideLinks), n.name)
+		g.Expect(connections).To(BeNumerically("<=", 2*vms*outsideLinks), n.name)
 	}
 }
 
@@ -117,7 +117,7 @@
 func (w *world) takeovers() int {
 	sum := 0
 	for _, n := range w.nodes {
-		sum += n.led
+		sum += n.timesLed
 	}
 	return sum
 }
@@ -132,12 +132,12 @@
 		w := largeFleet(size.domains, size.vms)
 		w.run(4 * time.Second)
 		w.expectSettled(g)
-		w.expectCheap(g, 4*time.Second, size.vms)
-		g.Expect(w.takeovers()).To(Equal(len(w.divided)), "each shard gets a leader once")
-		w.restart()
+		w.expectMessageBudget(g, 4*time.Second, size.vms)
+		g.Expect(w.takeovers()).To(Equal(len(w.cellLayout)), "each shard gets a leader once")
+		w.resetCounters()
 		w.run(2 * time.Second)
 		g.Expect(w.takeovers()).To(BeZero())
-		w.expectCheap(g, 2*time.Second, size.vms)
+		w.expectMessageBudget(g, 2*time.Second, size.vms)
 	}
 }
 
@@ -147,13 +147,13 @@
 	g := NewWithT(t)
 	w := largeFleet(5, 29)
 	w.run(4 * time.Second)
-	w.restart()
+	w.resetCounters()
 	for _, n := range w.nodes {
-		w.kill(n, w.span(700, 1000))
+		w.kill(n, w.randomDuration(700, 1000))
 	}
 	w.run(2500 * time.Millisecond)
 	w.expectSettled(g)
-	w.expectCheap(g, 2500*time.Millisecond, 29)
+	w.expectMessageBudget(g, 2500*time.Millisecond, 29)
 }
 
 // A failure domain is cut off from the others and from the store, and comes back. It
@@ -163,7 +163,7 @@
 	g := NewWithT(t)
 	w := largeFleet(5, 29)
 	w.run(4 * time.Second)
-	w.restart()
+	w.resetCounters()
 	tokens := make(map[workload.RunnerID]uint64)
 	for _, r := range w.runners {
 		tokens[r.info.ID] = r.token
@@ -184,8 +184,8 @@
 		g.Expect(j.answered && j.outcome == workload.Completed).To(BeTrue())
 	}
 	w.expectSettled(g)
-	w.expectCheap(g, 6*time.Second, 29)
-	g.Expect(w.truth.broken).To(BeEmpty())
+	w.expectMessageBudget(g, 6*time.Second, 29)
+	g.Expect(w.checker.violations).To(BeEmpty())
 }
 
 // All schedulers of a failure domain are lost. Its callers are served by those of
@@ -196,7 +196,7 @@
 	g := NewWithT(t)
 	w := largeFleet(5, 29)
 	w.run(4 * time.Second)
-	w.restart()
+	w.resetCounters()
 	for _, n := range w.nodes {
 		if n.domain == "d1" && n.large() {
 			w.kill(n, 8*time.Second)
@@ -223,7 +223,7 @@
 	g.Expect(small).To(BeNumerically(">", 0), "the domain's runners have a scheduler again")
 	w.run(6 * time.Second)
 	w.expectSettled(g)
-	g.Expect(w.truth.broken).To(BeEmpty())
+	g.Expect(w.checker.violations).To(BeEmpty())
 }
 
 // The store is away when a fleet starts, and comes back after some seconds. The members
@@ -237,7 +237,7 @@
 	w.after(3*time.Second, func() { w.storeDown = false })
 	w.run(6 * time.Second)
 	w.expectSettled(g)
-	w.expectCheapWith(g, 6*time.Second, 29, seatsMost+largePerDomain+2*outsideLinks)
+	w.expectMessageBudgetWith(g, 6*time.Second, 29, maxSeats+largePerDomain+2*outsideLinks)
 }
 
 // The first stored job comes to a fleet whose processes know only those of their own
@@ -251,21 +251,21 @@
 	w.run(4 * time.Second)
 	var jobs []*fakeJob
 	for i := range 12 {
-		j := w.storedJob()
+		j := w.newStoredJob()
 		j.domain = fmt.Sprintf("d%d", i%5)
-		w.try(j)
+		w.sendJob(j)
 		jobs = append(jobs, j)
 	}
 	w.run(500 * time.Millisecond)
 	cells := make(map[string]bool)
 	for _, j := range jobs {
 		g.Expect(j.accepted).NotTo(BeZero(), string(j.work.ID))
-		cells[w.divided[w.divided.OfStoredJob(j.work.ID)]] = true
+		cells[w.cellLayout[w.cellLayout.OfStoredJob(j.work.ID)]] = true
 	}
 	g.Expect(len(cells)).To(BeNumerically(">", 2))
 	w.run(4 * time.Second)
 	for _, j := range jobs {
 		g.Expect(j.ended && j.outcome == workload.Completed).To(BeTrue(), string(j.work.ID))
 	}
-	g.Expect(w.truth.broken).To(BeEmpty())
+	g.Expect(w.checker.violations).To(BeEmpty())
 }
--- a/core/fleet/members.go
+++ b/core/fleet/members.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// aloneAfter is how long no scheduler of the cell must have been in reach until
+	// widenInterval is how long no scheduler of the cell must have been in reach until
 	// a process counts with more seats than those of the best VMs: longer than a
 	// change of leaders takes. It doubles their number each time that this has
 	// passed again.
-	aloneAfter = time.Second
-	// aloneServed is the same while schedulers of other cells take its jobs.
-	aloneServed = 3 * time.Second
+	widenInterval = time.Second
+	// servedWidenInterval is the same while schedulers of other cells take its jobs.
+	servedWidenInterval = 3 * time.Second
 )
 
 // SetMembers says which processes are registered. Some may be gone for good.
@@ -28,21 +28,21 @@
 
 // membersChanged brings up to date what follows from the members and the layout.
 func (n *Node) membersChanged(now Time) {
-	defer n.setAble()
+	defer n.updateAble()
 	if n.members == nil || n.member.ID == "" {
 		return
 	}
 	// This process's own row may not have been read yet, or be that of an earlier
 	// one of its VM.
 	list := slices.DeleteFunc(slices.Clone(n.members), func(m topology.Member) bool { return m.VM == n.member.VM })
-	n.fleet = topology.New(n.layout, n.stored == HasStoredJobs, append(list, n.member))
-	n.vms = nil
+	n.fleet = topology.New(n.layout, n.storedJobs == HasStoredJobs, append(list, n.member))
+	n.cellVMs = nil
 	for _, m := range n.fleet.InCell(n.member) {
-		n.vms = append(n.vms, m.VM)
+		n.cellVMs = append(n.cellVMs, m.VM)
 	}
-	for vm := range n.unheard {
-		if !slices.Contains(n.vms, vm) {
-			delete(n.unheard, vm)
+	for vm := range n.unreachableSince {
+		if !slices.Contains(n.cellVMs, vm) {
+			delete(n.unreachableSince, vm)
 		}
 	}
 	n.connect()
@@ -54,8 +54,8 @@
 	if n.fleet == nil {
 		return
 	}
-	n.seated = n.fleet.Seated(n.member, n.widened)
-	links := n.fleet.Links(n.member, n.widened)
+	n.seated = n.fleet.Seated(n.member, n.seatDoublings)
+	links := n.fleet.Links(n.member, n.seatDoublings)
 	for _, s := range n.own {
 		l := topology.Link{ID: string(s.choice.Leader)}
 		if s.choice.Reachable && s.choice.Leader != n.Self() && !slices.ContainsFunc(links, l.SameProcess) {
@@ -66,27 +66,27 @@
 		n.links = links
 		n.emit(Connect{Links: links})
 	}
-	n.setAble()
+	n.updateAble()
 }
 
-// lookFurther widens the number of seats that this process counts with, while it
+// widenSeats widens the number of seats that this process counts with, while it
 // reaches no scheduler of its cell though there could be one. Before the
 // configuration and the shards are known nobody can lead, and looking would be for
 // nothing.
-func (n *Node) lookFurther(now Time) {
+func (n *Node) widenSeats(now Time) {
 	if n.ReachesAllLeaders() || !n.view.Informed() {
-		n.reachedAt = now
+		n.leadersReachedAt = now
 	}
-	step := aloneAfter
+	step := widenInterval
 	if n.gateway.Reaches() {
-		step = aloneServed
+		step = servedWidenInterval
 	}
-	widened := int((now - n.reachedAt) / step)
-	if widened == n.widened {
+	seatDoublings := int((now - n.leadersReachedAt) / step)
+	if seatDoublings == n.seatDoublings {
 		return
 	}
-	n.notice("seats-widened", Field{"times", widened}, Field{"alone", ms(now - n.reachedAt)})
-	n.widened = widened
+	n.notice("seats-widened", Field{"times", seatDoublings}, Field{"alone", ms(now - n.leadersReachedAt)})
+	n.seatDoublings = seatDoublings
 	n.connect()
 }
 
@@ -109,43 +109,43 @@
 // MembershipStatus describes this process.
 func (n *Node) MembershipStatus() MembershipStatus {
 	return MembershipStatus{
-		Cell: n.cell, Seated: n.seated, SeatDoublings: n.widened,
-		Members: len(n.members), UnreachableVMs: len(n.unheard), WantedConnections: len(n.links),
+		Cell: n.cell, Seated: n.seated, SeatDoublings: n.seatDoublings,
+		Members: len(n.members), UnreachableVMs: len(n.unreachableSince), WantedConnections: len(n.links),
 	}
 }
 
 // SeatDoublings is how often the number of seats was doubled; 0 while a scheduler is in
 // reach.
-func (n *Node) SeatDoublings() int { return n.widened }
+func (n *Node) SeatDoublings() int { return n.seatDoublings }
 
-// noteUnheard notes since when no process of a VM is heard. One that isn't may
+// updateUnreachable notes since when no process of a VM is heard. One that isn't may
 // live behind a cut, and lead there, also if this process has never heard it.
-func (n *Node) noteUnheard(now Time) {
+func (n *Node) updateUnreachable(now Time) {
 	heard := map[string]bool{schedule.EntryID(n.Self()).VM(): true}
-	for id := range n.linked {
+	for id := range n.connected {
 		// With the connection alone it isn't known whom the process follows.
 		if n.view.Report(id).Number > 0 {
 			heard[schedule.EntryID(id).VM()] = true
 		}
 	}
-	for _, vm := range n.vms {
+	for _, vm := range n.cellVMs {
 		if heard[vm] {
-			delete(n.unheard, vm)
-		} else if _, known := n.unheard[vm]; !known {
-			n.unheard[vm] = now
+			delete(n.unreachableSince, vm)
+		} else if _, known := n.unreachableSince[vm]; !known {
+			n.unreachableSince[vm] = now
 		}
 	}
-	n.view.SetComplete(n.hearsAll())
+	n.view.SetComplete(n.allReachable())
 }
 
-// meetsStrangers reports whether an older process that could lead this one's cell is
+// hasUnreportedElder reports whether an older process that could lead this one's cell is
 // there, as connections with it show, and hasn't told anything of itself. It refuses this
 // process until it has read of it.
-func (n *Node) meetsStrangers(now Time) bool {
+func (n *Node) hasUnreportedElder(now Time) bool {
 	if n.fleet == nil {
 		return false
 	}
-	for _, m := range n.fleet.Seats(n.cell, n.widened) {
+	for _, m := range n.fleet.Seats(n.cell, n.seatDoublings) {
 		id := leader.ID(m.ID)
 		heard := n.view.LastHeard(id)
 		if m.Number < n.number && heard > 0 && now-heard <= leader.LostAfter && n.view.Report(id).Number == 0 {
@@ -155,12 +155,12 @@
 	return false
 }
 
-// hearsAll reports whether a process of every other VM of the cell is heard.
-func (n *Node) hearsAll() bool { return n.vms != nil && len(n.unheard) == 0 }
+// allReachable reports whether a process of every other VM of the cell is heard.
+func (n *Node) allReachable() bool { return n.cellVMs != nil && len(n.unreachableSince) == 0 }
 
-// missesSome reports whether a VM of the cell isn't heard that may be alive.
-func (n *Node) missesSome(now Time) bool {
-	for _, since := range n.unheard {
+// anyMissing reports whether a VM of the cell isn't heard that may be alive.
+func (n *Node) anyMissing(now Time) bool {
+	for _, since := range n.unreachableSince {
 		if now-since < schedule.MissingMost {
 			return true
 		}
--- a/core/fleet/moved_test.go
+++ b/core/fleet/moved_test.go
@@ -9,12 +9,12 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// storedJobs hands in stored jobs, of all shards, and lists those that are accepted.
-func (w *world) storedJobs(count int) []*fakeJob {
+// submitStoredJobs hands in stored jobs, of all shards, and lists those that are accepted.
+func (w *world) submitStoredJobs(count int) []*fakeJob {
 	var jobs []*fakeJob
 	for range count {
-		j := w.storedJob()
-		w.try(j)
+		j := w.newStoredJob()
+		w.sendJob(j)
 		jobs = append(jobs, j)
 	}
 	w.run(100 * time.Millisecond)
@@ -27,8 +27,8 @@
 	return accepted
 }
 
-// empty takes all runners of a failure domain away.
-func (w *world) empty(domain string) {
+// removeRunners takes all runners of a failure domain away.
+func (w *world) removeRunners(domain string) {
 	for _, r := range w.runners {
 		if r.info.Domain == domain {
 			r.crash()
@@ -40,28 +40,28 @@
 // Guards against accepted jobs that wait for as long as the runners of their failure
 // domain are gone, while other domains have room; and against callers who can't ask for
 // them or cancel them meanwhile. The processes that own the shards are lost on the way.
-func TestJobsOfAnEmptyDomainAreDone(t *testing.T) {
+func TestJobsOfADomainWithoutRunnersAreDone(t *testing.T) {
 	for _, lost := range []string{"", "giver", "taker", "all"} {
 		g := NewWithT(t)
 		w := cellDeployment(1, 1)
-		w.try(w.storedJob())
+		w.sendJob(w.newStoredJob())
 		w.run(2 * time.Second)
-		jobs := w.storedJobs(12)
+		jobs := w.submitStoredJobs(12)
 		jobs[0].cancelAt = w.now + 2500*time.Millisecond
-		w.empty("a")
+		w.removeRunners("a")
 		w.run(1700 * time.Millisecond)
-		w.loseOwners(lost)
+		w.killOwners(lost)
 		w.run(12 * time.Second)
-		w.truth.settled()
-		g.Expect(w.truth.broken).To(BeEmpty(), lost)
+		w.checker.checkSettled()
+		g.Expect(w.checker.violations).To(BeEmpty(), lost)
 		for _, j := range jobs[1:] {
 			g.Expect(j.outcome).To(Equal(workload.Completed), "%s: %s", lost, j.work.ID)
 		}
 	}
 }
 
-// loseOwners kills the processes that give jobs away, those that take them, or all.
-func (w *world) loseOwners(which string) {
+// killOwners kills the processes that give jobs away, those that take them, or all.
+func (w *world) killOwners(which string) {
 	for _, n := range w.nodes {
 		giver := n.domain == "a"
 		if which == "all" || which == "giver" && giver || which == "taker" && !giver {
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -52,31 +52,31 @@
 	fleet   *topology.Fleet
 	// seated: the VM schedules before those of its cell that aren't. widened is how
 	// often the number of seats was doubled, since no scheduler was in reach.
-	seated  bool
-	widened int
+	seated        bool
+	seatDoublings int
 	// links are the connections last asked for.
 	links []topology.Link
-	// linked are the connected processes, and sent when each was last sent a
+	// connected are the connected processes, and sent when each was last sent a
 	// heartbeat.
-	linked map[leader.ID]bool
-	sent   map[leader.ID]Time
+	connected       map[leader.ID]bool
+	heartbeatSentAt map[leader.ID]Time
 
 	lastTick Time
-	// reachedAt is when the leader of each shard was last in reach, or nobody
+	// leadersReachedAt is when the leader of each shard was last in reach, or nobody
 	// could have led.
-	reachedAt   Time
-	lastArrival Time
-	stopAt      Time
-	// strained: work waited for long when that was last looked at.
-	strained bool
-	// strainedAt is when this process last gave up the lead for being slow.
-	strainedAt Time
-	// ledAt is when it last came to lead a shard.
-	ledAt Time
-	// early are requests that came before the shards were known.
-	early []earlyRequest
-	// wait is how long what waits in the shards led here would take their runners.
-	wait time.Duration
+	leadersReachedAt Time
+	lastArrival      Time
+	stopStartedAt    Time
+	// cpuWaitHigh: work waited for long when that was last looked at.
+	cpuWaitHigh bool
+	// cpuDemotedAt is when this process last gave up the lead for being slow.
+	cpuDemotedAt Time
+	// becameLeaderAt is when it last came to lead a shard.
+	becameLeaderAt Time
+	// earlyRequests are requests that came before the shards were known.
+	earlyRequests []earlyRequest
+	// backlogTime is how long what waits in the shards led here would take their runners.
+	backlogTime time.Duration
 	// pending is what each process that leads has last said.
 	pending map[leader.ID]map[string]int
 
@@ -85,37 +85,37 @@
 	listKnown bool
 	// digest is that of the list, and listSent that of the list which each
 	// process was last told on its connection.
-	digest   uint64
-	listSent map[leader.ID]uint64
-	readAt   Time
-	stale    bool
-	// askedFor are the leaders that can't read the list.
-	askedFor map[leader.ID]bool
+	digest     uint64
+	sentDigest map[leader.ID]uint64
+	listReadAt Time
+	listStale  bool
+	// staleLeaders are the leaders that can't read the list.
+	staleLeaders map[leader.ID]bool
 	// storeFailedAt is when a call to the store last failed; 0 if none has.
 	storeFailedAt Time
 	// lapsedSince are the runners of the list that are kept though their entries
 	// have lapsed, by when that was seen.
-	lapsedSince map[workload.RunnerID]Time
-	dropped     []droppedRunner
+	lapsedSince    map[workload.RunnerID]Time
+	removedRunners []removedRunner
 	// queries are questions of this process's callers that the leader was
 	// asked.
 	queries map[uint64]bool
 	// relays are questions that were passed on, by the numbers that this process gave
 	// them, the latest of which is lastRelay.
-	relays    map[uint64]relay
-	lastRelay uint64
-	// vms are the VMs of the cell, this one included; nil if they aren't known.
-	vms []string
-	// unheard are those of which no process has told of itself, by since when.
-	unheard map[string]Time
-	// othersHeardSince is since when all of vms are heard but those that are gone.
-	othersHeardSince Time
-	store            storeWatch
-	stored           StoredJobs
-	// lost are VMs whose processes fell silent, by when, and that aren't back, and
+	relays      map[uint64]relay
+	lastRelayID uint64
+	// cellVMs are the VMs of the cell, this one included; nil if they aren't known.
+	cellVMs []string
+	// unreachableSince are those of which no process has told of itself, by since when.
+	unreachableSince map[string]Time
+	// othersReachableSince is since when all of vms are heard but those that are gone.
+	othersReachableSince Time
+	store                storeWatch
+	storedJobs           StoredJobs
+	// lostVMs are VMs whose processes fell silent, by when, and that aren't back, and
 	// doubtUntil is how long it is doubted that all VMs are heard by somebody.
-	lost       map[string]Time
-	doubtUntil Time
+	lostVMs        map[string]Time
+	uncertainUntil Time
 
 	out []Command
 }
@@ -125,28 +125,28 @@
 // ends the process.
 func New(cfg schedule.Config, grace time.Duration, milliCPU int, now Time) *Node {
 	n := &Node{
-		cfg:      cfg,
-		grace:    grace,
-		view:     leader.NewView("", now),
-		gateway:  gateway.New(),
-		linked:   make(map[leader.ID]bool),
-		sent:     make(map[leader.ID]Time),
-		listSent: make(map[leader.ID]uint64),
-		queries:  make(map[uint64]bool),
-		relays:   make(map[uint64]relay),
-		askedFor: make(map[leader.ID]bool),
-		unheard:  make(map[string]Time),
-		lost:     make(map[string]Time),
-		pending:  make(map[leader.ID]map[string]int),
-		lastTick: now,
+		cfg:              cfg,
+		grace:            grace,
+		view:             leader.NewView("", now),
+		gateway:          gateway.New(),
+		connected:        make(map[leader.ID]bool),
+		heartbeatSentAt:  make(map[leader.ID]Time),
+		sentDigest:       make(map[leader.ID]uint64),
+		queries:          make(map[uint64]bool),
+		relays:           make(map[uint64]relay),
+		staleLeaders:     make(map[leader.ID]bool),
+		unreachableSince: make(map[string]Time),
+		lostVMs:          make(map[string]Time),
+		pending:          make(map[leader.ID]map[string]int),
+		lastTick:         now,
 		// A process that doesn't know the others can't leave the lead to them.
 		seated: true,
 
-		othersHeardSince: never,
+		othersReachableSince: never,
 
-		reachedAt: now,
-		digest:    digestOf(nil),
-		lastRelay: firstRelay,
+		leadersReachedAt: now,
+		digest:           digestOf(nil),
+		lastRelayID:      firstRelayID,
 	}
 	n.view.SetProcessor(milliCPU)
 	n.member.MilliCPU = milliCPU
@@ -183,17 +183,17 @@
 	for {
 		commands := n.gateway.Ready()
 		for _, c := range commands {
-			n.fromGateway(c)
+			n.handleGatewayCommand(c)
 		}
 		count := len(commands)
 		for _, s := range n.own {
 			orders := s.schedule.Ready()
 			for _, c := range orders {
-				n.fromScheduler(s, c)
+				n.handleSchedulerCommand(s, c)
 			}
 			calls := s.ledger.Ready()
 			for _, c := range calls {
-				n.fromLedger(s, c)
+				n.handleLedgerCommand(s, c)
 			}
 			count += len(orders) + len(calls)
 		}
@@ -203,7 +203,7 @@
 	}
 }
 
-func (n *Node) fromGateway(c gateway.Command) {
+func (n *Node) handleGatewayCommand(c gateway.Command) {
 	switch c := c.(type) {
 	case gateway.HandIn:
 		if c.Shard != c.Home {
@@ -227,18 +227,18 @@
 	}
 }
 
-func (n *Node) fromScheduler(s *shard, c schedule.Command) {
+func (n *Node) handleSchedulerCommand(s *shard, c schedule.Command) {
 	switch c := c.(type) {
 	case schedule.Save:
 		s.ledger.Save(c.At, c.Sequence, c.Record)
 	case schedule.Settled:
-		n.settled(s, c)
+		n.answerSettled(s, c)
 	case schedule.Answer:
-		n.verdict(c)
+		n.sendVerdict(c)
 	case schedule.HandOn:
-		n.handOn(c.At, s, c)
+		n.moveJob(c.At, s, c)
 	case schedule.Taken:
-		n.tellTaken(c.At, c)
+		n.sendJobTaken(c.At, c)
 	case schedule.Decision:
 		n.notice(c.Event, decisionFields(c)...)
 	default:
@@ -246,11 +246,11 @@
 	}
 }
 
-func (n *Node) fromLedger(s *shard, c ledger.Command) {
+func (n *Node) handleLedgerCommand(s *shard, c ledger.Command) {
 	switch c := c.(type) {
 	case ledger.Loaded:
 		if len(c.Records) > 0 {
-			n.seeStored(c.At)
+			n.noteStoredJob(c.At)
 		}
 		s.schedule.Loaded(c.At, c)
 	case ledger.Saved:
@@ -259,7 +259,7 @@
 		s.schedule.Verified(c.At, c.OwnedAt)
 	case ledger.Lost:
 		s.schedule.CustodyLost(c.At)
-		clear(s.questions)
+		clear(s.pendingQueries)
 	default:
 		n.emit(StoreCall{Shard: s.index, Call: c})
 	}
@@ -267,7 +267,7 @@
 
 // StoreAnswered takes what came of a StoreCall.
 func (n *Node) StoreAnswered(now Time, shard int, r ledger.Result) {
-	n.checkPause(now)
+	n.detectStall(now)
 	n.shards[shard].ledger.Take(now, r)
 }
 
@@ -296,56 +296,56 @@
 	if !n.table.Apply(d) {
 		return
 	}
-	n.setAble()
+	n.updateAble()
 	n.notice("configuration-in-force", Field{"version", d.Version}, Field{"source", source}, Field{"routes", len(d.Routes)})
-	n.heartbeatAll(now)
+	n.sendHeartbeats(now)
 }
 
 // Tick does what is due.
 func (n *Node) Tick(now Time) {
-	n.checkPause(now)
+	n.detectStall(now)
 	n.lastTick = now
 	for _, id := range n.view.Silent(now) {
 		n.peerLost(now, id, false)
 	}
 	n.watchStore(now)
-	n.view.SetStrangers(n.meetsStrangers(now))
-	n.follow(now)
-	n.lookFurther(now)
+	n.view.SetStrangers(n.hasUnreportedElder(now))
+	n.updateLeaders(now)
+	n.widenSeats(now)
 	n.expireEarly(now)
 	n.expireRelays(now)
 	n.gateway.Tick(now)
-	n.noteUnheard(now)
-	gone, misses := n.longUnheard(now), n.missesSome(now)
-	n.noteOthersHeard(now, gone)
-	n.wait = 0
-	doubt := n.doubts(now, misses)
+	n.updateUnreachable(now)
+	gone, missing := n.presumedGone(now), n.anyMissing(now)
+	n.updateOthersReachable(now, gone)
+	n.backlogTime = 0
+	uncertain := n.updateUncertainty(now, missing)
 	for _, s := range n.own {
 		s.schedule.Heard(now, schedule.EntryID(n.Self()))
 		s.ledger.Exclude(gone)
-		since, all := n.rivalsHeardSince(now, s, gone)
+		since, all := n.rivalsReachableSince(now, s, gone)
 		s.schedule.SetAllHeard(all, since)
-		s.schedule.SetMissing(misses)
-		s.schedule.SetDoubt(doubt)
-		s.schedule.SetAlternate(n.alternate(s))
+		s.schedule.SetMissing(missing)
+		s.schedule.SetDoubt(uncertain)
+		s.schedule.SetAlternate(n.alternateShard(s))
 		if all && s.schedule.Leading() {
 			s.ledger.Uncontested(now)
 		}
-		s.ledger.Tick(now, s.schedule.Keeps() || len(s.questions) > 0)
+		s.ledger.Tick(now, s.schedule.Keeps() || len(s.pendingQueries) > 0)
 		s.schedule.SetStoreTrouble(s.ledger.FailingFor(now))
 		s.schedule.Tick(now)
 		if s.schedule.Leading() {
-			n.wait = max(n.wait, s.schedule.Wait())
+			n.backlogTime = max(n.backlogTime, s.schedule.Wait())
 		}
-		n.tickQuestions(now, s)
+		n.tickQueries(now, s)
 	}
 	n.checkRunners(now)
-	n.heartbeats(now)
+	n.sendDueHeartbeats(now)
 }
 
-// checkPause notes that the process stood still. It comes before all else: what
+// detectStall notes that the process stood still. It comes before all else: what
 // arrived meanwhile would be answered from a state of long ago.
-func (n *Node) checkPause(now Time) {
+func (n *Node) detectStall(now Time) {
 	if pause := now - n.lastTick; pause > leader.StallLimit {
 		n.lastTick = now
 		n.stalled(now, pause)
@@ -366,7 +366,7 @@
 		s.choice = leader.Choice{}
 		n.gateway.Follow(now, s.index, s.choice)
 	}
-	n.reachedAt = now
+	n.leadersReachedAt = now
 }
 
 // Self is the process's identity; "" before it is registered.
@@ -387,7 +387,7 @@
 // Serves reports whether new callers should come here: a job finds a scheduler,
 // though perhaps not that of its home.
 func (n *Node) Serves() bool {
-	return n.stopAt == 0 && n.table.Current() != nil && (n.ReachesAllLeaders() || n.gateway.Reaches())
+	return n.stopStartedAt == 0 && n.table.Current() != nil && (n.ReachesAllLeaders() || n.gateway.Reaches())
 }
 
 // ReachesAllLeaders reports whether the leader of each shard of the own cell is in reach.
@@ -402,18 +402,18 @@
 
 // Started takes what came of a schedule.Start of a shard.
 func (n *Node) Started(now Time, shard int, r schedule.StartResult) {
-	n.checkPause(now)
+	n.detectStall(now)
 	n.shards[shard].schedule.Started(now, r)
 }
 
 // Stopped takes what came of a schedule.Stop.
 func (n *Node) Stopped(now Time, shard int, r schedule.StopResult) {
-	n.checkPause(now)
+	n.detectStall(now)
 	n.shards[shard].schedule.Stopped(now, r)
 }
 
 // Held takes what came of a schedule.Hold.
 func (n *Node) Held(now Time, shard int, r schedule.HoldResult) {
-	n.checkPause(now)
+	n.detectStall(now)
 	n.shards[shard].schedule.Held(now, r)
 }
--- a/core/fleet/peers.go
+++ b/core/fleet/peers.go
@@ -11,24 +11,24 @@
 
 // PeerUp notes a connection with a process.
 func (n *Node) PeerUp(now Time, id leader.ID) {
-	n.checkPause(now)
-	n.linked[id] = true
+	n.detectStall(now)
+	n.connected[id] = true
 	n.view.Heard(now, id, nil)
-	n.heartbeat(now, id)
+	n.sendHeartbeat(now, id)
 	for _, s := range n.own {
 		s.schedule.EntryReset(now, schedule.EntryID(id))
 		s.schedule.EntryBack(now, schedule.EntryID(id))
 	}
-	delete(n.lost, schedule.EntryID(id).VM())
-	delete(n.listSent, id)
+	delete(n.lostVMs, schedule.EntryID(id).VM())
+	delete(n.sentDigest, id)
 	n.gateway.Reconnected(now, id)
 }
 
 // PeerDown notes the end of a connection; ended says that the other process
 // said so itself. Else it may live, and silence decides.
 func (n *Node) PeerDown(now Time, id leader.ID, ended bool) {
-	n.checkPause(now)
-	delete(n.linked, id)
+	n.detectStall(now)
+	delete(n.connected, id)
 	if !ended {
 		for _, s := range n.own {
 			s.schedule.EntryReset(now, schedule.EntryID(id))
@@ -37,7 +37,7 @@
 	}
 	n.view.Ended(id)
 	n.peerLost(now, id, true)
-	n.follow(now)
+	n.updateLeaders(now)
 }
 
 // peerLost drops what was in hand for a process, and the connection with it. On
@@ -47,12 +47,12 @@
 	n.warn("peer-lost", Field{"peer", string(id)}, Field{"ended", ended})
 	n.emit(Disconnect{Peer: id})
 	if !ended {
-		n.lost[schedule.EntryID(id).VM()] = now
+		n.lostVMs[schedule.EntryID(id).VM()] = now
 	}
-	delete(n.linked, id)
-	delete(n.sent, id)
+	delete(n.connected, id)
+	delete(n.heartbeatSentAt, id)
 	delete(n.pending, id)
-	delete(n.askedFor, id)
+	delete(n.staleLeaders, id)
 	for _, s := range n.own {
 		s.schedule.EntryLost(now, schedule.EntryID(id), ended)
 	}
@@ -63,7 +63,7 @@
 // connection may be of long ago, and jobs in it given to somebody else.
 func (n *Node) disconnectAll(now Time) {
 	for _, id := range n.peers() {
-		delete(n.linked, id)
+		delete(n.connected, id)
 		n.emit(Disconnect{Peer: id})
 		for _, s := range n.own {
 			s.schedule.EntryReset(now, schedule.EntryID(id))
@@ -71,9 +71,9 @@
 	}
 }
 
-// handedIn takes jobs of a process that is connected.
-func (n *Node) handedIn(now Time, from leader.ID, c gateway.HandIn) {
-	if !n.linked[from] {
+// receiveHandIn takes jobs of a process that is connected.
+func (n *Node) receiveHandIn(now Time, from leader.ID, c gateway.HandIn) {
+	if !n.connected[from] {
 		n.notice("hand-in-dropped", Field{"job", string(c.Job.ID)}, Field{"entry", string(from)}, Field{"reason", "its connection has ended"})
 		return
 	}
@@ -82,31 +82,31 @@
 
 // Receive takes a message. nil is a sign of life and nothing more.
 func (n *Node) Receive(now Time, from leader.ID, m Message) {
-	n.checkPause(now)
+	n.detectStall(now)
 	for _, s := range n.own {
 		s.schedule.Heard(now, schedule.EntryID(from))
 	}
 	if h, ok := m.(Heartbeat); ok {
-		n.heard(now, from, h)
+		n.receiveHeartbeat(now, from, h)
 		return
 	}
 	n.view.Heard(now, from, nil)
 	switch m := m.(type) {
 	case HandIn:
-		n.handedIn(now, from, m.HandIn)
+		n.receiveHandIn(now, from, m.HandIn)
 	case Verdict:
 		m.From = from
 		n.gateway.Decide(now, m.Verdict)
 	case DropJob:
 		n.dropJob(now, from, m)
 	case JobQuery:
-		n.queried(now, from, m)
+		n.receiveQuery(now, from, m)
 	case JobAnswer:
-		n.answerQuery(m)
+		n.receiveJobAnswer(m)
 	case JobMove:
-		n.take(now, from, m)
+		n.receiveMovedJob(now, from, m)
 	case JobTaken:
-		n.taken(now, m)
+		n.receiveJobTaken(now, m)
 	case Declaration:
 		n.ApplyDeclaration(now, m.Declaration, string(from))
 	case Progress:
@@ -117,27 +117,27 @@
 		n.ApplyLayout(now, m.Layout)
 	case RunnerList:
 		if m.Handover {
-			n.suspect(now, m.Runners)
+			n.suspectRunners(now, m.Runners)
 			return
 		}
 		if n.LayoutKnown() && !n.inCell(from) {
 			return
 		}
-		n.noteLapsed(now, m)
+		n.recordLapsed(now, m)
 		n.takeRunners(now, m, string(from))
 	}
 }
 
-func (n *Node) heard(now Time, from leader.ID, h Heartbeat) {
+func (n *Node) receiveHeartbeat(now Time, from leader.ID, h Heartbeat) {
 	before := n.view.Report(from)
 	n.view.Heard(now, from, &h.Report)
 	if before.Number == 0 {
-		n.noteUnheard(now)
+		n.updateUnreachable(now)
 	}
 	if h.Report.Shards == 0 && n.LayoutKnown() {
 		n.emit(Send{To: from, Message: Layout{n.layout}})
 	}
-	n.learnStored(now, h.StoredJobs)
+	n.learnStoredJobs(now, h.StoredJobs)
 	for _, s := range n.own {
 		s.schedule.SeeTerm(h.Report.Term)
 	}
@@ -145,7 +145,7 @@
 		n.emit(Send{To: from, Message: Declaration{d}})
 	}
 	n.updateRunners(from, h)
-	n.hearDoubt(now, h.UncertainFor)
+	n.extendUncertainty(now, h.UncertainFor)
 	n.ApplyEvacuations(now, h.Evacuations, string(from))
 	n.pending[from] = h.Pending
 	for _, s := range n.shards {
@@ -153,19 +153,19 @@
 			n.gateway.SetWait(s.index, h.BacklogTime)
 		}
 	}
-	if now-n.sent[from] >= leader.HeartbeatInterval/2 {
+	if now-n.heartbeatSentAt[from] >= leader.HeartbeatInterval/2 {
 		// Sent now, the own heartbeat carries the connection's acknowledgement of
 		// the other one, which else takes a datagram by itself: one in four.
-		n.heartbeat(now, from)
+		n.sendHeartbeat(now, from)
 	}
-	delete(n.askedFor, from)
+	delete(n.staleLeaders, from)
 	if h.RunnersStale && n.inCell(from) {
-		n.askedFor[from] = true
+		n.staleLeaders[from] = true
 		if h.RunnersRevision < n.runners.Revision {
 			n.emit(Send{To: from, Message: n.runners})
 		}
 	}
-	n.follow(now)
+	n.updateLeaders(now)
 	for _, s := range n.own {
 		if h.Report.Leader(s.index) != n.Self() || before.Leader(s.index) == n.Self() {
 			continue
@@ -182,44 +182,44 @@
 }
 
 // Connections is the number of connected processes.
-func (n *Node) Connections() int { return len(n.linked) }
+func (n *Node) Connections() int { return len(n.connected) }
 
 // peers lists the connected processes in the order of their ids.
-func (n *Node) peers() []leader.ID { return slices.Sorted(maps.Keys(n.linked)) }
+func (n *Node) peers() []leader.ID { return slices.Sorted(maps.Keys(n.connected)) }
 
-// heartbeats are due at equal distances; a tick may be a little early.
-func (n *Node) heartbeats(now Time) {
+// sendDueHeartbeats are due at equal distances; a tick may be a little early.
+func (n *Node) sendDueHeartbeats(now Time) {
 	for _, id := range n.peers() {
-		if now-n.sent[id] >= leader.HeartbeatInterval-TickInterval/2 {
-			n.heartbeat(now, id)
+		if now-n.heartbeatSentAt[id] >= leader.HeartbeatInterval-TickInterval/2 {
+			n.sendHeartbeat(now, id)
 		}
 	}
 }
 
-// heartbeatAll tells all processes of a change at once.
-func (n *Node) heartbeatAll(now Time) {
+// sendHeartbeats tells all processes of a change at once.
+func (n *Node) sendHeartbeats(now Time) {
 	for _, id := range n.peers() {
-		n.heartbeat(now, id)
+		n.sendHeartbeat(now, id)
 	}
 }
 
-func (n *Node) heartbeat(now Time, to leader.ID) {
-	n.sent[to] = now
+func (n *Node) sendHeartbeat(now Time, to leader.ID) {
+	n.heartbeatSentAt[to] = now
 	h := Heartbeat{
 		Report:             n.view.Own(now, n.choices()),
 		DeclarationVersion: n.table.Version(),
 		RunnersRevision:    n.runners.Revision,
-		RunnersStale:       n.stale,
-		StoredJobs:         n.stored,
+		RunnersStale:       n.listStale,
+		StoredJobs:         n.storedJobs,
 		Evacuations:        n.evacuations,
 	}
 	if n.listKnown {
 		h.RunnersDigest = n.digest
 	}
 	h.Report.Term = n.term()
-	h.UncertainFor = max(0, n.doubtUntil-now)
+	h.UncertainFor = max(0, n.uncertainUntil-now)
 	if n.Leads() {
-		h.Pending, h.BacklogTime = n.ownPending(), n.wait
+		h.Pending, h.BacklogTime = n.ownPending(), n.backlogTime
 	}
 	n.emit(Send{To: to, Message: h})
 }
--- a/core/fleet/processes_test.go
+++ b/core/fleet/processes_test.go
@@ -18,28 +18,28 @@
 	if n.removed {
 		return
 	}
-	n.life++
-	life := n.life
+	n.incarnation++
+	incarnation := n.incarnation
 	n.node = fleet.New(schedule.DefaultConfig(), grace, n.milliCPU, w.now)
 	n.node.SetDomain(n.domain)
 	n.id, n.frozen = "", 0
-	n.links = make(map[leader.ID]bool)
+	n.connections = make(map[leader.ID]bool)
 	n.redialAt = make(map[leader.ID]time.Duration)
 	n.requests = make(map[uint64]*fakeJob)
-	n.questions = make(map[uint64]*askedJob)
-	n.pending, n.wanted, n.met = nil, nil, 0
-	w.register(n, life)
-	w.tickLoop(n, life)
-	w.storeLoop(n, life)
+	n.queries = make(map[uint64]*jobQuery)
+	n.queuedEvents, n.wanted, n.membersSeen = nil, nil, 0
+	w.register(n, incarnation)
+	w.tickLoop(n, incarnation)
+	w.storeLoop(n, incarnation)
 }
 
-func (w *world) register(n *fakeNode, life int) {
+func (w *world) register(n *fakeNode, incarnation int) {
 	w.after(5*time.Millisecond, func() {
-		if n.life != life {
+		if n.incarnation != incarnation {
 			return
 		}
-		if !w.storeReached(n) {
-			w.register(n, life)
+		if !w.storeReachable(n) {
+			w.register(n, incarnation)
 			return
 		}
 		w.numbers++
@@ -64,115 +64,115 @@
 		return
 	}
 	if w.now < n.frozen {
-		n.pending = append(n.pending, f)
+		n.queuedEvents = append(n.queuedEvents, f)
 		return
 	}
 	f()
-	w.carryOut(n)
+	w.execute(n)
 }
 
-func (w *world) tickLoop(n *fakeNode, life int) {
+func (w *world) tickLoop(n *fakeNode, incarnation int) {
 	w.after(fleet.TickInterval, func() {
-		if n.life != life || n.node == nil {
+		if n.incarnation != incarnation || n.node == nil {
 			return
 		}
 		if w.now < n.frozen {
-			w.after(n.frozen-w.now, func() { w.wake(n, life) })
+			w.after(n.frozen-w.now, func() { w.wake(n, incarnation) })
 			return
 		}
-		w.link(n)
+		w.connectPeers(n)
 		w.do(n, func() { n.node.Tick(w.now) })
 		if n.node.StopComplete(w.now) {
 			w.do(n, func() { n.node.GiveUp(w.now) })
 			w.endProcess(n, true)
 			return
 		}
-		w.tickLoop(n, life)
+		w.tickLoop(n, incarnation)
 	})
 }
 
 // wake lets a frozen process do what came meanwhile, before or after its own
 // timers.
-func (w *world) wake(n *fakeNode, life int) {
-	if n.life != life || n.node == nil {
+func (w *world) wake(n *fakeNode, incarnation int) {
+	if n.incarnation != incarnation || n.node == nil {
 		return
 	}
 	tick := func() { w.do(n, func() { n.node.Tick(w.now) }) }
 	if w.rng.IntN(2) == 0 {
 		tick()
 	}
-	queued := n.pending
-	n.pending = nil
+	queued := n.queuedEvents
+	n.queuedEvents = nil
 	for _, f := range queued {
 		w.do(n, f)
 	}
 	tick()
-	w.tickLoop(n, life)
+	w.tickLoop(n, incarnation)
 }
 
-// link connects a process with those that it can reach.
-func (w *world) link(n *fakeNode) {
+// connectPeers connects a process with those that it can reach.
+func (w *world) connectPeers(n *fakeNode) {
 	if w.cells {
-		w.linkWanted(n)
+		w.connectWanted(n)
 		return
 	}
 	for _, o := range w.nodes {
-		if o == n || o.node == nil || o.id == "" || n.id == "" || n.links[o.id] || !w.connects(n, o) || w.now < o.frozen {
+		if o == n || o.node == nil || o.id == "" || n.id == "" || n.connections[o.id] || !w.connectable(n, o) || w.now < o.frozen {
 			continue
 		}
-		if w.refused(n, o) {
+		if w.refuseConnection(n, o) {
 			continue
 		}
-		n.links[o.id], o.links[n.id] = true, true
+		n.connections[o.id], o.connections[n.id] = true, true
 		w.do(n, func() { n.node.PeerUp(w.now, o.id) })
 		w.do(o, func() { o.node.PeerUp(w.now, n.id) })
 	}
 }
 
-// redial is the pause after a connection that was refused.
-const redial = 100 * time.Millisecond
+// redialPause is the pause after a connection that was refused.
+const redialPause = 100 * time.Millisecond
 
-// refused plays a connection that one side refuses, as it doesn't know the other one:
+// refuseConnection plays a connection that one side refuses, as it doesn't know the other one:
 // that one learns only that somebody is there.
-func (w *world) refused(n, o *fakeNode) bool {
-	if w.now >= w.strangers[n.name] && w.now >= w.strangers[o.name] {
+func (w *world) refuseConnection(n, o *fakeNode) bool {
+	if w.now >= w.unknownUntil[n.name] && w.now >= w.unknownUntil[o.name] {
 		return false
 	}
-	if w.now < w.strangers[n.name] && w.now >= n.redialAt[o.id] {
-		n.redialAt[o.id] = w.now + redial
+	if w.now < w.unknownUntil[n.name] && w.now >= n.redialAt[o.id] {
+		n.redialAt[o.id] = w.now + redialPause
 		w.do(n, func() { n.node.PeerUp(w.now, o.id) })
 		w.do(n, func() { n.node.PeerDown(w.now, o.id, false) })
 	}
 	return true
 }
 
-// linkWanted makes the connections that a process is to make.
-func (w *world) linkWanted(n *fakeNode) {
+// connectWanted makes the connections that a process is to make.
+func (w *world) connectWanted(n *fakeNode) {
 	for _, l := range n.wanted {
 		id := leader.ID(l.ID)
-		if !l.Dials || n.links[id] {
+		if !l.Dials || n.connections[id] {
 			continue
 		}
 		o := w.byID(id)
-		if o == nil || w.now < o.frozen || !w.connects(n, o) || w.refused(n, o) {
+		if o == nil || w.now < o.frozen || !w.connectable(n, o) || w.refuseConnection(n, o) {
 			continue
 		}
-		n.links[id], o.links[n.id] = true, true
-		n.connected++
-		o.connected++
+		n.connections[id], o.connections[n.id] = true, true
+		n.connectionsMade++
+		o.connectionsMade++
 		w.do(n, func() { n.node.PeerUp(w.now, id) })
 		w.do(o, func() { o.node.PeerUp(w.now, n.id) })
 	}
 }
 
-// connects reports whether two VMs have been able to talk for long enough.
-func (w *world) connects(n, o *fakeNode) bool {
+// connectable reports whether two VMs have been able to talk for long enough.
+func (w *world) connectable(n, o *fakeNode) bool {
 	pair := [2]string{n.name, o.name}
-	if !w.joined(n, o) {
-		w.joinedAt[pair] = w.now + w.linkDelay
+	if !w.canConnect(n, o) {
+		w.connectableAt[pair] = w.now + w.connectDelay
 		return false
 	}
-	return w.now >= w.joinedAt[pair]
+	return w.now >= w.connectableAt[pair]
 }
 
 func (w *world) byID(id leader.ID) *fakeNode {
@@ -183,28 +183,28 @@
 }
 
 // storeLoop reads the configuration and the list of runners.
-func (w *world) storeLoop(n *fakeNode, life int) {
-	if n.life != life || n.node == nil {
+func (w *world) storeLoop(n *fakeNode, incarnation int) {
+	if n.incarnation != incarnation || n.node == nil {
 		return
 	}
-	if w.storeReached(n) {
+	if w.storeReachable(n) {
 		w.do(n, func() {
 			n.node.StoredJobsRead(w.now, w.store.any())
 			if w.now >= w.layoutAt {
 				n.node.ApplyLayout(w.now, w.layout())
 			}
-			if n.met != w.numbers || !w.cells {
-				n.met = w.numbers
+			if n.membersSeen != w.numbers || !w.cells {
+				n.membersSeen = w.numbers
 				n.node.SetMembers(w.now, slices.Clone(w.members))
 			}
-			n.node.ApplyEvacuations(w.now, w.evacuations.newest(), "store")
+			n.node.ApplyEvacuations(w.now, w.evacuations.latest(), "store")
 			n.node.ApplyDeclaration(w.now, &routing.Declaration{Version: 1}, "store")
 			if !n.node.ReceivesRunnerList() {
 				n.node.RunnersRead(w.now, w.list())
 			}
 		})
 	}
-	w.after(400*time.Millisecond, func() { w.storeLoop(n, life) })
+	w.after(400*time.Millisecond, func() { w.storeLoop(n, incarnation) })
 }
 
 // list is the platform's list; the entries of a domain that is cut off lapse.
@@ -212,7 +212,7 @@
 	w.revision++
 	l := fleet.RunnerList{Revision: w.revision}
 	for _, r := range w.runners {
-		if w.listed[r.info.ID] && !w.cut[r.info.Domain] {
+		if w.listed[r.info.ID] && !w.isolated[r.info.Domain] {
 			l.Runners = append(l.Runners, r.info)
 		}
 	}
@@ -220,7 +220,7 @@
 	return l
 }
 
-func (w *world) carryOut(n *fakeNode) {
+func (w *world) execute(n *fakeNode) {
 	for _, c := range n.node.Ready() {
 		switch c := c.(type) {
 		case fleet.Send:
@@ -235,16 +235,16 @@
 			w.reply(n, c)
 		case fleet.ProbeStore:
 			w.after(storeDelay, func() {
-				reached := w.storeReached(n)
+				reached := w.storeReachable(n)
 				w.do(n, func() { n.node.StoreProbed(w.now, reached) })
 			})
 		case fleet.StoreCall:
 			w.storeCall(n, c)
 		case fleet.StateAnswer:
-			w.stateAnswered(n, c)
+			w.receiveState(n, c)
 		case fleet.Notice:
 			if c.Event == "leader-changed" && fieldOf(c, "leader") == string(n.id) {
-				n.led++
+				n.timesLed++
 			}
 			if *trace {
 				fmt.Println(w.now, n.id, c.Event, c.Fields)
@@ -263,17 +263,17 @@
 }
 
 func (w *world) send(n *fakeNode, c fleet.Send) {
-	if !n.links[c.To] {
+	if !n.connections[c.To] {
 		return
 	}
-	n.sent++
+	n.messagesSent++
 	if w.onSend != nil {
 		w.onSend(n, c)
 	}
 	from := n.id
-	w.after(delay+w.lag[n.name], func() {
+	w.after(messageDelay+w.sendDelay[n.name], func() {
 		o := w.byID(c.To)
-		if o == nil || !o.links[from] || !w.joined(n, o) {
+		if o == nil || !o.connections[from] || !w.canConnect(n, o) {
 			return
 		}
 		w.do(o, func() { o.node.Receive(w.now, from, c.Message) })
@@ -281,11 +281,11 @@
 }
 
 func (w *world) disconnect(n *fakeNode, id leader.ID) {
-	delete(n.links, id)
+	delete(n.connections, id)
 	from := n.id
-	w.after(delay, func() {
-		if o := w.byID(id); o != nil && w.joined(n, o) && o.links[from] {
-			delete(o.links, from)
+	w.after(messageDelay, func() {
+		if o := w.byID(id); o != nil && w.canConnect(n, o) && o.connections[from] {
+			delete(o.connections, from)
 			w.do(o, func() { o.node.PeerDown(w.now, from, false) })
 		}
 	})
@@ -300,19 +300,19 @@
 	}
 	sort.Slice(waiting, func(i, j int) bool { return waiting[i] < waiting[j] })
 	for _, r := range waiting {
-		w.again(n.requests[r])
+		w.resubmit(n.requests[r])
 	}
 	for _, o := range w.nodes {
-		if o == n || o.node == nil || !o.links[id] {
+		if o == n || o.node == nil || !o.connections[id] {
 			continue
 		}
-		if clean && w.joined(n, o) {
-			delete(o.links, id)
+		if clean && w.canConnect(n, o) {
+			delete(o.connections, id)
 			w.do(o, func() { o.node.PeerDown(w.now, id, true) })
 		}
 	}
 	n.node = nil
-	n.life++
+	n.incarnation++
 	n.id = ""
 }
 
@@ -344,7 +344,7 @@
 
 func (w *world) freeze(n *fakeNode, d time.Duration) {
 	n.frozen = w.now + d
-	w.awake = max(w.awake, n.frozen)
+	w.lastWakeAt = max(w.lastWakeAt, n.frozen)
 }
 
 func (w *world) leader() *fakeNode {
@@ -358,6 +358,6 @@
 
 // cutOff cuts a domain from all others and the store, for a while.
 func (w *world) cutOff(domain string, d time.Duration) {
-	w.cut[domain] = true
-	w.after(d, func() { delete(w.cut, domain) })
+	w.isolated[domain] = true
+	w.after(d, func() { delete(w.isolated, domain) })
 }
--- a/core/fleet/random_test.go
+++ b/core/fleet/random_test.go
@@ -16,45 +16,45 @@
 	firstSeed = flag.Uint64("fleet.first", 1, "seed of the first random run")
 )
 
-// trouble is one kind of fault.
-type trouble func(w *world)
+// fault is one kind of fault.
+type fault func(w *world)
 
-func anyNode(w *world) *fakeNode     { return w.nodes[w.rng.IntN(len(w.nodes))] }
-func anyRunner(w *world) *fakeRunner { return w.runners[w.rng.IntN(len(w.runners))] }
+func randomNode(w *world) *fakeNode     { return w.nodes[w.rng.IntN(len(w.nodes))] }
+func randomRunner(w *world) *fakeRunner { return w.runners[w.rng.IntN(len(w.runners))] }
 
-func (w *world) span(least, most int) time.Duration {
+func (w *world) randomDuration(least, most int) time.Duration {
 	return time.Duration(least+w.rng.IntN(most-least)) * time.Millisecond
 }
 
-var troubles = map[string]trouble{
-	"kill": func(w *world) { w.kill(anyNode(w), w.span(300, 3000)) },
+var faults = map[string]fault{
+	"kill": func(w *world) { w.kill(randomNode(w), w.randomDuration(300, 3000)) },
 	"kill leader": func(w *world) {
 		if n := w.leader(); n != nil {
-			w.kill(n, w.span(300, 3000))
+			w.kill(n, w.randomDuration(300, 3000))
 		}
 	},
 	"kill all": func(w *world) {
 		for _, n := range w.nodes {
-			w.kill(n, w.span(700, 1500))
+			w.kill(n, w.randomDuration(700, 1500))
 		}
 	},
-	"freeze": func(w *world) { w.freeze(anyNode(w), w.span(300, 4000)) },
+	"freeze": func(w *world) { w.freeze(randomNode(w), w.randomDuration(300, 4000)) },
 	"freeze leader": func(w *world) {
 		if n := w.leader(); n != nil {
-			w.freeze(n, w.span(300, 4000))
+			w.freeze(n, w.randomDuration(300, 4000))
 		}
 	},
-	"stop": func(w *world) { w.stop(anyNode(w)) },
-	"cut":  func(w *world) { w.cutOff([]string{"a", "b", "c"}[w.rng.IntN(3)], w.span(200, 6000)) },
+	"stop": func(w *world) { w.stop(randomNode(w)) },
+	"cut":  func(w *world) { w.cutOff([]string{"a", "b", "c"}[w.rng.IntN(3)], w.randomDuration(200, 6000)) },
 	"store": func(w *world) {
 		w.storeDown = true
-		w.after(w.span(1000, 6000), func() { w.storeDown = false })
+		w.after(w.randomDuration(1000, 6000), func() { w.storeDown = false })
 	},
 	"late orders": func(w *world) {
 		for _, r := range w.runners {
 			r.lateShare = 0.05 + w.rng.Float64()*0.3
 		}
-		w.after(w.span(1000, 5000), func() {
+		w.after(w.randomDuration(1000, 5000), func() {
 			for _, r := range w.runners {
 				r.lateShare = 0
 			}
@@ -62,45 +62,45 @@
 	},
 	"mute runners": func(w *world) {
 		for _, r := range w.runners {
-			r.muteShare = 0.05 + w.rng.Float64()*0.3
+			r.unansweredShare = 0.05 + w.rng.Float64()*0.3
 		}
-		w.after(w.span(1000, 5000), func() {
+		w.after(w.randomDuration(1000, 5000), func() {
 			for _, r := range w.runners {
-				r.muteShare = 0
+				r.unansweredShare = 0
 			}
 		})
 	},
 	"crash": func(w *world) {
-		r := anyRunner(w)
+		r := randomRunner(w)
 		if r.down {
 			return
 		}
 		r.crash()
 		delete(w.listed, r.info.ID)
-		w.after(w.span(500, 4000), func() { w.addRunner(string(r.info.ID)+"x", r.info.Domain) })
+		w.after(w.randomDuration(500, 4000), func() { w.addRunner(string(r.info.ID)+"x", r.info.Domain) })
 	},
 	"hang": func(w *world) {
-		r := anyRunner(w)
+		r := randomRunner(w)
 		r.hangs = true
-		w.after(w.span(1000, 5000), func() { r.hangs = false })
+		w.after(w.randomDuration(1000, 5000), func() { r.hangs = false })
 	},
 	"fail": func(w *world) {
-		r := anyRunner(w)
+		r := randomRunner(w)
 		r.fails = true
-		w.after(w.span(1000, 5000), func() { r.fails = false })
+		w.after(w.randomDuration(1000, 5000), func() { r.fails = false })
 	},
 	"store for some": func(w *world) {
-		n := anyNode(w)
-		w.storeAway[n.name] = true
-		w.after(w.span(1000, 6000), func() { delete(w.storeAway, n.name) })
+		n := randomNode(w)
+		w.storeUnreachable[n.name] = true
+		w.after(w.randomDuration(1000, 6000), func() { delete(w.storeUnreachable, n.name) })
 	},
 	"part": func(w *world) {
-		pair := [2]string{anyNode(w).name, anyNode(w).name}
-		w.parted[pair] = true
-		w.after(w.span(300, 4000), func() { delete(w.parted, pair) })
+		pair := [2]string{randomNode(w).name, randomNode(w).name}
+		w.partitioned[pair] = true
+		w.after(w.randomDuration(300, 4000), func() { delete(w.partitioned, pair) })
 	},
 	"replace": func(w *world) {
-		n := anyNode(w)
+		n := randomNode(w)
 		if n.node == nil {
 			return
 		}
@@ -112,42 +112,42 @@
 				w.nodes[i] = fresh
 			}
 		}
-		w.after(w.span(500, 3000), func() { w.boot(fresh) })
+		w.after(w.randomDuration(500, 3000), func() { w.boot(fresh) })
 	},
-	"restart": func(w *world) { w.kill(anyNode(w), w.span(10, 300)) },
+	"restart": func(w *world) { w.kill(randomNode(w), w.randomDuration(10, 300)) },
 	// The others don't know the new process for a while, since their feed from the
 	// store is stuck.
 	"unknown restart": func(w *world) {
-		n := anyNode(w)
-		w.kill(n, w.span(10, 300))
+		n := randomNode(w)
+		w.kill(n, w.randomDuration(10, 300))
 		for _, o := range w.nodes {
 			pair := [2]string{n.name, o.name}
-			w.parted[pair] = true
-			w.after(w.span(200, 3000), func() { delete(w.parted, pair) })
+			w.partitioned[pair] = true
+			w.after(w.randomDuration(200, 3000), func() { delete(w.partitioned, pair) })
 		}
 	},
 	"lost answers": func(w *world) {
 		w.store.lostShare = 0.35
-		w.after(w.span(1000, 5000), func() { w.store.lostShare = 0 })
+		w.after(w.randomDuration(1000, 5000), func() { w.store.lostShare = 0 })
 	},
 	"slow store": func(w *world) {
-		w.store.slow = 60
-		w.after(w.span(1000, 5000), func() { w.store.slow = 1 })
+		w.store.delayFactor = 60
+		w.after(w.randomDuration(1000, 5000), func() { w.store.delayFactor = 1 })
 	},
-	"runner restart": func(w *world) { anyRunner(w).restart() },
+	"runner restart": func(w *world) { randomRunner(w).restart() },
 	"slow": func(w *world) {
-		r := anyRunner(w)
-		r.pace = 5
-		w.after(w.span(1000, 5000), func() { r.pace = 1 })
+		r := randomRunner(w)
+		r.workFactor = 5
+		w.after(w.randomDuration(1000, 5000), func() { r.workFactor = 1 })
 	},
 }
 
-func troubleNames() []string {
+func faultNames() []string {
 	return []string{"kill", "kill leader", "kill all", "freeze", "freeze leader", "stop", "cut", "store", "late orders", "crash", "hang", "fail", "slow"}
 }
 
-func storedTroubles() []string {
-	return append(troubleNames(), "store for some", "part", "replace", "lost answers", "slow store", "kill all", "mute runners", "mute runners")
+func storedFaultNames() []string {
+	return append(faultNames(), "store for some", "part", "replace", "lost answers", "slow store", "kill all", "mute runners", "mute runners")
 }
 
 // randomRun plays twelve seconds of traffic with a fault about every 700 ms.
@@ -159,10 +159,10 @@
 	w.load(60, 12*time.Second)
 	var played []string
 	for w.now < 12*time.Second {
-		w.run(w.span(100, 1300))
+		w.run(w.randomDuration(100, 1300))
 		name := names[w.rng.IntN(len(names))]
 		played = append(played, w.now.String()+" "+name)
-		troubles[name](w)
+		faults[name](w)
 	}
 	w.run(8 * time.Second)
 	return w, played
@@ -174,12 +174,12 @@
 func TestRandomFaultsWithStoredJobs(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	names := storedTroubles()
+	names := storedFaultNames()
 	accepted, completed := 0, 0
 	for i := range *seeds {
 		seed := *firstSeed + uint64(i)
 		w, played := storedRun(seed, names)
-		g.Expect(w.truth.broken).To(BeEmpty(), "seed %d, %d shards: %v", seed, w.shards, played)
+		g.Expect(w.checker.violations).To(BeEmpty(), "seed %d, %d shards: %v", seed, w.shards, played)
 		for _, j := range w.jobs {
 			if j.work.Stored && j.accepted > 0 {
 				accepted++
@@ -198,7 +198,7 @@
 	w.storedShare = 0.7
 	_, played := randomRunOf(w, names)
 	w.run(4 * time.Second)
-	w.truth.settled()
+	w.checker.checkSettled()
 	return w, played
 }
 
@@ -212,8 +212,8 @@
 	served, asked := 0, 0
 	for i := range *seeds {
 		seed := *firstSeed + uint64(i)
-		w, played := randomRun(seed, 1+i%2, troubleNames())
-		g.Expect(w.truth.broken).To(BeEmpty(), "seed %d, %d shards: %v", seed, w.shards, played)
+		w, played := randomRun(seed, 1+i%2, faultNames())
+		g.Expect(w.checker.violations).To(BeEmpty(), "seed %d, %d shards: %v", seed, w.shards, played)
 		served += w.completed()
 		asked += len(w.jobs)
 	}
@@ -226,11 +226,11 @@
 func TestRandomFaultsOfLinks(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	names := append(troubleNames(), "store for some", "part", "part", "replace", "mute runners")
+	names := append(faultNames(), "store for some", "part", "part", "replace", "mute runners")
 	for i := range *seeds {
 		seed := *firstSeed + uint64(i)
 		w, played := randomRun(seed, 1+i%2, names)
-		g.Expect(w.truth.broken).To(BeEmpty(), "seed %d, %d shards: %v", seed, w.shards, played)
+		g.Expect(w.checker.violations).To(BeEmpty(), "seed %d, %d shards: %v", seed, w.shards, played)
 	}
 }
 
@@ -251,12 +251,12 @@
 func TestRandomFaultsInCells(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	names := append(troubleNames(), "store for some", "part", "part", "replace", "mute runners")
+	names := append(faultNames(), "store for some", "part", "part", "replace", "mute runners")
 	served, asked := 0, 0
 	for i := range *seeds {
 		seed := *firstSeed + uint64(i)
 		w, played := randomRunOf(cellDeployment(seed, 1+int(seed%2)), names)
-		g.Expect(w.truth.broken).To(BeEmpty(), "seed %d: %v", seed, played)
+		g.Expect(w.checker.violations).To(BeEmpty(), "seed %d: %v", seed, played)
 		served += w.completed()
 		asked += len(w.jobs)
 	}
@@ -272,16 +272,16 @@
 	for i := range *seeds {
 		seed := *firstSeed + uint64(i)
 		w, played := storedCellRun(seed, 1+int(seed%2))
-		g.Expect(w.truth.broken).To(BeEmpty(), "seed %d: %v", seed, played)
+		g.Expect(w.checker.violations).To(BeEmpty(), "seed %d: %v", seed, played)
 	}
 }
 
 func storedCellRun(seed uint64, shards int) (*world, []string) {
 	w := cellDeployment(seed, shards)
 	w.storedShare = 0.7
-	_, played := randomRunOf(w, storedTroubles())
+	_, played := randomRunOf(w, storedFaultNames())
 	w.run(4 * time.Second)
-	w.truth.settled()
+	w.checker.checkSettled()
 	return w, played
 }
 
@@ -291,31 +291,31 @@
 	g := NewWithT(t)
 	// A caller whose entry VM had died came again by another cell, and was told that
 	// nothing had run.
-	names := append(troubleNames(), "store for some", "part", "part", "replace", "mute runners")
+	names := append(faultNames(), "store for some", "part", "part", "replace", "mute runners")
 	w, played := randomRunOf(cellDeployment(70012, 1), names)
-	g.Expect(w.truth.broken).To(BeEmpty(), "seed 70012: %v", played)
+	g.Expect(w.checker.violations).To(BeEmpty(), "seed 70012: %v", played)
 	// A process that woke accepted a job that it found in its buffers, whose caller had
 	// been told by another one that it wasn't run.
 	w, played = storedCellRun(70099, 1)
-	g.Expect(w.truth.broken).To(BeEmpty(), "seed 70099: %v", played)
+	g.Expect(w.checker.violations).To(BeEmpty(), "seed 70099: %v", played)
 	// The link between two VMs was cut. The one that led started a job that the other
 	// one had missed it with, and had begun to schedule itself.
 	w, played = storedCellRun(71109, 1)
-	g.Expect(w.truth.broken).To(BeEmpty(), "seed 71109: %v", played)
+	g.Expect(w.checker.violations).To(BeEmpty(), "seed 71109: %v", played)
 	// Two VMs that couldn't hear each other owned a shard by turns. The new owner
 	// acknowledged the end of a task that the old one, not knowing yet that it had lost
 	// the shard, was about to start again.
 	w, played = storedCellRun(92566, 1)
-	g.Expect(w.truth.broken).To(BeEmpty(), "seed 92566: %v", played)
+	g.Expect(w.checker.violations).To(BeEmpty(), "seed 92566: %v", played)
 	// A runner went out of the owner's sight with a task that had ended well there, while
 	// another process kept its lease alive. The owner started the task again, and the
 	// next owner acknowledged the first end.
 	w, played = storedCellRun(5500042, 1)
-	g.Expect(w.truth.broken).To(BeEmpty(), "seed 5500042: %v", played)
+	g.Expect(w.checker.violations).To(BeEmpty(), "seed 5500042: %v", played)
 	// A job was refused for want of room and ran in another shard. Its entry VM died, and
 	// the copy was told that it had been refused.
 	w, played = randomRunOf(cellDeployment(81131, 2), names)
-	g.Expect(w.truth.broken).To(BeEmpty(), "seed 81131: %v", played)
+	g.Expect(w.checker.violations).To(BeEmpty(), "seed 81131: %v", played)
 }
 
 // Runs that once broke a promise, with the cause.
@@ -338,16 +338,16 @@
 func TestStoredRegressions(t *testing.T) {
 	t.Parallel()
 	for seed, cause := range storedRegressions {
-		w, played := storedRun(seed, storedTroubles())
-		NewWithT(t).Expect(w.truth.broken).To(BeEmpty(), "seed %d, %s: %v", seed, cause, played)
+		w, played := storedRun(seed, storedFaultNames())
+		NewWithT(t).Expect(w.checker.violations).To(BeEmpty(), "seed %d, %s: %v", seed, cause, played)
 	}
 }
 
 func TestRegressions(t *testing.T) {
 	t.Parallel()
 	for seed, cause := range regressions {
-		w, played := randomRun(seed, 1, troubleNames())
-		NewWithT(t).Expect(w.truth.broken).To(BeEmpty(), "seed %d, %s: %v", seed, cause, played)
+		w, played := randomRun(seed, 1, faultNames())
+		NewWithT(t).Expect(w.checker.violations).To(BeEmpty(), "seed %d, %s: %v", seed, cause, played)
 	}
 }
 
@@ -356,7 +356,7 @@
 func TestRandomRestartsOfRunners(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	names := append(storedTroubles(), "late orders")
+	names := append(storedFaultNames(), "late orders")
 	for range len(names) {
 		names = append(names, "runner restart")
 	}
@@ -364,7 +364,7 @@
 	for i := range *seeds {
 		seed := *firstSeed + uint64(i)
 		w, played := storedRun(seed, names)
-		g.Expect(w.truth.broken).To(BeEmpty(), "seed %d, %d shards: %v", seed, w.shards, played)
+		g.Expect(w.checker.violations).To(BeEmpty(), "seed %d, %d shards: %v", seed, w.shards, played)
 		served += w.completed()
 		asked += len(w.jobs)
 	}
--- a/core/fleet/runner_test.go
+++ b/core/fleet/runner_test.go
@@ -16,28 +16,28 @@
 	// rate is the speed of its clock, offset its reading at time 0.
 	rate   float64
 	offset int64
-	// pace times a task's work is its run time.
-	pace float64
+	// workFactor times a task's work is its run time.
+	workFactor float64
 	// hangs: tasks stand still. fails: they fail at once.
 	hangs, fails bool
 	// lateShare of the orders stay unanswered and are carried out seconds
 	// later.
 	lateShare float64
-	// muteShare of the orders are carried out and not answered.
-	muteShare float64
-	down      bool
+	// unansweredShare of the orders are carried out and not answered.
+	unansweredShare float64
+	down            bool
 	// born is the start of its lifetime.
 	born int64
 	// started counts its runs.
 	started int
 
-	token    uint64
-	leaseEnd int64
-	runs     map[workload.RunKey]*fakeRun
-	sealed   map[workload.TaskName]int
-	ends     []fakeEnd
-	lastEnd  uint64
-	waiting  []*waitingHold
+	token        uint64
+	leaseEnd     int64
+	runs         map[workload.RunKey]*fakeRun
+	sealed       map[workload.TaskName]int
+	ends         []fakeEnd
+	lastEnd      uint64
+	waitingHolds []*waitingHold
 }
 
 // fakeEnd is an end that isn't acknowledged.
@@ -63,13 +63,13 @@
 	return r.offset + int64(float64(r.w.now.Milliseconds())*r.rate)
 }
 
-// until is how long by the world's time until the runner's clock reads ms.
-func (r *fakeRunner) until(ms int64) time.Duration {
+// timeUntil is how long by the world's time timeUntil the runner's clock reads ms.
+func (r *fakeRunner) timeUntil(ms int64) time.Duration {
 	return time.Duration(float64(ms-r.clock())/r.rate*float64(time.Millisecond)) + time.Millisecond
 }
 
-// see checks a token; false means that the order is refused.
-func (r *fakeRunner) see(token uint64) bool {
+// acceptToken checks a token; false means that the order is refused.
+func (r *fakeRunner) acceptToken(token uint64) bool {
 	if token < r.token {
 		return false
 	}
@@ -79,14 +79,14 @@
 
 const holdMax = 1000
 
-func (r *fakeRunner) grant(leaseEnd int64) {
+func (r *fakeRunner) extendLease(leaseEnd int64) {
 	leaseEnd = min(leaseEnd, r.clock()+holdMax)
 	if leaseEnd <= r.leaseEnd {
 		return
 	}
 	r.leaseEnd = leaseEnd
 	born := r.born
-	r.w.after(r.until(leaseEnd), func() {
+	r.w.after(r.timeUntil(leaseEnd), func() {
 		if r.clock() < r.leaseEnd || r.born != born {
 			return
 		}
@@ -100,11 +100,11 @@
 }
 
 func (r *fakeRunner) start(c schedule.Start) schedule.CallOutcome {
-	if !r.see(c.Token) {
+	if !r.acceptToken(c.Token) {
 		return schedule.Fenced
 	}
 	if r.runs[c.Run] != nil {
-		r.grant(c.LeaseEnd)
+		r.extendLease(c.LeaseEnd)
 		return schedule.Accepted
 	}
 	if c.Run.Number <= r.sealed[c.Run.Task] {
@@ -119,17 +119,17 @@
 	for _, u := range r.runs {
 		used = used.Plus(u.need)
 	}
-	r.grant(c.LeaseEnd)
+	r.extendLease(c.LeaseEnd)
 	if !need.Fits(r.info.Capacity.Minus(used)) {
 		return schedule.NoRoom
 	}
 	r.runs[c.Run] = &fakeRun{need: need}
 	r.started++
-	r.w.truth.started(r, c.Run)
+	r.w.checker.started(r, c.Run)
 	if r.hangs {
 		return schedule.Accepted
 	}
-	work := time.Duration(float64(j.duration) * r.pace)
+	work := time.Duration(float64(j.duration) * r.workFactor)
 	kind := workload.Done
 	if r.fails {
 		work, kind = 5*time.Millisecond, workload.Failed
@@ -144,7 +144,7 @@
 }
 
 func (r *fakeRunner) stop(c schedule.Stop) schedule.CallOutcome {
-	if !r.see(c.Token) {
+	if !r.acceptToken(c.Token) {
 		return schedule.Fenced
 	}
 	r.sealed[c.Run.Task] = max(r.sealed[c.Run.Task], c.Run.Number)
@@ -163,20 +163,20 @@
 	r.sealed[k.Task] = max(r.sealed[k.Task], k.Number)
 	r.lastEnd++
 	r.ends = append(r.ends, fakeEnd{End: workload.End{Sequence: r.lastEnd, Run: k, Kind: kind}, at: r.w.now})
-	r.w.truth.ended(r, k, kind)
-	for _, h := range r.waiting {
-		r.list(h)
+	r.w.checker.ended(r, k, kind)
+	for _, h := range r.waitingHolds {
+		r.answerHold(h)
 	}
-	r.waiting = nil
+	r.waitingHolds = nil
 }
 
 func (r *fakeRunner) hold(c schedule.Hold, answer func(schedule.HoldResult)) {
-	if !r.see(c.Token) {
+	if !r.acceptToken(c.Token) {
 		answer(schedule.HoldResult{Outcome: schedule.Fenced})
 		return
 	}
 	if c.LeaseEnd > 0 {
-		r.grant(c.LeaseEnd)
+		r.extendLease(c.LeaseEnd)
 	}
 	kept := r.ends[:0]
 	for _, e := range r.ends {
@@ -184,19 +184,19 @@
 			kept = append(kept, e)
 			continue
 		}
-		r.w.truth.acknowledged(e)
+		r.w.checker.acknowledged(e)
 	}
 	r.ends = kept
 	h := &waitingHold{hold: c, answer: answer}
 	if len(r.ends) > 0 || c.Wait == 0 {
-		r.list(h)
+		r.answerHold(h)
 		return
 	}
-	r.waiting = append(r.waiting, h)
-	r.w.after(c.Wait, func() { r.list(h) })
+	r.waitingHolds = append(r.waitingHolds, h)
+	r.w.after(c.Wait, func() { r.answerHold(h) })
 }
 
-func (r *fakeRunner) list(h *waitingHold) {
+func (r *fakeRunner) answerHold(h *waitingHold) {
 	if h.done || r.down {
 		return
 	}
@@ -213,20 +213,20 @@
 func (r *fakeRunner) restart() {
 	r.crash()
 	r.down = false
-	r.born = int64(firstBirth + r.w.now/time.Millisecond)
+	r.born = int64(worldStartMs + r.w.now/time.Millisecond)
 	r.offset = 1 - int64(float64(r.w.now.Milliseconds())*r.rate)
-	r.token, r.leaseEnd, r.lastEnd, r.ends, r.waiting = 0, 0, 0, nil, nil
+	r.token, r.leaseEnd, r.lastEnd, r.ends, r.waitingHolds = 0, 0, 0, nil, nil
 	r.runs, r.sealed = make(map[workload.RunKey]*fakeRun), make(map[workload.TaskName]int)
 }
 
-// firstBirth is the time of day at which the world begins, in milliseconds.
-const firstBirth = 1_760_000_000_000
+// worldStartMs is the time of day at which the world begins, in milliseconds.
+const worldStartMs = 1_760_000_000_000
 
 // crash ends the lifetime with all that runs.
 func (r *fakeRunner) crash() {
 	r.down = true
 	for _, k := range r.w.sortedRuns(r) {
-		r.w.truth.ended(r, k, workload.Aborted)
+		r.w.checker.ended(r, k, workload.Aborted)
 	}
 	clear(r.runs)
 }
--- a/core/fleet/runners.go
+++ b/core/fleet/runners.go
@@ -15,25 +15,25 @@
 	// staleAfter is the age of the list at which the leader asks the others for
 	// theirs: two failed reads.
 	staleAfter = 1500 * time.Millisecond
-	// droppedKeep is how long runners are remembered that have left the list:
+	// removedRetention is how long runners are remembered that have left the list:
 	// as long as runs may be alive on them that another scheduler has to know.
-	droppedKeep = 3 * time.Second
+	removedRetention = 3 * time.Second
 )
 
-// droppedRunner is a runner that has left the list.
-type droppedRunner struct {
+// removedRunner is a runner that has left the list.
+type removedRunner struct {
 	info workload.Runner
 	at   Time
 }
 
 // RunnersRead takes the list as this process has read it.
 func (n *Node) RunnersRead(now Time, list RunnerList) {
-	n.readAt = now
-	n.knowList()
-	list.Runners = n.ofCell(list.Runners)
-	n.takeRunners(now, n.keepLapsed(now, list), "store")
+	n.listReadAt = now
+	n.setListKnown()
+	list.Runners = n.runnersOfCell(list.Runners)
+	n.takeRunners(now, n.retainLapsed(now, list), "store")
 	for _, id := range n.peers() {
-		if n.askedFor[id] {
+		if n.staleLeaders[id] {
 			n.emit(Send{To: id, Message: n.runners})
 		}
 	}
@@ -46,12 +46,12 @@
 // something else: the rows change with each sign of life of a runner, and if all
 // leaders read them, that would be most of what they take from the store.
 
-// reads reports whether this process is that one: it leads the cell's first shard.
-func (n *Node) reads() bool { return len(n.own) > 0 && n.own[0].leading() }
+// readsForCell reports whether this process is that one: it leads the cell's first shard.
+func (n *Node) readsForCell() bool { return len(n.own) > 0 && n.own[0].leading() }
 
 // ShouldPollRunners reports whether the list should be read often here: for the cell, or for
 // a process that should and can't.
-func (n *Node) ShouldPollRunners() bool { return n.reads() || len(n.askedFor) > 0 }
+func (n *Node) ShouldPollRunners() bool { return n.readsForCell() || len(n.staleLeaders) > 0 }
 
 // ReceivesRunnerList reports whether this process needn't read the list, since the one that
 // reads it for the cell is in reach. Before anybody can lead the VMs with seats read.
@@ -61,26 +61,26 @@
 	}
 	c := n.own[0].choice
 	several := len(n.own) > 1 || !n.seated
-	return several && c.Reachable && c.Leader != n.Self() && len(n.askedFor) == 0
+	return several && c.Reachable && c.Leader != n.Self() && len(n.staleLeaders) == 0
 }
 
 func (n *Node) askForRunners() { n.emit(ReadRunners{}) }
 
 // checkRunners notes whether the list can't be read at present.
 func (n *Node) checkRunners(now Time) {
-	n.stale = n.reads() && now-n.readAt > staleAfter
+	n.listStale = n.readsForCell() && now-n.listReadAt > staleAfter
 }
 
-func (n *Node) knowList() {
+func (n *Node) setListKnown() {
 	if !n.listKnown {
 		n.listKnown = true
-		n.setAble()
+		n.updateAble()
 	}
 }
 
-// ofCell picks the runners of the own cell. Those of others are none of this
+// runnersOfCell picks the runners of the own cell. Those of others are none of this
 // process's business; before the layout is known all may be.
-func (n *Node) ofCell(list []workload.Runner) []workload.Runner {
+func (n *Node) runnersOfCell(list []workload.Runner) []workload.Runner {
 	if !n.layout.Divided() {
 		return list
 	}
@@ -92,14 +92,14 @@
 	if list.Revision <= n.runners.Revision {
 		return
 	}
-	n.knowList()
+	n.setListKnown()
 	digest := digestOf(list.Runners)
 	changed := digest != n.digest
 	if changed {
 		n.notice("runners-listed", Field{"runners", len(list.Runners)}, Field{"lapsed", len(n.lapsedSince)}, Field{"before", len(n.runners.Runners)},
 			Field{"revision", list.Revision}, Field{"source", source})
 	}
-	n.keepDropped(now, list)
+	n.recordRemoved(now, list)
 	n.runners = list
 	n.digest = digest
 	n.setRunners(now)
@@ -127,10 +127,10 @@
 
 // sendRunners tells a process the list, unless it has just been told the same.
 func (n *Node) sendRunners(id leader.ID) {
-	if n.listSent[id] == n.digest {
+	if n.sentDigest[id] == n.digest {
 		return
 	}
-	n.listSent[id] = n.digest
+	n.sentDigest[id] = n.digest
 	n.emit(Send{To: id, Message: n.runners})
 }
 
@@ -145,49 +145,49 @@
 	return h.Sum64()
 }
 
-func (n *Node) keepDropped(now Time, list RunnerList) {
+func (n *Node) recordRemoved(now Time, list RunnerList) {
 	listed := make(map[workload.RunnerID]bool, len(list.Runners))
 	for _, r := range list.Runners {
 		listed[r.ID] = true
 	}
-	n.dropped = slices.DeleteFunc(n.dropped, func(d droppedRunner) bool {
-		return now-d.at >= droppedKeep || listed[d.info.ID]
+	n.removedRunners = slices.DeleteFunc(n.removedRunners, func(d removedRunner) bool {
+		return now-d.at >= removedRetention || listed[d.info.ID]
 	})
 	for _, r := range n.runners.Runners {
 		if !listed[r.ID] {
-			n.dropped = append(n.dropped, droppedRunner{info: r, at: now})
+			n.removedRunners = append(n.removedRunners, removedRunner{info: r, at: now})
 		}
 	}
 }
 
-// handOver tells the next scheduler of a shard where the one before may have
+// reportPossibleRuns tells the next scheduler of a shard where the one before may have
 // started the jobs that this process is about to hand in again.
-func (n *Node) handOver(now Time, s *shard) {
+func (n *Node) reportPossibleRuns(now Time, s *shard) {
 	if s.choice.Leader == n.Self() {
-		s.schedule.Suspect(now, n.lately(s))
+		s.schedule.Suspect(now, n.recentRunners(s))
 		return
 	}
-	n.tellRunners(s)
+	n.sendPossibleRunners(s)
 }
 
-// tellRunners tells a shard's leader on which runners something may run.
-func (n *Node) tellRunners(s *shard) {
-	n.emit(Send{To: s.choice.Leader, Message: RunnerList{Revision: n.runners.Revision, Runners: n.lately(s), Handover: true}})
+// sendPossibleRunners tells a shard's leader on which runners something may run.
+func (n *Node) sendPossibleRunners(s *shard) {
+	n.emit(Send{To: s.choice.Leader, Message: RunnerList{Revision: n.runners.Revision, Runners: n.recentRunners(s), Handover: true}})
 }
 
-// lately lists a shard's runners, and those that have left the list of late.
-func (n *Node) lately(s *shard) []workload.Runner {
+// recentRunners lists a shard's runners, and those that have left the list of late.
+func (n *Node) recentRunners(s *shard) []workload.Runner {
 	all := slices.Clone(n.runners.Runners)
-	for _, d := range n.dropped {
+	for _, d := range n.removedRunners {
 		all = append(all, d.info)
 	}
-	return n.runnersOf(s, all)
+	return n.runnersOfShard(s, all)
 }
 
-// suspect passes runners that are handed over to their schedulers.
-func (n *Node) suspect(now Time, list []workload.Runner) {
+// suspectRunners passes runners that are handed over to their schedulers.
+func (n *Node) suspectRunners(now Time, list []workload.Runner) {
 	for _, s := range n.own {
-		if own := n.runnersOf(s, list); len(own) > 0 {
+		if own := n.runnersOfShard(s, list); len(own) > 0 {
 			s.schedule.Suspect(now, own)
 		}
 	}
--- a/core/fleet/shards.go
+++ b/core/fleet/shards.go
@@ -17,8 +17,8 @@
 	schedule *schedule.Scheduler
 	// ledger keeps the shard's stored jobs.
 	ledger *ledger.Ledger
-	// questions wait until the store has a job's end.
-	questions map[workload.JobID][]question
+	// pendingQueries wait until the store has a job's end.
+	pendingQueries map[workload.JobID][]pendingQuery
 }
 
 // ApplyLayout sets how the runners are divided, once: it is kept in the platform's
@@ -33,25 +33,25 @@
 		s := &shard{index: i}
 		n.shards = append(n.shards, s)
 		if cell == n.cell {
-			n.open(s)
+			n.openShard(s)
 		}
 	}
 	n.view.SetLayout(now, l, n.cell)
 	n.gateway.SetOthers(n.otherShards())
 	n.membersChanged(now)
 	n.notice("layout-known", Field{"shards", len(l)}, Field{"cell", n.cell}, Field{"own", len(n.own)})
-	n.reachedAt = now
+	n.leadersReachedAt = now
 	n.setRunners(now)
 	n.admitEarly(now)
-	n.heartbeatAll(now)
+	n.sendHeartbeats(now)
 }
 
-// open makes a shard one that this process may lead.
-func (n *Node) open(s *shard) {
+// openShard makes a shard one that this process may lead.
+func (n *Node) openShard(s *shard) {
 	s.schedule, s.ledger = schedule.New(n.cfg), ledger.New()
-	s.questions = make(map[workload.JobID][]question)
+	s.pendingQueries = make(map[workload.JobID][]pendingQuery)
 	s.schedule.SetNumber(n.number)
-	s.schedule.SetNoStored(n.stored == NoStoredJobs)
+	s.schedule.SetNoStored(n.storedJobs == NoStoredJobs)
 	s.schedule.SetEvacuated(0, n.evacuations.Domains)
 	n.own = append(n.own, s)
 }
@@ -72,18 +72,18 @@
 // LayoutKnown reports whether the number of shards is known.
 func (n *Node) LayoutKnown() bool { return len(n.shards) > 0 }
 
-// setAble says whether this process could schedule: it knows the shards, the
+// updateAble says whether this process could schedule: it knows the shards, the
 // configuration, which failure domains are evacuated, and a list of runners. One that
 // has just started beside a slow store may have to be told the list by another process;
 // without it, it would refuse all jobs. A VM without a seat leaves scheduling to those
 // that have one, until none of them has been in reach for a while.
-func (n *Node) setAble() {
+func (n *Node) updateAble() {
 	able := n.LayoutKnown() && n.table.Current() != nil && n.evacuations.Version > 0 && n.listKnown
 	n.view.SetAble(able, !n.seated && !n.Leads())
 }
 
-// ofJob is the shard of a job that comes from a caller here.
-func (n *Node) ofJob(job *workload.Job) int {
+// shardOfJob is the shard of a job that comes from a caller here.
+func (n *Node) shardOfJob(job *workload.Job) int {
 	if job.Stored {
 		return n.layout.OfStoredJob(job.ID)
 	}
@@ -99,8 +99,8 @@
 	return n.shards[index]
 }
 
-// runnersOf lists the runners of a shard.
-func (n *Node) runnersOf(s *shard, list []workload.Runner) []workload.Runner {
+// runnersOfShard lists the runners of a shard.
+func (n *Node) runnersOfShard(s *shard, list []workload.Runner) []workload.Runner {
 	var own []workload.Runner
 	for _, r := range list {
 		if n.layout.OfRunner(r.ID, r.Domain) == s.index {
@@ -113,7 +113,7 @@
 func (n *Node) setRunners(now Time) {
 	for _, s := range n.own {
 		s.schedule.SeeVersion(n.runners.Revision)
-		s.schedule.SetRunners(now, n.runnersOf(s, n.runners.Runners))
+		s.schedule.SetRunners(now, n.runnersOfShard(s, n.runners.Runners))
 	}
 }
 
@@ -136,27 +136,27 @@
 	return term
 }
 
-// follow acts on changes of the processes that lead. All others are told at once
+// updateLeaders acts on changes of the processes that lead. All others are told at once
 // only what this process leads: whom it follows they learn from its next heartbeat.
 // If each change were told, each would bring the next, since a leader hears from
-// all that follow it.
-func (n *Node) follow(now Time) {
+// all that updateLeaders it.
+func (n *Node) updateLeaders(now Time) {
 	changed := false
 	for _, s := range n.shards {
 		led := s.choice.Leader == n.Self()
-		if n.followShard(now, s) && (led || s.choice.Leader == n.Self()) {
+		if n.updateLeader(now, s) && (led || s.choice.Leader == n.Self()) {
 			changed = true
 		}
 	}
 	if changed {
-		n.setAble()
-		n.heartbeatAll(now)
+		n.updateAble()
+		n.sendHeartbeats(now)
 	}
 }
 
-// followShard acts on a change of a shard's leader, and reports whether there was
+// updateLeader acts on a change of a shard's leader, and reports whether there was
 // one.
-func (n *Node) followShard(now Time, s *shard) bool {
+func (n *Node) updateLeader(now Time, s *shard) bool {
 	c := n.view.Choose(now, s.index, s.leading())
 	if s.schedule != nil {
 		s.schedule.SetContested(n.view.Yields(s.index))
@@ -181,17 +181,17 @@
 	c := s.choice
 	if c.Reachable && c.Leader == n.Self() {
 		n.askForRunners()
-		if n.linked[before] {
+		if n.connected[before] {
 			s.schedule.Await(now, schedule.EntryID(before))
 		}
-		n.ledAt = now
+		n.becameLeaderAt = now
 		s.schedule.Lead(now)
-		n.ownRows(now, s)
+		n.acquireRows(now, s)
 	} else {
 		n.retire(now, s)
 	}
 	if c.Reachable && n.gateway.InHand() > 0 {
-		n.handOver(now, s)
+		n.reportPossibleRuns(now, s)
 	}
 }
 
@@ -201,7 +201,7 @@
 // retire gives up a shard, and tells the next leader what has been done.
 func (n *Node) retire(now Time, s *shard) {
 	if s.schedule.Leading() && s.choice.Reachable {
-		n.tellRunners(s)
+		n.sendPossibleRunners(s)
 		n.emit(Send{To: s.choice.Leader, Message: Progress{Shard: s.index, Progress: s.schedule.Progress(now)}})
 	}
 	s.retire(now)
@@ -211,7 +211,7 @@
 func (s *shard) retire(now Time) {
 	s.schedule.Retire(now)
 	s.ledger.Retire()
-	clear(s.questions)
+	clear(s.pendingQueries)
 }
 
 func (n *Node) choices() []leader.Choice {
--- a/core/fleet/start_test.go
+++ b/core/fleet/start_test.go
@@ -83,8 +83,8 @@
 			fresh = w.nodes[0]
 		}
 		w.kill(fresh, 300*time.Millisecond)
-		w.strangers[fresh.name] = w.now + 1300*time.Millisecond
-		for w.now < w.strangers[fresh.name] {
+		w.unknownUntil[fresh.name] = w.now + 1300*time.Millisecond
+		for w.now < w.unknownUntil[fresh.name] {
 			w.run(10 * time.Millisecond)
 			g.Expect(fresh.node != nil && fresh.node.Leads()).To(BeFalse(), name)
 		}
@@ -101,14 +101,14 @@
 	w.run(2 * time.Second)
 	fresh := w.nodes[5]
 	w.kill(fresh, 300*time.Millisecond)
-	w.strangers[fresh.name] = w.now + time.Minute
+	w.unknownUntil[fresh.name] = w.now + time.Minute
 	w.run(4 * time.Second)
 	g.Expect(fresh.node.Leads()).To(BeTrue())
 }
 
 // Guards against a process that leads before it knows which failure domains are evacuated:
 // it would start tasks there.
-func TestNobodyLeadsWithoutTheOperatorsWordOnDomains(t *testing.T) {
+func TestNobodyLeadsBeforeTheEvacuationsAreKnown(t *testing.T) {
 	g := NewWithT(t)
 	n := fleet.New(schedule.DefaultConfig(), grace, 400, 0)
 	n.Registered(0, "a#1", 1)
--- a/core/fleet/store_test.go
+++ b/core/fleet/store_test.go
@@ -24,8 +24,8 @@
 	// lostShare of the writes are done, at once or seconds later, and not
 	// answered.
 	lostShare float64
-	// slow times the usual delay.
-	slow int
+	// delayFactor times the usual delay.
+	delayFactor int
 }
 
 type fakeRows struct {
@@ -37,7 +37,7 @@
 	records       map[workload.JobID]ledger.Record
 }
 
-func newFakeStore() *fakeStore { return &fakeStore{shards: make(map[int]*fakeRows), slow: 1} }
+func newFakeStore() *fakeStore { return &fakeStore{shards: make(map[int]*fakeRows), delayFactor: 1} }
 
 func (s *fakeStore) rows(shard int) *fakeRows {
 	if s.shards[shard] == nil {
@@ -75,12 +75,12 @@
 
 // storeCall carries a ledger's call to the store and its result back.
 func (w *world) storeCall(n *fakeNode, c fleet.StoreCall) {
-	rows, sent, life := w.store.rows(c.Shard), w.now, n.life
-	travel := storeDelay / 2 * time.Duration(w.store.slow)
+	rows, sent, incarnation := w.store.rows(c.Shard), w.now, n.incarnation
+	travel := storeDelay / 2 * time.Duration(w.store.delayFactor)
 	answer := func(r ledger.Result) func() {
-		return func() { w.storeAnswer(n, life, travel, c.Shard, r) }
+		return func() { w.storeAnswer(n, incarnation, travel, c.Shard, r) }
 	}
-	late := func(failed ledger.Result) { w.storeAnswer(n, life, storeTimeout-travel, c.Shard, failed) }
+	late := func(failed ledger.Result) { w.storeAnswer(n, incarnation, storeTimeout-travel, c.Shard, failed) }
 	switch call := c.Call.(type) {
 	case ledger.Claim:
 		before, id := rows.ownership, n.id
@@ -123,8 +123,8 @@
 // storeDo has a call done. A store that can't be reached turns it away or stays
 // silent; one that loses answers may do it seconds later.
 func (w *world) storeDo(n *fakeNode, travel time.Duration, do func() ledger.Outcome, answered func(ledger.Outcome), silent func()) {
-	life := n.life
-	if !w.storeReached(n) {
+	incarnation := n.incarnation
+	if !w.storeReachable(n) {
 		if w.rng.IntN(2) == 0 {
 			w.after(travel, func() { answered(ledger.Turned) })
 			return
@@ -133,21 +133,21 @@
 		return
 	}
 	if w.rng.Float64() < w.store.lostShare {
-		w.after(travel+time.Duration(w.rng.IntN(2))*w.span(100, 6000), func() { do() })
+		w.after(travel+time.Duration(w.rng.IntN(2))*w.randomDuration(100, 6000), func() { do() })
 		w.after(travel, silent)
 		return
 	}
 	w.after(travel, func() {
 		o := do()
-		if n.life == life {
+		if n.incarnation == incarnation {
 			answered(o)
 		}
 	})
 }
 
-func (w *world) storeAnswer(n *fakeNode, life int, travel time.Duration, shard int, r ledger.Result) {
+func (w *world) storeAnswer(n *fakeNode, incarnation int, travel time.Duration, shard int, r ledger.Result) {
 	w.after(travel, func() {
-		if n.life == life {
+		if n.incarnation == incarnation {
 			w.do(n, func() { n.node.StoreAnswered(w.now, shard, r) })
 		}
 	})
@@ -172,8 +172,8 @@
 			j.cancelSent = w.now
 		}
 		n.lastID++
-		q := &askedJob{job: j, cancel: cancel}
-		n.questions[n.lastID] = q
+		q := &jobQuery{job: j, cancel: cancel}
+		n.queries[n.lastID] = q
 		request := n.lastID
 		w.do(n, func() { n.node.Query(w.now, request, j.work.ID, cancel) })
 		w.after(time.Second, func() {
@@ -185,21 +185,21 @@
 	})
 }
 
-// askedJob is a question that a caller has asked.
-type askedJob struct {
+// jobQuery is a question that a caller has asked.
+type jobQuery struct {
 	job      *fakeJob
 	cancel   bool
 	answered bool
-	// beside: its answer changes nothing of what the caller does.
-	beside bool
+	// passive: its answer changes nothing of what the caller does.
+	passive bool
 }
 
-// askTimes are when all processes are asked for a job, after it was accepted.
-var askTimes = []time.Duration{0, time.Millisecond, 20 * time.Millisecond, 150 * time.Millisecond, 440 * time.Millisecond, 1200 * time.Millisecond, 5 * time.Second}
+// queryTimes are when all processes are asked for a job, after it was accepted.
+var queryTimes = []time.Duration{0, time.Millisecond, 20 * time.Millisecond, 150 * time.Millisecond, 440 * time.Millisecond, 1200 * time.Millisecond, 5 * time.Second}
 
-// askEverywhere asks all processes for a job, also those that are frozen or cut off.
-func (w *world) askEverywhere(j *fakeJob) {
-	for _, d := range askTimes {
+// queryAllNodes asks all processes for a job, also those that are frozen or cut off.
+func (w *world) queryAllNodes(j *fakeJob) {
+	for _, d := range queryTimes {
 		w.after(d, func() {
 			for _, n := range w.nodes {
 				if n.node == nil || n.id == "" {
@@ -207,24 +207,24 @@
 				}
 				n.lastID++
 				request := n.lastID
-				n.questions[request] = &askedJob{job: j, beside: true}
+				n.queries[request] = &jobQuery{job: j, passive: true}
 				w.do(n, func() { n.node.Query(w.now, request, j.work.ID, false) })
 			}
 		})
 	}
 }
 
-func (w *world) stateAnswered(n *fakeNode, a fleet.StateAnswer) {
-	q := n.questions[a.Request]
-	delete(n.questions, a.Request)
+func (w *world) receiveState(n *fakeNode, a fleet.StateAnswer) {
+	q := n.queries[a.Request]
+	delete(n.queries, a.Request)
 	if q == nil || q.answered {
 		return
 	}
 	q.answered = true
-	if q.beside {
-		w.truth.known(q.job, n, a)
+	if q.passive {
+		w.checker.checkKnown(q.job, n, a)
 		return
 	}
-	w.truth.shown(q.job, q.cancel, a)
+	w.checker.checkShownState(q.job, q.cancel, a)
 	w.poll(q.job)
 }
--- a/core/fleet/storedjobs.go
+++ b/core/fleet/storedjobs.go
@@ -27,38 +27,38 @@
 // StoredJobsRead tells whether the store has any stored jobs, as it was read.
 func (n *Node) StoredJobsRead(now Time, any bool) {
 	if any {
-		n.learnStored(now, HasStoredJobs)
+		n.learnStoredJobs(now, HasStoredJobs)
 		return
 	}
-	n.learnStored(now, NoStoredJobs)
+	n.learnStoredJobs(now, NoStoredJobs)
 }
 
-// learnStored takes another process's knowledge, or what has been read.
-func (n *Node) learnStored(now Time, known StoredJobs) {
-	if known <= n.stored {
+// learnStoredJobs takes another process's knowledge, or what has been read.
+func (n *Node) learnStoredJobs(now Time, known StoredJobs) {
+	if known <= n.storedJobs {
 		return
 	}
-	n.stored = known
+	n.storedJobs = known
 	n.membersChanged(now)
 	for _, s := range n.own {
 		s.schedule.SetNoStored(known == NoStoredJobs)
-		n.ownRows(now, s)
+		n.acquireRows(now, s)
 	}
 }
 
-// ownRows takes the rows of a shard that this process leads, if it may have some.
-func (n *Node) ownRows(now Time, s *shard) {
-	if s.schedule.Leading() && n.stored != NoStoredJobs {
+// acquireRows takes the rows of a shard that this process leads, if it may have some.
+func (n *Node) acquireRows(now Time, s *shard) {
+	if s.schedule.Leading() && n.storedJobs != NoStoredJobs {
 		s.ledger.Lead(now)
 	}
 }
 
-// seeStored notes a stored job. All others are told before it is accepted, which
+// noteStoredJob notes a stored job. All others are told before it is accepted, which
 // takes a call to the store.
-func (n *Node) seeStored(now Time) {
-	if n.stored == HasStoredJobs {
+func (n *Node) noteStoredJob(now Time) {
+	if n.storedJobs == HasStoredJobs {
 		return
 	}
-	n.learnStored(now, HasStoredJobs)
-	n.heartbeatAll(now)
+	n.learnStoredJobs(now, HasStoredJobs)
+	n.sendHeartbeats(now)
 }
--- a/core/fleet/storewatch.go
+++ b/core/fleet/storewatch.go
@@ -48,7 +48,7 @@
 	trouble := n.storeTrouble(now)
 	asked := trouble
 	helper := false
-	for id := range n.linked {
+	for id := range n.connected {
 		r := n.view.Report(id)
 		if r.Cell != n.cell {
 			continue
--- a/core/fleet/doubt.go
+++ b/core/fleet/uncertainty.go
@@ -18,28 +18,28 @@
 //	callers send a job again           1,300 ms after their connection broke
 
 const (
-	// doubtTime is how long after a VM was missed copies of its jobs may come.
-	doubtTime = 4 * time.Second
-	// relayLoss is taken off what was heard. Else two processes would keep each
+	// uncertaintyPeriod is how long after a VM was missed copies of its jobs may come.
+	uncertaintyPeriod = 4 * time.Second
+	// relayedUncertaintyDecay is taken off what was heard. Else two processes would keep each
 	// other in doubt, as each word is a little older than it says.
-	relayLoss = 100 * time.Millisecond
+	relayedUncertaintyDecay = 100 * time.Millisecond
 )
 
-// doubts reports whether copies of jobs may come of which something has run in another
+// updateUncertainty reports whether copies of jobs may come of which something has run in another
 // cell, and notes the reasons that this process sees itself.
-func (n *Node) doubts(now Time, misses bool) bool {
+func (n *Node) updateUncertainty(now Time, missing bool) bool {
 	if !n.layout.Divided() {
 		return false
 	}
-	maps.DeleteFunc(n.lost, func(_ string, since Time) bool { return now-since >= schedule.MissingMost })
+	maps.DeleteFunc(n.lostVMs, func(_ string, since Time) bool { return now-since >= schedule.MissingMost })
 	// A VM without a seat isn't connected with all of its cell, and misses some always.
-	if misses && n.seated || len(n.lost) > 0 {
-		n.doubtUntil = now + doubtTime
+	if missing && n.seated || len(n.lostVMs) > 0 {
+		n.uncertainUntil = now + uncertaintyPeriod
 	}
-	return now < n.doubtUntil
+	return now < n.uncertainUntil
 }
 
-// hearDoubt takes the doubt of another process.
-func (n *Node) hearDoubt(now Time, remaining time.Duration) {
-	n.doubtUntil = max(n.doubtUntil, now+remaining-relayLoss)
+// extendUncertainty takes the doubt of another process.
+func (n *Node) extendUncertainty(now Time, remaining time.Duration) {
+	n.uncertainUntil = max(n.uncertainUntil, now+remaining-relayedUncertaintyDecay)
 }
--- a/core/fleet/doubt_test.go
+++ b/core/fleet/uncertainty_test.go
@@ -12,7 +12,7 @@
 // An entry VM dies. Its callers send their jobs again after 1.3 s, and some come to a
 // cell whose processes have no connection with that VM. By then each scheduler of the
 // fleet knows that something may have run of what comes, and tells nobody "not run".
-func TestAllCellsDoubtAfterALoss(t *testing.T) {
+func TestAllCellsAreUncertainAfterAVMLoss(t *testing.T) {
 	g := NewWithT(t)
 	w := largeFleet(5, 8)
 	w.run(8 * time.Second)
@@ -36,7 +36,7 @@
 	}
 	g.Expect(refusal(w.nodes[20])).To(Equal(workload.NotRun), "all is well")
 	w.kill(dead, 20*time.Second)
-	w.run(resend)
+	w.run(resendInterval)
 	for _, n := range w.nodes {
 		if n != dead {
 			g.Expect(refusal(n)).To(Equal(workload.GaveUp), n.name)
--- a/core/fleet/world_test.go
+++ b/core/fleet/world_test.go
@@ -18,11 +18,11 @@
 const (
 	service = "labels"
 	queue   = "spot"
-	// delay is the time that a message takes between processes or to a runner.
-	delay = time.Millisecond
-	// resend is when a caller without an answer sends its job again.
-	resend = 1300 * time.Millisecond
-	grace  = 6 * time.Second
+	// messageDelay is the time that a message takes between processes or to a runner.
+	messageDelay = time.Millisecond
+	// resendInterval is when a caller without an answer sends its job again.
+	resendInterval = 1300 * time.Millisecond
+	grace          = 6 * time.Second
 )
 
 // world is a deployment in virtual time: entry processes, runners and callers
@@ -38,42 +38,42 @@
 	// byRunner are the runners by their ids.
 	byRunner map[workload.RunnerID]*fakeRunner
 	jobs     map[workload.JobID]*fakeJob
-	truth    *truth
+	checker  *checker
 	store    *fakeStore
 	// storedShare of the jobs are stored ones.
 	storedShare float64
-	// cut are failure domains that reach nothing outside.
-	cut       map[string]bool
+	// isolated are failure domains that reach nothing outside.
+	isolated  map[string]bool
 	storeDown bool
 	// evacuations are what the operator has written, oldest first.
 	evacuations operatorRows
-	// storeAway are VMs that can't reach the store, and parted are pairs of VMs
+	// storeUnreachable are VMs that can't reach the store, and parted are pairs of VMs
 	// that can't reach each other.
-	storeAway map[string]bool
-	parted    map[[2]string]bool
-	shards    int
+	storeUnreachable map[string]bool
+	partitioned      map[[2]string]bool
+	shards           int
 	// cells: the layout follows from the runners, and processes connect as they ask
 	// to. Otherwise runners are pooled, and each process connects with each.
-	cells   bool
-	divided layout.Layout
+	cells      bool
+	cellLayout layout.Layout
 	// layoutAt is when the layout becomes known.
 	layoutAt time.Duration
-	// strangers are VMs whose new process the others don't know before the time given:
+	// unknownUntil are VMs whose new process the others don't know before the time given:
 	// they refuse its connections.
-	strangers map[string]time.Duration
-	// linkDelay is how long after they can reach each other two processes connect.
-	linkDelay time.Duration
-	joinedAt  map[[2]string]time.Duration
-	// lag is how much longer what a VM sends to others takes.
-	lag map[string]time.Duration
-	// askAll: all processes are asked for each job that is accepted.
-	askAll bool
+	unknownUntil map[string]time.Duration
+	// connectDelay is how long after they can reach each other two processes connect.
+	connectDelay  time.Duration
+	connectableAt map[[2]string]time.Duration
+	// sendDelay is how much longer what a VM sends to others takes.
+	sendDelay map[string]time.Duration
+	// queryAll: all processes are asked for each job that is accepted.
+	queryAll bool
 	// onSend sees each message as it is sent, if set.
 	onSend func(*fakeNode, fleet.Send)
-	// awake is when the last frozen process wakes.
-	awake   time.Duration
-	numbers uint64
-	byName  map[leader.ID]*fakeNode
+	// lastWakeAt is when the last frozen process wakes.
+	lastWakeAt time.Duration
+	numbers    uint64
+	byName     map[leader.ID]*fakeNode
 	// members are the latest processes of all VMs that have ever registered.
 	members  []topology.Member
 	revision uint64
@@ -107,29 +107,29 @@
 
 // fakeNode is an entry VM; node is nil while its process is down.
 type fakeNode struct {
-	name     string
-	domain   string
-	milliCPU int
-	node     *fleet.Node
-	id       leader.ID
-	life     int
+	name        string
+	domain      string
+	milliCPU    int
+	node        *fleet.Node
+	id          leader.ID
+	incarnation int
 	// removed VMs never come back.
-	removed bool
-	frozen  time.Duration
-	links   map[leader.ID]bool
+	removed     bool
+	frozen      time.Duration
+	connections map[leader.ID]bool
 	// redialAt is when a process that has refused a connection is tried again.
 	redialAt map[leader.ID]time.Duration
 	// wanted are the connections that the process asks for.
 	wanted []topology.Link
-	// met is the number of members that the process was last told of.
-	met uint64
+	// membersSeen is the number of members that the process was last told of.
+	membersSeen uint64
 	// What the process has cost since it was last looked at.
-	sent, connected, led int
-	pending              []func()
+	messagesSent, connectionsMade, timesLed int
+	queuedEvents                            []func()
 	// requests are the jobs that wait for an answer here.
-	requests  map[uint64]*fakeJob
-	questions map[uint64]*askedJob
-	lastID    uint64
+	requests map[uint64]*fakeJob
+	queries  map[uint64]*jobQuery
+	lastID   uint64
 }
 
 type fakeJob struct {
@@ -154,19 +154,19 @@
 
 func newWorld(seed uint64) *world {
 	w := &world{
-		rng:       rand.New(rand.NewPCG(seed, 1)),
-		jobs:      make(map[workload.JobID]*fakeJob),
-		cut:       make(map[string]bool),
-		storeAway: make(map[string]bool),
-		parted:    make(map[[2]string]bool),
-		lag:       make(map[string]time.Duration),
-		joinedAt:  make(map[[2]string]time.Duration),
-		strangers: make(map[string]time.Duration),
-		listed:    make(map[workload.RunnerID]bool),
-		byName:    make(map[leader.ID]*fakeNode),
-		byRunner:  make(map[workload.RunnerID]*fakeRunner),
+		rng:              rand.New(rand.NewPCG(seed, 1)),
+		jobs:             make(map[workload.JobID]*fakeJob),
+		isolated:         make(map[string]bool),
+		storeUnreachable: make(map[string]bool),
+		partitioned:      make(map[[2]string]bool),
+		sendDelay:        make(map[string]time.Duration),
+		connectableAt:    make(map[[2]string]time.Duration),
+		unknownUntil:     make(map[string]time.Duration),
+		listed:           make(map[workload.RunnerID]bool),
+		byName:           make(map[leader.ID]*fakeNode),
+		byRunner:         make(map[workload.RunnerID]*fakeRunner),
 	}
-	w.truth = newTruth(w)
+	w.checker = newChecker(w)
 	w.store = newFakeStore()
 	return w
 }
@@ -184,7 +184,7 @@
 	w.cells = true
 	for _, d := range []string{"a", "b", "c"} {
 		for range shards {
-			w.divided = append(w.divided, d)
+			w.cellLayout = append(w.cellLayout, d)
 		}
 	}
 	return w.build()
@@ -211,10 +211,10 @@
 	if !w.cells {
 		return layout.Pooled(w.shards)
 	}
-	if w.divided == nil {
-		w.divided = layout.For(w.list().Runners, layout.VM{})
+	if w.cellLayout == nil {
+		w.cellLayout = layout.For(w.list().Runners, layout.VM{})
 	}
-	return w.divided
+	return w.cellLayout
 }
 
 func (w *world) addRunner(id, domain string) *fakeRunner {
@@ -224,12 +224,12 @@
 			ID: workload.RunnerID(id), Service: service, Address: id, Domain: domain,
 			Capacity: workload.Resources{MilliCPU: 64000, MemoryMB: 1000},
 		},
-		rate:   0.98 + w.rng.Float64()*0.04,
-		offset: int64(w.rng.IntN(1 << 20)),
-		pace:   1,
-		born:   firstBirth,
-		runs:   make(map[workload.RunKey]*fakeRun),
-		sealed: make(map[workload.TaskName]int),
+		rate:       0.98 + w.rng.Float64()*0.04,
+		offset:     int64(w.rng.IntN(1 << 20)),
+		workFactor: 1,
+		born:       worldStartMs,
+		runs:       make(map[workload.RunKey]*fakeRun),
+		sealed:     make(map[workload.TaskName]int),
 	}
 	w.runners = append(w.runners, r)
 	w.byRunner[r.info.ID] = r
@@ -263,25 +263,25 @@
 	return list
 }
 
-// reach reports whether two domains can talk.
-func (w *world) reach(a, b string) bool { return a == b || !w.cut[a] && !w.cut[b] }
+// domainsConnected reports whether two domains can talk.
+func (w *world) domainsConnected(a, b string) bool { return a == b || !w.isolated[a] && !w.isolated[b] }
 
-func (w *world) storeReached(n *fakeNode) bool {
-	return !w.storeDown && !w.cut[n.domain] && !w.storeAway[n.name]
+func (w *world) storeReachable(n *fakeNode) bool {
+	return !w.storeDown && !w.isolated[n.domain] && !w.storeUnreachable[n.name]
 }
 
-// joined reports whether two VMs can talk.
-func (w *world) joined(a, b *fakeNode) bool {
-	return w.reach(a.domain, b.domain) && !w.parted[[2]string{a.name, b.name}] && !w.parted[[2]string{b.name, a.name}]
+// canConnect reports whether two VMs can talk.
+func (w *world) canConnect(a, b *fakeNode) bool {
+	return w.domainsConnected(a.domain, b.domain) && !w.partitioned[[2]string{a.name, b.name}] && !w.partitioned[[2]string{b.name, a.name}]
 }
 
 // call carries an order to a runner and its answer back; lost says that the
 // caller hears nothing.
 func (w *world) call(n *fakeNode, id workload.RunnerID, timeout time.Duration, order func(*fakeRunner, func(schedule.CallOutcome, *schedule.HoldResult)), done func(schedule.CallOutcome, schedule.Reading, *schedule.HoldResult)) {
-	sent, life := w.now, n.life
+	sent, incarnation := w.now, n.incarnation
 	var finished bool
 	finish := func(o schedule.CallOutcome, clock, born int64, h *schedule.HoldResult) {
-		if finished || n.life != life {
+		if finished || n.incarnation != incarnation {
 			return
 		}
 		finished = true
@@ -294,23 +294,23 @@
 		return
 	}
 	late := w.rng.Float64() < r.lateShare
-	travel := delay
+	travel := messageDelay
 	if late {
 		travel = 2*time.Second + time.Duration(w.rng.IntN(10000))*time.Millisecond
 	}
 	// What is on its way to a lifetime is lost with its connections.
 	sentTo := r.born
 	w.after(travel, func() {
-		if r.down || r.born != sentTo || !w.reach(n.domain, r.info.Domain) {
+		if r.down || r.born != sentTo || !w.domainsConnected(n.domain, r.info.Domain) {
 			return
 		}
 		order(r, func(o schedule.CallOutcome, h *schedule.HoldResult) {
 			clock, born := r.clock(), r.born
-			if late || w.rng.Float64() < r.muteShare {
+			if late || w.rng.Float64() < r.unansweredShare {
 				return
 			}
-			w.after(delay, func() {
-				if w.reach(n.domain, r.info.Domain) {
+			w.after(messageDelay, func() {
+				if w.domainsConnected(n.domain, r.info.Domain) {
 					finish(o, clock, born, h)
 				}
 			})
@@ -358,24 +358,24 @@
 		return
 	}
 	if a.Outcome == workload.GaveUp {
-		w.again(j)
+		w.resubmit(j)
 		return
 	}
 	if a.Outcome == workload.Accepted {
 		j.answered, j.accepted = true, w.now
-		if w.askAll {
-			w.askEverywhere(j)
+		if w.queryAll {
+			w.queryAllNodes(j)
 		}
 		w.poll(j)
 		return
 	}
-	w.truth.answered(j, a.Outcome)
+	w.checker.answered(j, a.Outcome)
 }
 
 // submit sends a new job from a domain.
 func (w *world) submit(domain string, tasks int, work, patience time.Duration) *fakeJob {
 	j := w.newJob(domain, tasks, work, patience)
-	w.try(j)
+	w.sendJob(j)
 	return j
 }
 
@@ -393,21 +393,21 @@
 	if w.storedShare > 0 && w.rng.Float64() < w.storedShare {
 		j.work.Stored = true
 		if w.rng.IntN(10) == 0 {
-			j.cancelAt = w.now + w.span(1, 1500)
+			j.cancelAt = w.now + w.randomDuration(1, 1500)
 		}
 	}
 	w.jobs[id] = j
 	return j
 }
 
-// try sends a job to a process of its domain that serves, or to any.
-func (w *world) try(j *fakeJob) {
+// sendJob sends a job to a process of its domain that serves, or to any.
+func (w *world) sendJob(j *fakeJob) {
 	if j.answered || w.now >= j.sent+j.patience {
 		return
 	}
 	n := w.serving(j.domain)
 	if n == nil {
-		w.again(j)
+		w.resubmit(j)
 		return
 	}
 	n.lastID++
@@ -437,7 +437,7 @@
 	return near[w.rng.IntN(len(near))]
 }
 
-func (w *world) again(j *fakeJob) { w.after(resend, func() { w.try(j) }) }
+func (w *world) resubmit(j *fakeJob) { w.after(resendInterval, func() { w.sendJob(j) }) }
 
 // load submits jobs at a rate, in all domains, for a while.
 func (w *world) load(perSecond float64, d time.Duration) {
