--- a/core/fleet/checker_test.go
+++ b/core/fleet/checker_test.go
@@ -10,19 +10,20 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// checker sees what runners and callers see, and notes each broken promise.
+// checker observes what runners and callers see, and records each violated invariant.
 type checker struct {
 	w          *world
 	violations []string
 	running    map[workload.TaskName]map[workload.RunKey]*fakeRunner
 	done       map[workload.TaskName]bool
-	// starts are when each task of a stored job was started.
+	// starts are the times at which each task of a stored job was started.
 	starts map[workload.TaskName][]time.Duration
-	// acknowledgedAt are the ends of tasks of stored jobs that were acknowledged while
-	// the runner's lease lasted, and failures how many of them were failures.
+	// acknowledgedAt are the times of the successful ends of stored jobs' tasks that were
+	// acknowledged while the runner's lease lasted, and failures counts the failed ends
+	// acknowledged likewise.
 	acknowledgedAt map[workload.TaskName]time.Duration
 	failures       map[workload.TaskName]int
-	// failed are all runs that have failed.
+	// failed counts all failed runs of each task.
 	failed map[workload.TaskName]int
 }
 
@@ -93,13 +94,13 @@
 	if j.work.Stored {
 		return
 	}
-	// A process that was frozen gives its answers as it wakes.
+	// A process that was frozen sends its answers when it is resumed.
 	if t.w.now > j.sent+j.patience+200*time.Millisecond && t.w.now > t.w.lastWakeAt+200*time.Millisecond {
 		t.report("job %s is answered %v after its caller has left", j.work.ID, t.w.now-j.sent-j.patience)
 	}
 }
 
-// maxStartAfterCancel is how long after its cancelling a job may still be started.
+// maxStartAfterCancel is how long after its cancellation tasks of a job may still be started.
 const maxStartAfterCancel = 3 * time.Second
 
 func (t *checker) checkStoredStart(j *fakeJob, k workload.RunKey) {
@@ -118,8 +119,8 @@
 	}
 }
 
-// acknowledged notes that a runner may forget an end. One before which its lease
-// has ended counts for nothing.
+// acknowledged records that a runner may forget an end. An end whose lease expired before is
+// ignored.
 func (t *checker) acknowledged(e fakeEnd) {
 	task := e.Run.Task
 	if j := t.w.jobs[task.Job]; !j.work.Stored || e.lapsed {
@@ -138,7 +139,7 @@
 	}
 }
 
-// checkShownState checks what the caller of an accepted job is told of it.
+// checkShownState checks the state that the caller of an accepted job receives.
 func (t *checker) checkShownState(j *fakeJob, cancel bool, a fleet.StateAnswer) {
 	s := a.State
 	switch {
@@ -166,8 +167,8 @@
 	}
 }
 
-// checkKnown checks that a process doesn't deny a job that was accepted and that its caller
-// hasn't cancelled, ended or not.
+// checkKnown checks that a process doesn't report an accepted job as unknown, ended or not,
+// unless its caller has cancelled it.
 func (t *checker) checkKnown(j *fakeJob, n *fakeNode, a fleet.StateAnswer) {
 	if !a.Unreachable && !a.State.Unsure && !a.State.Known && j.cancelSent == 0 {
 		t.report("job %s was accepted at %v and isn't known to %s", j.work.ID, j.accepted, n.id)
@@ -183,7 +184,7 @@
 	t.report("job %s is shown as failed", j.work.ID)
 }
 
-// checkSettled checks that all accepted jobs have ended, after a calm while.
+// checkSettled checks that all accepted jobs have ended, after a while without faults.
 func (t *checker) checkSettled() {
 	for _, id := range slices.Sorted(maps.Keys(t.w.jobs)) {
 		if j := t.w.jobs[id]; j.work.Stored && j.accepted > 0 && !j.ended {
--- a/core/fleet/cpuwait.go
+++ b/core/fleet/cpuwait.go
@@ -3,28 +3,26 @@
 import "time"
 
 const (
-	// cpuWaitThreshold is how long work that is ready may wait for the processor, by the
-	// median of some looks, in a process that leads. Orders have 50 ms; what waits
-	// longer than that between an answer's coming and its being read counts as
-	// unanswered, is ordered again, and the process falls behind for good.
+	// cpuWaitThreshold is how long ready work may wait for the CPU in a process that
+	// leads, as the median of several measurements. Orders time out after 50 ms: an answer
+	// that waits longer between its arrival and its being read counts as unanswered and the
+	// order is repeated, so that the process falls ever further behind.
 	cpuWaitThreshold = 30 * time.Millisecond
-	// severeCPUWait is what shows by itself that the VM is slow. Between the two it
-	// may be a burst; that is over by the next look.
+	// severeCPUWait shows CPU starvation in a single report. A wait between the two may be
+	// a burst, and counts only if the next report exceeds the threshold too.
 	severeCPUWait = 2 * cpuWaitThreshold
-	// cpuDemotionInterval is how long a process keeps the lead that it has got back, or
-	// that no other takes, before it gives it up again: if all are short of
-	// processor, a change every second would make it worse.
+	// cpuDemotionInterval is the minimum interval between two demotions of a process. If
+	// all VMs are short of CPU, a change of leader every second would make it worse.
 	cpuDemotionInterval = 5 * time.Second
-	// leadSettleTime is how long after coming to lead a shard a process may be busy
-	// with that: it opens connections to all runners.
+	// leadSettleTime is how long after becoming the leader of a shard high CPU waits are
+	// ignored: the process opens connections to all runners.
 	leadSettleTime = 1500 * time.Millisecond
 )
 
-// RecordCPUWait takes how long work that was ready has waited for the processor in the
-// last moments. A leader whose VM has turned slow lets another one lead. It isn't
-// lost, so without this it would be taken for lost while it is late, and as the
-// oldest take the lead back when it is heard again, time and again; its callers
-// and those of all others would wait.
+// RecordCPUWait handles a report of how long ready work has recently waited for the CPU. A
+// leader with CPU starvation gives up the lead. Other processes would otherwise count it as
+// lost whenever its heartbeats are late, and as the oldest process it would take the lead
+// back with the next one, again and again, which delays the callers of all processes.
 func (n *Node) RecordCPUWait(now Time, wait time.Duration) {
 	twice := n.cpuWaitHigh
 	n.cpuWaitHigh = wait >= cpuWaitThreshold
--- a/core/fleet/cpuwait_test.go
+++ b/core/fleet/cpuwait_test.go
@@ -10,8 +10,8 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// The VM of the leader turns slow, and it notices. Another process leads at
-// once, is told what has been done, and keeps the lead; callers notice little.
+// The leader's VM becomes short of CPU, and the leader notices it. Another process must lead
+// at once, receive the progress and stay the leader; no job may fail.
 func TestASlowLeaderGivesUpTheLead(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(10) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// All VMs are short of processor. The lead goes round once, and then stays for
-// a while: each change costs all callers some time.
+// All VMs are short of CPU. Each process may give up the lead once, and then it must stay for
+// a while: each change of leader delays all callers.
 func TestLeadershipDoesNotCycle(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 1)
@@ -62,9 +62,9 @@
 	g.Expect(changes).To(BeNumerically("<=", len(w.nodes)))
 }
 
-// A deployment of several shards, in which each process as good leads one. All are
-// short of processor in a burst. Nobody gives up a shard: whoever got it as the
-// second would fall behind for good, and after that the next.
+// A deployment with several shards, in which each process leads one. All VMs are short of CPU
+// in a burst. No process may give up its shard: the process that got it as its second would
+// fall behind for good, and then the next one.
 func TestNobodyGivesUpAShardThatNoneCanTake(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 6)
@@ -94,7 +94,8 @@
 	g.Expect(leaders()).To(HaveLen(6))
 }
 
-// A process that has just come to lead is busy for a moment. That is no strain.
+// A process that has just become the leader is busy for a moment, and must not give up the
+// lead for that.
 func TestTakeoverIsNotTreatedAsCPUStarvation(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 1)
--- a/core/fleet/denial_test.go
+++ b/core/fleet/denial_test.go
@@ -9,11 +9,11 @@
 	"sapphirepoint.example/sapphirepoint/core/leader"
 )
 
-// A VM's process is killed and runs again before its silence is noticed. The others
-// don't know the new process yet, since their feed from the store is stuck, and
-// refuse its connections. It hears nobody, leads, and accepts a job for keeps. The
-// caller asks another VM for it, whose leader still counts all VMs as heard: it
-// must not say that there is no such job.
+// Guards against a denial of an accepted job by a leader that doesn't know its rival. A VM's
+// process is killed and restarts before this is noticed. The others don't know the new
+// process yet, since their watch of the store is stuck, and refuse its connections. It
+// reaches nobody, leads, and accepts a stored job. The caller queries another VM, whose
+// leader still counts all VMs as reachable.
 func TestAcceptedJobIsntDeniedByAnEarlierLeader(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		g := NewWithT(t)
@@ -49,7 +49,7 @@
 	}
 }
 
-// newStoredJob is a job for keeps that hasn't been sent yet, and isn't cancelled.
+// newStoredJob returns a stored job that hasn't been sent yet and won't be cancelled.
 func (w *world) newStoredJob() *fakeJob {
 	w.storedShare = 1
 	defer func() { w.storedShare = 0 }()
@@ -58,9 +58,9 @@
 	return j
 }
 
-// Guards against any process that denies a job which another one has just accepted: all
-// are asked, at once and again, while processes are killed and come back at all moments,
-// some of them unknown to the others for a while.
+// Guards against any process that reports a job as unknown which another one has just
+// accepted. All processes are queried at once and later, while processes are killed and
+// restarted at random moments, some of them unknown to the others for a while.
 func TestNobodyDeniesAnAcceptedJob(t *testing.T) {
 	t.Parallel()
 	for i := range *seeds {
@@ -70,10 +70,10 @@
 	}
 }
 
-// Runs that once broke a promise, with the cause.
+// Seeds that once violated an invariant, with the cause.
 var denialRegressions = map[uint64]string{
-	8101338: "a process that woke accepted a job of a dead one out of its buffers, whose caller had been refused",
-	8200462: "a new owner showed a job as completed, and the one before started a task of it again, not knowing yet that it wasn't the owner",
+	8101338: "a resumed process accepted a job of a dead process from its buffers after the caller had been refused",
+	8200462: "a new owner reported a job as completed, and the previous owner, unaware that it had lost ownership, started one of its tasks again",
 	8200245: "a job was completed by the end of a run whose task had been started again, which the owner after the next didn't know",
 }
 
@@ -85,7 +85,7 @@
 	}
 }
 
-// denialRun plays a pooled deployment or one of cells, of one or two shards.
+// denialRun simulates a pooled deployment or one of cells, with one or two shards.
 func denialRun(seed uint64) (*world, []string) {
 	shards := 1 + int(seed%2)
 	w := deployment(seed, shards)
@@ -98,8 +98,8 @@
 	return w, played
 }
 
-// Guards against a process that wakes and takes a job out of its buffers whose entry
-// process died meanwhile: its caller may have been told by another one that it isn't run.
+// Guards against a resumed process that accepts a job from its buffers whose entry process
+// has died meanwhile: another scheduler may have told the caller that the job isn't run.
 func TestHandInOfADeadProcessIsntTaken(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 1)
@@ -121,8 +121,8 @@
 	g.Expect(w.store.rows(0).records).NotTo(HaveKey(job.work.ID))
 }
 
-// The same where the process that wakes leads before it can notice that the other one is
-// dead: the only other VM of its cell, which it hadn't heard before either, died too.
+// The same with a resumed process that becomes the leader before it can notice that the entry
+// process is dead: the only other VM of its cell, from which it was partitioned, died too.
 func TestHandInOfADeadProcessIsntTakenByANewLeader(t *testing.T) {
 	g := NewWithT(t)
 	w := cellDeployment(1, 1)
--- a/core/fleet/early.go
+++ b/core/fleet/early.go
@@ -8,12 +8,12 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// earlyTimeout is how long requests wait for the shards to be known. At a restart
-// that is a tenth of a second after the process accepts connections, and callers
-// of the shortest jobs wait for a second and a half.
+// earlyTimeout is how long requests wait until the shards are known. After a restart that
+// takes a tenth of a second from the first accepted connection, and callers of the
+// shortest jobs wait for 1.5 s.
 const earlyTimeout = 300 * time.Millisecond
 
-// earlyRequest came before the shards were known.
+// earlyRequest is a request that arrived before the shards were known.
 type earlyRequest struct {
 	request  uint64
 	job      *workload.Job
@@ -21,12 +21,12 @@
 	patience time.Duration
 }
 
-// queueEarly keeps a request until the shards are known.
+// queueEarly queues a request until the shards are known.
 func (n *Node) queueEarly(now Time, request uint64, job *workload.Job, patience time.Duration) {
 	n.earlyRequests = append(n.earlyRequests, earlyRequest{request: request, job: job, arrived: now, patience: patience})
 }
 
-// admitEarly hands those requests on, now that the shards are known.
+// admitEarly passes the queued requests to the gateway once the shards are known.
 func (n *Node) admitEarly(now Time) {
 	for _, e := range n.earlyRequests {
 		n.gateway.Arrive(now, e.request, n.shardOfJob(e.job), e.job, e.patience-(now-e.arrived))
@@ -34,8 +34,8 @@
 	n.earlyRequests = nil
 }
 
-// expireEarly answers those that have waited long enough. Their callers may have
-// sent them by another entry VM before, so that isn't a refusal.
+// expireEarly answers the requests that have reached earlyTimeout. Their callers may have
+// submitted the same jobs to another entry VM before, so the outcome isn't NotRun.
 func (n *Node) expireEarly(now Time) {
 	n.earlyRequests = slices.DeleteFunc(n.earlyRequests, func(e earlyRequest) bool {
 		if now-e.arrived < min(earlyTimeout, e.patience) {
@@ -49,7 +49,7 @@
 	})
 }
 
-// dropEarly forgets the request of a caller that has gone.
+// dropEarly drops the queued request of a caller that has disconnected.
 func (n *Node) dropEarly(request uint64) {
 	n.earlyRequests = slices.DeleteFunc(n.earlyRequests, func(e earlyRequest) bool { return e.request == request })
 }
--- a/core/fleet/evacuation.go
+++ b/core/fleet/evacuation.go
@@ -8,11 +8,11 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// The operator's word on failure domains goes with each heartbeat, so that a leader which
-// the store turns away hears of it, and a new one knows what the one before knew.
+// Every heartbeat carries the evacuated failure domains. A leader that can't reach the store
+// learns of a change from other processes, and a new leader knows what the one before knew.
 
-// ApplyEvacuations takes the operator's word on which failure domains get no new tasks, if it
-// is later than what is known.
+// ApplyEvacuations sets the failure domains in which no new tasks are started, if e is newer
+// than what is known.
 func (n *Node) ApplyEvacuations(now Time, e routing.Evacuations, source string) {
 	first := n.evacuations.Version == 0 && e.Version > 0
 	changed := n.evacuations.Apply(e)
@@ -34,8 +34,8 @@
 	n.sendHeartbeats(now)
 }
 
-// knowsDomain reports whether a failure domain has a runner or an entry VM, as far as
-// these are known yet.
+// knowsDomain reports whether a failure domain has a runner or an entry VM; true until
+// both lists are known.
 func (n *Node) knowsDomain(domain string) bool {
 	if !n.listKnown || n.members == nil {
 		return true
@@ -44,5 +44,5 @@
 		slices.ContainsFunc(n.members, func(m topology.Member) bool { return m.Domain == domain })
 }
 
-// Evacuations are the failure domains that get no new tasks.
+// Evacuations are the failure domains in which no new tasks are started.
 func (n *Node) Evacuations() routing.Evacuations { return n.evacuations }
--- a/core/fleet/evacuation_test.go
+++ b/core/fleet/evacuation_test.go
@@ -11,10 +11,10 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// evacuationDelay is how long after the operator's word starts in a domain must have ceased.
+// evacuationDelay is how long after its evacuation a domain may still get new tasks.
 const evacuationDelay = 2 * time.Second
 
-// operatorRows are the failure domains that the operator has evacuated, by since when.
+// operatorRows are the failure domains that the operator has evacuated, and since when.
 type operatorRows struct {
 	version uint64
 	since   map[string]time.Duration
@@ -42,7 +42,7 @@
 	delete(w.evacuations.since, domain)
 }
 
-// startedIn counts the runs in a domain, from now on.
+// startedIn returns a function that counts the runs started in a domain since this call.
 func (w *world) startedIn(domain string) func() int {
 	count := func() int {
 		n := 0
@@ -57,8 +57,8 @@
 	return func() int { return count() - before }
 }
 
-// Guards against tasks that go to a domain which the operator has evacuated, and against
-// one that gets none after it was taken back.
+// Guards against tasks started in an evacuated domain, and against a domain that gets none
+// after its evacuation was revoked.
 func TestAnEvacuatedDomainGetsNothingUntilItIsTakenBack(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 2)
@@ -84,7 +84,7 @@
 	g.Expect(w.unanswered()).To(BeZero())
 }
 
-// unanswered counts the jobs without a final word.
+// unanswered counts the jobs without a final answer.
 func (w *world) unanswered() int {
 	n := 0
 	for _, j := range w.jobs {
@@ -95,8 +95,8 @@
 	return n
 }
 
-// Guards against a leader that the store turns away, and that goes on using a domain
-// though the others know that it is evacuated.
+// Guards against a leader that can't reach the store and goes on using a domain, though the
+// other processes know that it is evacuated.
 func TestALeaderWithoutTheStoreHearsOfAnEvacuation(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 1)
@@ -111,8 +111,8 @@
 	g.Expect(w.checker.violations).To(BeEmpty())
 }
 
-// Guards against a leader that takes over while the store is away, and doesn't know what
-// the one before knew; and against a process that starts then.
+// Guards against a leader that takes over while the store is unavailable and doesn't know the
+// evacuations that its predecessor knew, and against a process that starts at that time.
 func TestAnEvacuationSurvivesLeaderChanges(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 1)
@@ -136,8 +136,8 @@
 	g.Expect(w.checker.violations).To(BeEmpty())
 }
 
-// Guards against callers who wait in vain: with all domains evacuated nothing can be
-// started, and they are told at once, truly, and when to come back.
+// Guards against callers who wait in vain. With all domains evacuated no task can be started,
+// and callers must be answered at once that nothing was run.
 func TestJobsAreRefusedAtOnceWhileAllDomainsAreEvacuated(t *testing.T) {
 	for _, cells := range []bool{false, true} {
 		g := NewWithT(t)
@@ -145,7 +145,7 @@
 		if cells {
 			w = cellDeployment(1, 2)
 		}
-		// Until then copies of jobs may come that an earlier scheduler had.
+		// Until then copies of jobs may arrive that an earlier scheduler had.
 		w.run(5 * time.Second)
 		early := w.submit("a", 2, 3*time.Second, 6*time.Second)
 		w.run(50 * time.Millisecond)
@@ -170,7 +170,7 @@
 	}
 }
 
-// Guards against an evacuated cell whose jobs wait there, though others have room.
+// Guards against jobs that wait in an evacuated cell though other cells have capacity.
 func TestJobsOfAnEvacuatedCellGoToAnother(t *testing.T) {
 	g := NewWithT(t)
 	w := cellDeployment(1, 1)
--- a/core/fleet/gone.go
+++ b/core/fleet/gone.go
@@ -7,14 +7,14 @@
 	"sapphirepoint.example/sapphirepoint/core/schedule"
 )
 
-// A VM that is gone for good stays on the list of members. For stored jobs it counts as
-// harmless once the store refuses it the shard's rows; see ledger.Ledger.Exclude.
+// A VM that was removed stays on the list of members. It no longer blocks stored jobs once
+// the store refuses it the ownership of the shard's rows; see ledger.Ledger.Exclude.
 
-// never is the time of what hasn't happened.
+// never stands for the time of an event that hasn't happened.
 const never = Time(math.MaxInt64)
 
-// presumedGone lists the VMs of the cell that haven't been heard for so long that they
-// are taken to be gone for good, in order.
+// presumedGone lists, in order, the VMs of the cell that have been unreachable for so long
+// that they are presumed to be removed.
 func (n *Node) presumedGone(now Time) []string {
 	var list []string
 	for vm, since := range n.unreachableSince {
@@ -26,7 +26,7 @@
 	return list
 }
 
-// updateOthersReachable notes since when all VMs are heard but those that are gone.
+// updateOthersReachable updates othersReachableSince.
 func (n *Node) updateOthersReachable(now Time, gone []string) {
 	switch all := n.cellVMs != nil && len(n.unreachableSince) == len(gone); {
 	case !all:
@@ -36,8 +36,9 @@
 	}
 }
 
-// rivalsReachableSince is since when a process of every VM is heard that could take a
-// shard's rows: the store refuses them to those of gone that the owner has excluded.
+// rivalsReachableSince is since when every VM that could take over a shard's rows has been
+// reachable. VMs in gone don't count if the owner has excluded them: the store refuses them
+// the rows.
 func (n *Node) rivalsReachableSince(now Time, s *shard, gone []string) (since Time, all bool) {
 	if n.othersReachableSince == never || len(gone) == 0 {
 		return n.othersReachableSince, n.othersReachableSince != never
--- a/core/fleet/gone_test.go
+++ b/core/fleet/gone_test.go
@@ -9,9 +9,9 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Guards against stored jobs that stop whenever the store is away, since a VM that was
-// removed for good stays on the list of members: without it nobody hears all VMs, and the
-// owner of a shard must prove its ownership.
+// Guards against stored jobs that stop whenever the store is unavailable because a removed
+// VM stays on the list of members: that VM is never reachable, so the owner of a shard would
+// have to prove its ownership by the store.
 func TestStoredJobsGoOnWithoutTheStoreThoughAVMIsGone(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 1)
@@ -32,8 +32,8 @@
 	g.Expect(w.checker.violations).To(BeEmpty())
 }
 
-// Guards against tasks that run twice since a process that was taken for gone wakes behind
-// a cut, and takes the shard while its owner is away from the store.
+// Guards against tasks that run twice because a process that was presumed gone resumes behind
+// a network partition, and takes the shard while its owner can't reach the store.
 func TestAVMThatWasTakenForGoneDoesNotTakeTheShard(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 1)
@@ -57,8 +57,8 @@
 	g.Expect(w.checker.violations).To(BeEmpty())
 }
 
-// Guards against a VM that stays shut out of its shard after it is heard again: the last
-// one left must be able to schedule.
+// Guards against a VM that stays excluded from its shard after it is reachable again: as the
+// last VM left it must be able to schedule.
 func TestAVMThatIsHeardAgainMayTakeTheShard(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 1)
--- a/core/fleet/handover_test.go
+++ b/core/fleet/handover_test.go
@@ -21,9 +21,8 @@
 	}
 }
 
-// The leader is stopped as planned, in the middle of jobs of which some tasks
-// have ended. The next one goes on with the rest: a label that was printed isn't
-// printed again.
+// The leader is stopped as planned while jobs run of which some tasks have ended. The next
+// leader must continue with the remaining tasks only.
 func TestPlannedStopRunsNothingAgain(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(20) {
@@ -37,9 +36,9 @@
 	}
 }
 
-// The VM of the leader that is stopped is so busy that its messages are 120 ms
-// late, the word on what has ended among them. The next leader waits for it,
-// however long it takes: a label that was printed isn't printed again.
+// The stopped leader's VM is so busy that its messages, the report of its progress among
+// them, are 120 ms late. The next leader must wait for that report, and must not run tasks
+// again that have ended.
 func TestPlannedStopOfABusyLeader(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(20) {
@@ -55,11 +54,10 @@
 	}
 }
 
-// A deployment starts for the first time, and for some seconds nobody knows the
-// configuration or how the runners are divided. No process counts as alone then:
-// small VMs would all connect with each other, and their heartbeats take the
-// processor from callers for the rest of the day. Once all is known and no
-// scheduler is in reach, one does.
+// A deployment starts for the first time, and for some seconds no process knows the
+// configuration or the layout. No process may widen the number of seats then: all small VMs
+// would connect with each other, and their heartbeats would take CPU from callers from then
+// on. Once everything is known and no scheduler is reachable, seats are widened.
 func TestSeatsAreNotWidenedBeforeTheConfigurationIsKnown(t *testing.T) {
 	g := NewWithT(t)
 	n := fleet.New(schedule.DefaultConfig(), grace, 400, 0)
@@ -81,8 +79,8 @@
 	g.Expect(n.SeatDoublings()).To(BeNumerically(">", 0))
 }
 
-// Two processes tell each other that they live. One answers the heartbeat of the
-// other at once, so that they go in pairs, and neither sends more for that.
+// A process answers a heartbeat with its own at once, so that the heartbeats of two processes
+// go in pairs. The number of heartbeats must not grow by this.
 func TestHeartbeatsGoInPairs(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(1)
@@ -108,9 +106,9 @@
 	}
 }
 
-// A failure domain is cut off for some seconds, and each side has a leader. As the
-// cut heals, that of the domain takes no runner of the others: they are led, and
-// their jobs would be held up.
+// A failure domain is partitioned for some seconds, and each side has a leader. When the
+// partition heals, the domain's leader must not take runners of the other side: they have a
+// leader, and their jobs would be delayed.
 func TestNoRunnerIsTakenAsACutHeals(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(10) {
--- a/core/fleet/jobs.go
+++ b/core/fleet/jobs.go
@@ -9,10 +9,10 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// The way of a job through a process: from a caller to the gateway, from a gateway,
-// here or elsewhere, to a scheduler, and back.
+// The path of a job: from a caller to the gateway of its entry process, from there to a
+// scheduler in this or another process, and the answer back.
 
-// Submit takes a caller's request.
+// Submit handles a caller's request. patience is how long the caller waits for an answer.
 func (n *Node) Submit(now Time, request uint64, job *workload.Job, patience time.Duration) {
 	n.detectStall(now)
 	n.lastArrival = now
@@ -34,13 +34,13 @@
 	n.gateway.Arrive(now, request, n.shardOfJob(job), job, patience)
 }
 
-// CallerLeft notes that a caller has gone.
+// CallerLeft handles the disconnect of a caller.
 func (n *Node) CallerLeft(now Time, request uint64) {
 	n.dropEarly(request)
 	n.gateway.Left(now, request)
 }
 
-// sendVerdict passes the scheduler's word to the process that has the caller.
+// sendVerdict passes a scheduler's verdict to the entry process of the job's caller.
 func (n *Node) sendVerdict(a schedule.Answer) {
 	event := "job-ended"
 	if a.Outcome == workload.Accepted {
@@ -92,7 +92,7 @@
 func (n *Node) submit(now Time, from leader.ID, c gateway.HandIn) {
 	s := n.ownShard(c.Shard)
 	if s == nil {
-		// The sender hears from the heartbeats that this process doesn't lead.
+		// The sender learns from heartbeats that this process doesn't lead the shard.
 		return
 	}
 	if c.Job.Stored {
@@ -110,8 +110,8 @@
 	})
 }
 
-// Pending is the number of jobs of each queue of which no task has started, as
-// the leaders have last said.
+// Pending is the number of jobs of each queue of which no task has started, as the
+// leaders last reported it.
 func (n *Node) Pending() map[string]int {
 	sum := make(map[string]int)
 	add := func(counts map[string]int) {
@@ -126,7 +126,7 @@
 	return sum
 }
 
-// ownPending counts the jobs that wait in this process's schedulers.
+// ownPending counts the pending jobs in this process's schedulers.
 func (n *Node) ownPending() map[string]int {
 	sum := make(map[string]int)
 	for _, s := range n.own {
--- a/core/fleet/lapsed.go
+++ b/core/fleet/lapsed.go
@@ -7,35 +7,35 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// While the store is away runners can't renew their entries, and some lapse though
-// the runners are sound. Their entries are back within two seconds of the store's
-// return; without them jobs would be refused for want of room until then. So entries
-// that go in those moments are kept, marked:
+// While the store is unavailable runners can't renew their entries, and some entries lapse
+// although the runners are healthy. They are renewed within two seconds of the store's
+// return; without them jobs would be refused until then for lack of capacity. Therefore
+// entries that disappear around an outage are retained and marked as lapsed:
 //
-//	the entry                                | kept
-//	-----------------------------------------|--------------------------------------
-//	goes while the store is well             | no
-//	goes as the store has just been away     | for lapsedTime, while the runner answers
-//	had said that it drains                  | no
-//	is there, and names no runner to use     | no
-//	comes back                               | it is an entry like any other
+//	the entry                                     | retained
+//	----------------------------------------------|-----------------------------------------
+//	disappears while the store is available       | no
+//	disappears around an outage of the store      | for lapsedRetention, while the runner answers
+//	had marked its runner as draining             | no
+//	exists, but names no usable runner            | no
+//	reappears                                     | it becomes a normal entry again
 
 const (
-	// lapsedRetention is how long such an entry is kept: those of sound runners are
-	// back within two seconds of the store's return, and the list is read every
-	// 0.6 s by those who need it.
+	// lapsedRetention is how long a lapsed entry is retained. Healthy runners renew
+	// theirs within two seconds of the store's return, and processes that need the list
+	// read it every 0.6 s.
 	lapsedRetention = 2500 * time.Millisecond
-	// recentStoreFailure is how long ago the last call to the store may have failed for
-	// it to have just been away. A call that is left unanswered is given up after
-	// 2 s, by when the store may be back.
+	// recentStoreFailure is how long after a failed call to the store an entry that
+	// disappears counts as lapsed. An unanswered call is given up after 2 s, by which time
+	// the store may be available again.
 	recentStoreFailure = 2500 * time.Millisecond
 )
 
-// StoreFailed notes that a call to the store has failed.
+// StoreFailed records that a call to the store failed.
 func (n *Node) StoreFailed(now Time) { n.storeFailedAt = now }
 
-// retainLapsed adds to a list that was read from the store the runners that it lacks
-// since the store was away.
+// retainLapsed adds to a list read from the store the runners that are missing from it
+// because of a store outage.
 func (n *Node) retainLapsed(now Time, list RunnerList) RunnerList {
 	present := make(map[workload.RunnerID]bool, len(list.Runners))
 	for _, r := range list.Runners {
@@ -63,7 +63,7 @@
 	return list
 }
 
-// recordLapsed notes which runners of a list that another process has told are kept.
+// recordLapsed records which runners of a list from another process are retained as lapsed.
 func (n *Node) recordLapsed(now Time, list RunnerList) {
 	since := make(map[workload.RunnerID]Time)
 	for _, r := range list.Runners {
--- a/core/fleet/lapsed_test.go
+++ b/core/fleet/lapsed_test.go
@@ -30,7 +30,7 @@
 	now time.Duration
 }
 
-// advanceTo lets time pass up to a moment.
+// advanceTo ticks up to a time.
 func (n *runnerListNode) advanceTo(now time.Duration) *runnerListNode {
 	for n.now < now {
 		n.now += fleet.TickInterval
@@ -39,8 +39,8 @@
 	return n
 }
 
-// newRunnerListNode returns one that leads and has read of runners a, b and c, the last of
-// which drains.
+// newRunnerListNode returns a leader that has read a list of runners a, b and c, of which c
+// is draining.
 func newRunnerListNode() *runnerListNode {
 	n := &runnerListNode{Node: fleet.New(schedule.DefaultConfig(), grace, 400, 0)}
 	n.Registered(0, "a#1", 1)
@@ -53,7 +53,8 @@
 	return n.advanceTo(s)
 }
 
-// sentList is what another process is sentList of the list as it connects.
+// sentList is the list that is sent to another process on a new connection, with the runners'
+// Lapsed fields.
 func (n *runnerListNode) sentList() map[workload.RunnerID]bool {
 	n.Ready()
 	n.PeerUp(n.now, "b#2")
@@ -73,8 +74,8 @@
 	return lapsed
 }
 
-// The store was away, and entries have lapsed. Those of runners that hadn't said
-// that they drain are kept for a while, and other processes are told so.
+// Entries lapse during a store outage. Those of runners that weren't draining must be
+// retained for a while, and be sent to other processes as lapsed.
 func TestEntriesThatLapseDuringAStoreOutageAreRetained(t *testing.T) {
 	g := NewWithT(t)
 	n := newRunnerListNode()
@@ -87,7 +88,7 @@
 	g.Expect(n.sentList()).NotTo(HaveKey(workload.RunnerID("b")))
 }
 
-// An entry that comes back is one like any other, and may go again.
+// An entry that reappears becomes a normal entry, which may be removed again.
 func TestAnEntryComesBack(t *testing.T) {
 	g := NewWithT(t)
 	n := newRunnerListNode()
@@ -99,8 +100,8 @@
 	g.Expect(n.sentList()).To(HaveLen(1))
 }
 
-// An entry goes while the store is well, or names no runner to use any more: what
-// it stood for isn't used.
+// An entry that is removed while the store is available, or that names no usable runner any
+// more, must not be retained.
 func TestEntriesRemovedWithoutAStoreOutageAreNotRetained(t *testing.T) {
 	g := NewWithT(t)
 	n := newRunnerListNode()
@@ -115,8 +116,8 @@
 	g.Expect(n.sentList()).To(HaveLen(1))
 }
 
-// Another process has kept such an entry and is lost. Its successor was told, and
-// keeps it for as long.
+// A process has retained a lapsed entry and is lost. Its successor received the entry and
+// must retain it for as long.
 func TestNextLeaderRetainsLapsedEntries(t *testing.T) {
 	g := NewWithT(t)
 	n := newRunnerListNode()
@@ -128,8 +129,8 @@
 	g.Expect(n.sentList()).To(Equal(map[workload.RunnerID]bool{"a": false, "b": true}))
 }
 
-// Guards against leaders of other shards that go on starting tasks on a runner whose room
-// has shrunk: only the process that reads the list for all would know.
+// Guards against leaders of other shards that go on starting tasks on a runner whose capacity
+// has shrunk, since only the process that reads the list for the cell knows it.
 func TestCapacityChangesAreSentToOtherLeaders(t *testing.T) {
 	g := NewWithT(t)
 	n := newRunnerListNode()
--- a/core/fleet/large_test.go
+++ b/core/fleet/large_test.go
@@ -11,22 +11,21 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// A model of a large fleet: what each VM spends is counted, and held against what
-// the design says of it.
+// A model of a large fleet that counts the messages and connections of each VM and compares
+// them with the limits of the design.
 
 const (
 	largePerDomain   = 3
 	runnersPerDomain = 180
 	shardsPerDomain  = 3
-	// maxSeats is the most VMs of a cell that schedule.
+	// maxSeats is the maximum number of VMs of a cell that schedule.
 	maxSeats = 16
-	// outsideLinks is the number of connections of a VM with other cells that it has
-	// chosen itself.
+	// outsideLinks is the number of connections that a VM makes with other cells.
 	outsideLinks = 2
 )
 
-// largeFleet builds domains with three large VMs each and small ones, and lets it
-// come up. The layout becomes known late, when all processes run.
+// largeFleet builds domains with three large VMs each and small ones, and starts all of
+// them. The layout becomes known late, when all processes run.
 func largeFleet(domains, vms int) *world {
 	w := newWorld(1)
 	w.cells = true
@@ -50,7 +49,7 @@
 	return w
 }
 
-// resetCounters counts anew.
+// resetCounters resets the counters of all VMs.
 func (w *world) resetCounters() {
 	for _, n := range w.nodes {
 		n.messagesSent, n.connectionsMade, n.timesLed = 0, 0, 0
@@ -59,8 +58,8 @@
 
 func (n *fakeNode) large() bool { return n.milliCPU == 800 }
 
-// expectSettled checks that each shard is led by one VM of its cell, that all VMs
-// serve, and that small ones have no more connections than the design says.
+// expectSettled checks that each shard is led by one VM of its cell, that all VMs serve
+// callers, and that small VMs have no more connections than the design allows.
 func (w *world) expectSettled(g *WithT) {
 	leaders := make(map[int]map[string]bool)
 	for _, n := range w.nodes {
@@ -87,19 +86,20 @@
 	}
 }
 
-// expectMessageBudget checks what each VM has spent in a time: a heartbeat on each connection
-// in each interval, and a few messages beside; a leader tells also what it leads.
+// expectMessageBudget checks what each VM has sent in a duration: a heartbeat on each
+// connection in each interval and a few other messages, and for a leader also one for each
+// shard.
 func (w *world) expectMessageBudget(g *WithT, d time.Duration, vms int) {
 	w.expectMessageBudgetWith(g, d, vms, 2*(largePerDomain+outsideLinks))
 }
 
-// expectMessageBudgetWith does so with another bound for the connections that a small VM has
-// made.
+// expectMessageBudgetWith is expectMessageBudget with another limit for the connections that
+// a small VM has made.
 func (w *world) expectMessageBudgetWith(g *WithT, d time.Duration, vms, maxConnections int) {
 	for _, n := range w.nodes {
 		connections := len(n.connections)
 		heartbeats := int(d/leader.HeartbeatInterval) + 1
-		// A heartbeat at once, a layout, a list of runners and a configuration.
+		// An immediate heartbeat, a layout, a list of runners and a configuration.
 		others := 4
 		if n.large() {
 			others += shardsPerDomain
@@ -113,7 +113,7 @@
 	}
 }
 
-// takeovers is how often processes came to lead a shard.
+// takeovers is how often processes became the leader of a shard.
 func (w *world) takeovers() int {
 	sum := 0
 	for _, n := range w.nodes {
@@ -122,9 +122,9 @@
 	return sum
 }
 
-// A fleet starts for the first time. For a while nobody knows how the runners are
-// divided, and then all learn it within moments. If each process led what it has
-// just learnt of, and told all others, no caller would be served for minutes.
+// A fleet starts for the first time. For a while no process knows the layout, and then all
+// learn it within moments. If each process led the shards it had just learned of and reported
+// that to all others, no caller would be served for minutes.
 func TestALargeFleetStarts(t *testing.T) {
 	t.Parallel()
 	for _, size := range []struct{ domains, vms int }{{5, 29}, {7, 143}} {
@@ -141,7 +141,7 @@
 	}
 }
 
-// All processes are killed and start again within a second. Callers wait for it.
+// All processes are killed and restart within a second, while callers wait.
 func TestALargeFleetRestarts(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -156,8 +156,8 @@
 	w.expectMessageBudget(g, 2500*time.Millisecond, 29)
 }
 
-// A failure domain is cut off from the others and from the store, and comes back. It
-// goes on with its own schedulers: nobody takes a runner from anybody.
+// A failure domain is partitioned from the others and from the store for a while. It must
+// keep its own schedulers, and no runner may change its leader.
 func TestACutBetweenCellsChangesNoLeader(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -188,9 +188,9 @@
 	g.Expect(w.checker.violations).To(BeEmpty())
 }
 
-// All schedulers of a failure domain are lost. Its callers are served by those of
-// others, at once; only when none has come back for seconds do small VMs take over
-// the domain's runners. They don't all connect with each other.
+// All schedulers of a failure domain are lost. Schedulers of other domains must serve its
+// callers at once. Small VMs take over the domain's runners only if no scheduler has returned
+// for seconds, and they must not all connect with each other.
 func TestACellLosesItsSchedulers(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -226,9 +226,9 @@
 	g.Expect(w.checker.violations).To(BeEmpty())
 }
 
-// The store is away when a fleet starts, and comes back after some seconds. The members
-// register in any order then, and a small VM counts with those that it knows, as many
-// as a cell has seats, until it knows the large ones.
+// The store is unavailable when a fleet starts, and returns after some seconds. The members
+// then register in any order, and a small VM assigns the seats of its cell to those members
+// that it knows until it knows the large VMs.
 func TestALargeFleetStartsWithoutTheStore(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -240,10 +240,10 @@
 	w.expectMessageBudgetWith(g, 6*time.Second, 29, maxSeats+largePerDomain+2*outsideLinks)
 }
 
-// The first stored job comes to a fleet whose processes know only those of their own
-// cell and two others. It belongs to one shard of all, so whoever has it must reach that
-// one: within the moments that a caller's job waits for a scheduler, and whoever is
-// asked for it later as well.
+// The first stored jobs are submitted to a fleet whose processes are connected only with
+// their own cell and two others. Each job belongs to one shard of the whole fleet, which its
+// entry process must reach within the time that a job waits for a scheduler, and which any
+// process that is queried for the job later must reach too.
 func TestStoredJobsAcrossCells(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
--- a/core/fleet/members.go
+++ b/core/fleet/members.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// widenInterval is how long no scheduler of the cell must have been in reach until
-	// a process counts with more seats than those of the best VMs: longer than a
-	// change of leaders takes. It doubles their number each time that this has
-	// passed again.
+	// widenInterval is how long no scheduler of the cell must have been reachable until
+	// the process doubles the number of seats that it assumes, and doubles it again
+	// after each further interval. It is longer than a change of leaders takes.
 	widenInterval = time.Second
-	// servedWidenInterval is the same while schedulers of other cells take its jobs.
+	// servedWidenInterval replaces widenInterval while schedulers of other cells accept
+	// the process's jobs.
 	servedWidenInterval = 3 * time.Second
 )
 
-// SetMembers says which processes are registered. Some may be gone for good.
+// SetMembers sets the registered processes. Some of them may have been removed.
 func (n *Node) SetMembers(now Time, list []topology.Member) {
 	n.members = list
 	n.view.Found(now)
 	n.membersChanged(now)
 }
 
-// membersChanged brings up to date what follows from the members and the layout.
+// membersChanged updates everything that depends on the members and the layout.
 func (n *Node) membersChanged(now Time) {
 	defer n.updateAble()
 	if n.members == nil || n.member.ID == "" {
 		return
 	}
-	// This process's own row may not have been read yet, or be that of an earlier
-	// one of its VM.
+	// The row of this process may not have been read yet, or may be that of an earlier
+	// process on this VM.
 	list := slices.DeleteFunc(slices.Clone(n.members), func(m topology.Member) bool { return m.VM == n.member.VM })
 	n.fleet = topology.New(n.layout, n.storedJobs == HasStoredJobs, append(list, n.member))
 	n.cellVMs = nil
@@ -48,8 +48,8 @@
 	n.connect()
 }
 
-// connect asks for the connections that this process wants now. One with a process
-// that leads a shard of the cell is kept, also if that has no seat any more.
+// connect requests the connections that this process needs now. A connection with the
+// leader of a shard of the cell is retained even if that process has lost its seat.
 func (n *Node) connect() {
 	if n.fleet == nil {
 		return
@@ -69,10 +69,9 @@
 	n.updateAble()
 }
 
-// widenSeats widens the number of seats that this process counts with, while it
-// reaches no scheduler of its cell though there could be one. Before the
-// configuration and the shards are known nobody can lead, and looking would be for
-// nothing.
+// widenSeats increases the number of assumed seats while no scheduler of the cell is
+// reachable. Before the configuration and the shards are known no process can lead, so
+// more connections would not find a scheduler.
 func (n *Node) widenSeats(now Time) {
 	if n.ReachesAllLeaders() || !n.view.Informed() {
 		n.leadersReachedAt = now
@@ -90,23 +89,23 @@
 	n.connect()
 }
 
-// MembershipStatus is where a process stands in its fleet, for dumps and metrics.
+// MembershipStatus describes a process's position in its fleet, for dumps and metrics.
 type MembershipStatus struct {
-	// Cell is the process's own; "" if runners are pooled.
+	// Cell is the process's own cell; empty if runners are pooled.
 	Cell string `json:"cell,omitempty"`
-	// Seated: the VM is one of those that schedule first.
+	// Seated: the VM is one of those that schedule before the others of the cell.
 	Seated bool `json:"seated"`
 	// SeatDoublings is how often the number of seats was doubled.
 	SeatDoublings int `json:"widened"`
 	// Members is the number of registered processes, and UnreachableVMs that of the VMs
-	// of the cell that aren't heard.
+	// of the cell of which no process is reachable.
 	Members        int `json:"members"`
 	UnreachableVMs int `json:"unheard"`
-	// WantedConnections is the number of connections asked for.
+	// WantedConnections is the number of connections requested.
 	WantedConnections int `json:"wanted_connections"`
 }
 
-// MembershipStatus describes this process.
+// MembershipStatus returns the position of this process in its fleet.
 func (n *Node) MembershipStatus() MembershipStatus {
 	return MembershipStatus{
 		Cell: n.cell, Seated: n.seated, SeatDoublings: n.seatDoublings,
@@ -114,16 +113,17 @@
 	}
 }
 
-// SeatDoublings is how often the number of seats was doubled; 0 while a scheduler is in
-// reach.
+// SeatDoublings is how often the number of seats was doubled; 0 while a scheduler is
+// reachable.
 func (n *Node) SeatDoublings() int { return n.seatDoublings }
 
-// updateUnreachable notes since when no process of a VM is heard. One that isn't may
-// live behind a cut, and lead there, also if this process has never heard it.
+// updateUnreachable updates unreachableSince. An unreachable VM may be alive on the other
+// side of a network partition and lead there, even if this process was never connected
+// with it.
 func (n *Node) updateUnreachable(now Time) {
 	heard := map[string]bool{schedule.EntryID(n.Self()).VM(): true}
 	for id := range n.connected {
-		// With the connection alone it isn't known whom the process follows.
+		// Until the first heartbeat it isn't known which leaders the process follows.
 		if n.view.Report(id).Number > 0 {
 			heard[schedule.EntryID(id).VM()] = true
 		}
@@ -139,8 +139,8 @@
 }
 
 // hasUnreportedElder reports whether an older process that could lead this one's cell is
-// there, as connections with it show, and hasn't told anything of itself. It refuses this
-// process until it has read of it.
+// alive, as connections with it show, but hasn't sent a heartbeat. It refuses connections
+// from this process until it has read of it in the list of members.
 func (n *Node) hasUnreportedElder(now Time) bool {
 	if n.fleet == nil {
 		return false
@@ -155,10 +155,10 @@
 	return false
 }
 
-// allReachable reports whether a process of every other VM of the cell is heard.
+// allReachable reports whether a process of every other VM of the cell is reachable.
 func (n *Node) allReachable() bool { return n.cellVMs != nil && len(n.unreachableSince) == 0 }
 
-// anyMissing reports whether a VM of the cell isn't heard that may be alive.
+// anyMissing reports whether a VM of the cell is unreachable that may still be alive.
 func (n *Node) anyMissing(now Time) bool {
 	for _, since := range n.unreachableSince {
 		if now-since < schedule.MissingMost {
--- a/core/fleet/message.go
+++ b/core/fleet/message.go
@@ -13,59 +13,60 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Message is what one process sends to another.
+// Message is a message from one process to another.
 type Message interface{ message() }
 
-// Heartbeat is what a process says of itself.
+// Heartbeat is the state that a process reports of itself.
 type Heartbeat struct {
 	Report             leader.Report
 	DeclarationVersion uint64
-	// RunnersRevision is that of the newest list of runners that the sender
-	// has; RunnersStale says that it leads and can't read the list at present.
+	// RunnersRevision is the revision of the sender's list of runners. RunnersStale: the
+	// sender leads and can't read the list at present.
 	RunnersRevision uint64
 	RunnersStale    bool
-	// RunnersDigest tells lists with the same runners in the same states from
-	// others; revisions grow with each sign of life of a runner. 0 if the sender
-	// knows of none.
+	// RunnersDigest is equal for lists with the same runners in the same states, while
+	// the revision grows with every heartbeat of a runner. 0 if the sender has no list.
 	RunnersDigest uint64
 	// StoredJobs is what the sender knows about stored jobs.
 	StoredJobs StoredJobs
-	// Pending is, from the leader, the jobs of each queue of which no task has
-	// started.
+	// Pending is, if the sender leads, the number of jobs of each queue of which no task
+	// has started.
 	Pending map[string]int
-	// BacklogTime is, from a process that leads, how long what waits in its shards would
-	// take their runners.
+	// BacklogTime is, if the sender leads, how long the runners of its shards would need
+	// for the waiting work.
 	BacklogTime time.Duration
-	// UncertainFor is how much longer the sender doubts that all VMs are heard by somebody.
+	// UncertainFor is the remaining time in which the sender assumes that some VM may be
+	// unreachable from all other processes.
 	UncertainFor time.Duration
-	// Evacuations are the failure domains that get no new tasks, as the sender knows.
+	// Evacuations are the failure domains in which no new tasks are started, as known to
+	// the sender.
 	Evacuations routing.Evacuations
 }
 
-// Layout tells how the runners are divided, to a process that doesn't know.
+// Layout sends the division of the runners into shards to a process that doesn't have it.
 type Layout struct{ layout.Layout }
 
-// HandIn hands a job to the scheduler.
+// HandIn passes a job to a scheduler.
 type HandIn struct{ gateway.HandIn }
 
-// Verdict is the scheduler's word on a job.
+// Verdict is a scheduler's decision on a job.
 type Verdict struct{ gateway.Verdict }
 
-// DropJob tells a scheduler that a job isn't its own any more: its caller has
-// left, or another scheduler gets it.
+// DropJob tells a scheduler to drop a job because its caller has left or, if HandedOver,
+// because another scheduler gets it.
 type DropJob struct {
 	Shard      int
 	Job        workload.JobID
 	HandedOver bool
 }
 
-// JobQuery asks the scheduler for a job's state, or to cancel it.
+// JobQuery requests a job's state, or with Cancel its cancellation.
 type JobQuery struct {
 	Request uint64
 	Job     workload.JobID
 	Cancel  bool
-	// Hops counts the shards that the job has left, and Shard is the one that it went
-	// to; a job that has left none is asked for in its own.
+	// Hops counts the shards that the job has left, and Shard is the shard that it moved
+	// to. With Hops 0 the query is for the job's home shard.
 	Hops, Shard int
 }
 
@@ -75,19 +76,19 @@
 	State   schedule.JobState
 }
 
-// JobMove gives a stored job to the owner of another shard.
+// JobMove transfers a stored job to the owner of another shard.
 type JobMove struct {
 	Shard int
 	schedule.MovedJob
 }
 
-// JobTaken says that a job that a shard gave away is in the rows of another one.
+// JobTaken reports that a transferred job is stored in the rows of the other shard.
 type JobTaken struct {
 	Shard int
 	Job   workload.JobID
 }
 
-// Declaration passes on a configuration.
+// Declaration sends a configuration.
 type Declaration struct{ *routing.Declaration }
 
 // RunnerList is the platform's list of runners at a revision.
@@ -95,14 +96,14 @@
 	Revision uint64
 	// Runners are in the order of their ids.
 	Runners []workload.Runner
-	// Unreadable are entries that name no runner to use. They aren't passed on.
+	// Unreadable are entries that name no usable runner. They aren't sent to others.
 	Unreadable []workload.RunnerID
-	// Handover: the sender is about to hand in jobs that another scheduler
-	// had, and these are the runners where that may have started them.
+	// Handover: the sender is about to pass on jobs that another scheduler had, and
+	// Runners are those on which that scheduler may have started them.
 	Handover bool
 }
 
-// Progress is what a leader that retires tells the next one of a shard.
+// Progress is sent by a retiring leader to the next leader of a shard.
 type Progress struct {
 	Shard int
 	schedule.Progress
@@ -121,11 +122,11 @@
 func (Progress) message()    {}
 func (Layout) message()      {}
 
-// Command is what the process is to do.
+// Command is an action for the process to carry out.
 type Command interface{ command() }
 
-// Send passes a message to a process. Without a connection it is dropped: the
-// node is told when a process is lost, or connected again.
+// Send sends a message to a process. Without a connection the message is dropped: the
+// node is notified when a connection ends or is made again.
 type Send struct {
 	To      leader.ID
 	Message Message
@@ -134,47 +135,46 @@
 // Disconnect closes the connection with a process.
 type Disconnect struct{ Peer leader.ID }
 
-// Order is the order of a shard's scheduler to a runner: schedule.Start, Stop or
-// Hold.
+// Order is an order of a shard's scheduler to a runner: schedule.Start, Stop or Hold.
 type Order struct {
 	Shard int
 	Order schedule.Command
 }
 
-// Connect says which connections the process wants; others that it has made are
-// to be closed after a while.
+// Connect lists the connections that the process needs. Other connections that it has made
+// are to be closed after a delay.
 type Connect struct{ Links []topology.Link }
 
 // StoreCall is a ledger's call to the store: ledger.Claim, Read, Check or Write.
-// Its result is given to Node.StoreAnswered.
+// Its result is passed to Node.StoreAnswered.
 type StoreCall struct {
 	Shard int
 	Call  ledger.Command
 }
 
-// Answer is the final word on a caller's request.
+// Answer is the final answer to a caller's request.
 type Answer struct{ gateway.Reply }
 
-// StateAnswer answers a question about a job. Unreachable: nobody could be
-// asked.
+// StateAnswer answers a Query. Unreachable: the leader of the job's shard couldn't be
+// queried.
 type StateAnswer struct {
 	Request     uint64
 	State       schedule.JobState
 	Unreachable bool
 }
 
-// ReadRunners asks for the list of runners now.
+// ReadRunners requests an immediate read of the list of runners.
 type ReadRunners struct{}
 
-// Notice is a line for the log.
+// Notice is an event to be logged.
 type Notice struct {
 	Event string
-	// Warning marks what an operator should look at.
+	// Warning marks an event that may need an operator's attention.
 	Warning bool
 	Fields  []Field
 }
 
-// Field is a part of a Notice.
+// Field is a key and value of a Notice.
 type Field struct {
 	Key   string
 	Value any
@@ -190,5 +190,5 @@
 func (ReadRunners) command() {}
 func (Notice) command()      {}
 
-// durations in notices are in milliseconds.
+// ms converts a duration to milliseconds, the unit of durations in notices.
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/core/fleet/moved.go
+++ b/core/fleet/moved.go
@@ -10,28 +10,28 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Stored jobs that another shard does, since their own has no runners.
+// Stored jobs that move to another shard because their own has no runners.
 
 const (
-	// maxHops bounds how often a question is passed on: shards that no process owns
-	// for sure could send it round.
+	// maxHops bounds how often a query is forwarded: shards whose ownership is uncertain
+	// could forward it in a cycle.
 	maxHops = 4
-	// relayTimeout is how long the answer of another shard's owner is waited for.
+	// relayTimeout is how long to wait for the answer of another shard's owner.
 	relayTimeout = time.Second
-	// firstRelayID keeps the numbers of questions that are passed on apart from those of
+	// firstRelayID separates the request numbers of forwarded queries from those of
 	// callers' requests, which begin at 1.
 	firstRelayID = 1 << 62
 )
 
-// relay is a question that was passed on to the owner of another shard.
+// relay is a query that was forwarded to the owner of another shard.
 type relay struct {
 	pendingQuery
 	job workload.JobID
 	at  Time
 }
 
-// alternateShard is the other shard in reach in which a stored job would wait least, and for how
-// long; -1 if there is none.
+// alternateShard is the other shard with a reachable leader in which a stored job would wait
+// least, and how long it would wait; -1 if there is none.
 func (n *Node) alternateShard(s *shard) (int, time.Duration) {
 	best, least := -1, schedule.NoRunners
 	for _, o := range n.shards {
@@ -49,13 +49,13 @@
 	return best, least
 }
 
-// moveJob gives a job to the owner of another shard.
+// moveJob transfers a job to the owner of another shard.
 func (n *Node) moveJob(now Time, s *shard, c schedule.HandOn) {
 	c.From = s.index
 	m := JobMove{Shard: c.To, MovedJob: c.MovedJob}
 	switch to := n.leaderOf(c.To); to {
 	case "":
-		// It is given again.
+		// The scheduler issues the command again.
 	case n.Self():
 		n.receiveMovedJob(now, to, m)
 	default:
@@ -63,7 +63,7 @@
 	}
 }
 
-// leaderOf is the process in reach that leads a shard; "" if there is none.
+// leaderOf is the reachable leader of a shard; empty if there is none.
 func (n *Node) leaderOf(shard int) leader.ID {
 	if shard < 0 || shard >= len(n.shards) || !n.shards[shard].choice.Reachable {
 		return ""
@@ -78,7 +78,7 @@
 	}
 }
 
-// sendJobTaken passes on that a job has arrived.
+// sendJobTaken reports to the former owner that a moved job has been stored here.
 func (n *Node) sendJobTaken(now Time, c schedule.Taken) {
 	m := JobTaken{Shard: c.Shard, Job: c.Job}
 	if leader.ID(c.To) == n.Self() {
@@ -94,7 +94,7 @@
 	}
 }
 
-// receiveQuery takes another process's question.
+// receiveQuery handles another process's query.
 func (n *Node) receiveQuery(now Time, from leader.ID, m JobQuery) {
 	q := pendingQuery{from: from, request: m.Request, cancel: m.Cancel, shard: m.Shard, hops: m.Hops}
 	if m.Hops == 0 && n.LayoutKnown() {
@@ -103,7 +103,7 @@
 	n.handleQuery(now, q, m.Job)
 }
 
-// handleMovedQuery answers a question about a job that another shard has, or passes it on.
+// handleMovedQuery answers a query for a job that has moved to another shard, or forwards it.
 func (n *Node) handleMovedQuery(now Time, q pendingQuery, id workload.JobID, to int, arrived bool) {
 	q.shard, q.hops = to, q.hops+1
 	owner := n.leaderOf(to)
@@ -121,7 +121,7 @@
 	}
 }
 
-// expireRelays answers questions that the owner of another shard hasn't answered.
+// expireRelays answers forwarded queries to which the other owner hasn't replied in time.
 func (n *Node) expireRelays(now Time) {
 	for _, request := range slices.Sorted(maps.Keys(n.relays)) {
 		if r := n.relays[request]; now-r.at >= relayTimeout {
--- a/core/fleet/moved_test.go
+++ b/core/fleet/moved_test.go
@@ -9,7 +9,7 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// submitStoredJobs hands in stored jobs, of all shards, and lists those that are accepted.
+// submitStoredJobs submits stored jobs of all shards, and returns those that are accepted.
 func (w *world) submitStoredJobs(count int) []*fakeJob {
 	var jobs []*fakeJob
 	for range count {
@@ -27,7 +27,7 @@
 	return accepted
 }
 
-// removeRunners takes all runners of a failure domain away.
+// removeRunners crashes and delists all runners of a failure domain.
 func (w *world) removeRunners(domain string) {
 	for _, r := range w.runners {
 		if r.info.Domain == domain {
@@ -37,9 +37,9 @@
 	}
 }
 
-// Guards against accepted jobs that wait for as long as the runners of their failure
-// domain are gone, while other domains have room; and against callers who can't ask for
-// them or cancel them meanwhile. The processes that own the shards are lost on the way.
+// Guards against accepted jobs that wait for as long as their failure domain has no runners
+// while other domains have capacity, and against callers who can't query or cancel them
+// meanwhile. The processes that own the shards are killed during the transfer.
 func TestJobsOfADomainWithoutRunnersAreDone(t *testing.T) {
 	for _, lost := range []string{"", "giver", "taker", "all"} {
 		g := NewWithT(t)
@@ -60,7 +60,7 @@
 	}
 }
 
-// killOwners kills the processes that give jobs away, those that take them, or all.
+// killOwners kills the processes that transfer jobs away, those that receive them, or all.
 func (w *world) killOwners(which string) {
 	for _, n := range w.nodes {
 		giver := n.domain == "a"
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -1,9 +1,9 @@
-// Package fleet joins the cores of an entry process into one state machine: the
-// gateway that answers for callers' jobs, the scheduler, the choice of who
-// schedules, and the configuration in force.
+// Package fleet combines the components of an entry process into one state machine: the
+// gateway that answers callers, a scheduler and a ledger for each shard of the cell, the
+// election of the shards' leaders, and the configuration in force.
 //
-// It does no input or output and reads no clock. Events and the time go in by
-// its methods; Ready gives what is to be done, in order.
+// It does no input or output and reads no clock. Events and the current time are
+// passed to its methods; Ready returns the resulting commands in order.
 package fleet
 
 import (
@@ -24,8 +24,8 @@
 // Time is a reading of the process's monotonic clock.
 type Time = task.Time
 
-// TickInterval is how often Tick is to be called. It bounds how late a timeout
-// is noticed; the shortest is that of a stop, 70 ms.
+// TickInterval is the interval at which Tick must be called. It bounds how late a
+// timeout is noticed; the shortest timeout is that of a stop, 70 ms.
 const TickInterval = 20 * time.Millisecond
 
 // Node is the state of one entry process. It isn't safe for concurrent use.
@@ -34,95 +34,100 @@
 	grace  time.Duration
 	number uint64
 	table  routing.Table
-	// evacuations are the failure domains that get no new tasks.
+	// evacuations are the failure domains in which no new tasks are started.
 	evacuations routing.Evacuations
 	view        *leader.View
 	gateway     *gateway.Gateway
 	domain      string
-	// layout is unknown, and so shards are empty, at first. cell is the part of the
-	// deployment to which this process belongs, and own are the shards of the cell.
+	// layout is unknown, and shards and own are empty, until ApplyLayout is called. cell
+	// is the part of the deployment to which this process belongs, and own are the shards
+	// of that cell.
 	layout layout.Layout
 	cell   string
 	shards []*shard
 	own    []*shard
-	// members are the processes that are registered, member is this one, and fleet
-	// is nil until both are known.
+	// members are the registered processes, member is this one. fleet is nil until
+	// both are known.
 	members []topology.Member
 	member  topology.Member
 	fleet   *topology.Fleet
-	// seated: the VM schedules before those of its cell that aren't. widened is how
-	// often the number of seats was doubled, since no scheduler was in reach.
+	// seated reports whether this VM has a seat: within a cell, VMs with seats schedule
+	// before the others. seatDoublings is how often the number of seats was doubled
+	// because no scheduler was reachable.
 	seated        bool
 	seatDoublings int
-	// links are the connections last asked for.
+	// links are the connections requested by the last Connect command.
 	links []topology.Link
-	// connected are the connected processes, and sent when each was last sent a
-	// heartbeat.
+	// connected are the connected processes, and heartbeatSentAt is when each was last
+	// sent a heartbeat.
 	connected       map[leader.ID]bool
 	heartbeatSentAt map[leader.ID]Time
 
 	lastTick Time
-	// leadersReachedAt is when the leader of each shard was last in reach, or nobody
-	// could have led.
+	// leadersReachedAt is when the leaders of all shards of the cell were last reachable,
+	// or when no process could have led yet.
 	leadersReachedAt Time
 	lastArrival      Time
 	stopStartedAt    Time
-	// cpuWaitHigh: work waited for long when that was last looked at.
+	// cpuWaitHigh: the last call of RecordCPUWait reported a wait above the threshold.
 	cpuWaitHigh bool
-	// cpuDemotedAt is when this process last gave up the lead for being slow.
+	// cpuDemotedAt is when this process last gave up the lead because of CPU starvation.
 	cpuDemotedAt Time
-	// becameLeaderAt is when it last came to lead a shard.
+	// becameLeaderAt is when it last became the leader of a shard.
 	becameLeaderAt Time
-	// earlyRequests are requests that came before the shards were known.
+	// earlyRequests arrived before the shards were known.
 	earlyRequests []earlyRequest
-	// backlogTime is how long what waits in the shards led here would take their runners.
+	// backlogTime is how long the runners would need for the work that waits in the
+	// shards led here.
 	backlogTime time.Duration
-	// pending is what each process that leads has last said.
+	// pending holds, by leader, the pending jobs of each queue that it last reported.
 	pending map[leader.ID]map[string]int
 
 	runners RunnerList
-	// listKnown: a list of runners was read, or told by another process.
+	// listKnown: a list of runners was read from the store or received from another
+	// process.
 	listKnown bool
-	// digest is that of the list, and listSent that of the list which each
-	// process was last told on its connection.
+	// digest is the digest of runners, and sentDigest that of the list which was last
+	// sent to each process on its current connection.
 	digest     uint64
 	sentDigest map[leader.ID]uint64
 	listReadAt Time
 	listStale  bool
-	// staleLeaders are the leaders that can't read the list.
+	// staleLeaders are the connected leaders that can't read the list of runners.
 	staleLeaders map[leader.ID]bool
-	// storeFailedAt is when a call to the store last failed; 0 if none has.
+	// storeFailedAt is when a call to the store last failed; 0 if none has failed.
 	storeFailedAt Time
-	// lapsedSince are the runners of the list that are kept though their entries
-	// have lapsed, by when that was seen.
+	// lapsedSince holds the runners that are retained on the list after their entries
+	// lapsed, with the time at which this was noticed.
 	lapsedSince    map[workload.RunnerID]Time
 	removedRunners []removedRunner
-	// queries are questions of this process's callers that the leader was
-	// asked.
+	// queries are the queries of this process's callers that were sent to a leader.
 	queries map[uint64]bool
-	// relays are questions that were passed on, by the numbers that this process gave
-	// them, the latest of which is lastRelay.
+	// relays are the queries that were forwarded to the owner of another shard, by the
+	// request numbers that this process assigned; lastRelayID is the latest of them.
 	relays      map[uint64]relay
 	lastRelayID uint64
-	// cellVMs are the VMs of the cell, this one included; nil if they aren't known.
+	// cellVMs are the VMs of the cell, this one included; nil until they are known.
 	cellVMs []string
-	// unreachableSince are those of which no process has told of itself, by since when.
+	// unreachableSince holds the VMs of the cell from which no process has sent a
+	// heartbeat on a live connection, with the time since when.
 	unreachableSince map[string]Time
-	// othersReachableSince is since when all of vms are heard but those that are gone.
+	// othersReachableSince is since when all of cellVMs are reachable except those that
+	// are presumed gone; never if some aren't.
 	othersReachableSince Time
 	store                storeWatch
 	storedJobs           StoredJobs
-	// lostVMs are VMs whose processes fell silent, by when, and that aren't back, and
-	// doubtUntil is how long it is doubted that all VMs are heard by somebody.
+	// lostVMs are VMs whose processes fell silent and haven't reconnected, with the time
+	// of the loss. Until uncertainUntil some VM of the fleet may be unreachable from all
+	// other processes.
 	lostVMs        map[string]Time
 	uncertainUntil Time
 
 	out []Command
 }
 
-// New returns a node that isn't registered, on a VM with some thousandths of a
-// core. grace is the time from the start of a planned stop until the platform
-// ends the process.
+// New returns an unregistered node on a VM with milliCPU thousandths of a core. grace is
+// the time from the start of a planned stop until the platform kills the process.
 func New(cfg schedule.Config, grace time.Duration, milliCPU int, now Time) *Node {
 	n := &Node{
 		cfg:              cfg,
@@ -139,7 +144,7 @@
 		lostVMs:          make(map[string]Time),
 		pending:          make(map[leader.ID]map[string]int),
 		lastTick:         now,
-		// A process that doesn't know the others can't leave the lead to them.
+		// Without a list of members a process can't leave scheduling to others.
 		seated: true,
 
 		othersReachableSince: never,
@@ -153,14 +158,14 @@
 	return n
 }
 
-// SetDomain says in which failure domain the process is.
+// SetDomain sets the failure domain of the process.
 func (n *Node) SetDomain(domain string) {
 	n.domain = domain
 	n.member.Domain = domain
 	n.gateway.SetDomain(domain)
 }
 
-// Ready returns the commands since the last call.
+// Ready returns the commands issued since the last call.
 func (n *Node) Ready() []Command {
 	n.collect()
 	out := n.out
@@ -178,7 +183,7 @@
 	n.emit(Notice{Event: event, Warning: true, Fields: fields})
 }
 
-// collect passes commands between the cores, until none is left.
+// collect passes commands between the components until none is left.
 func (n *Node) collect() {
 	for {
 		commands := n.gateway.Ready()
@@ -265,20 +270,20 @@
 	}
 }
 
-// StoreAnswered takes what came of a StoreCall.
+// StoreAnswered passes on the result of a StoreCall.
 func (n *Node) StoreAnswered(now Time, shard int, r ledger.Result) {
 	n.detectStall(now)
 	n.shards[shard].ledger.Take(now, r)
 }
 
-// SetTimeOfDay says what the time of day is, in milliseconds since 1970.
+// SetTimeOfDay sets the time of day, in milliseconds since 1970.
 func (n *Node) SetTimeOfDay(now Time, ms int64) {
 	for _, s := range n.own {
 		s.schedule.SetTimeOfDay(now, ms)
 	}
 }
 
-// Registered gives the process its identity.
+// Registered sets the process's identity.
 func (n *Node) Registered(now Time, id leader.ID, number uint64) {
 	n.notice("process-registered", Field{"id", string(id)}, Field{"number", number})
 	n.view.Register(now, id, number)
@@ -291,7 +296,7 @@
 	n.membersChanged(now)
 }
 
-// ApplyDeclaration takes a configuration into force if it is newer.
+// ApplyDeclaration puts a configuration in force if it is newer than the current one.
 func (n *Node) ApplyDeclaration(now Time, d *routing.Declaration, source string) {
 	if !n.table.Apply(d) {
 		return
@@ -301,7 +306,7 @@
 	n.sendHeartbeats(now)
 }
 
-// Tick does what is due.
+// Tick handles expired timeouts and sends the heartbeats that are due.
 func (n *Node) Tick(now Time) {
 	n.detectStall(now)
 	n.lastTick = now
@@ -343,8 +348,9 @@
 	n.sendDueHeartbeats(now)
 }
 
-// detectStall notes that the process stood still. It comes before all else: what
-// arrived meanwhile would be answered from a state of long ago.
+// detectStall detects that the process was suspended. Every event handler calls it first:
+// state from before the pause is outdated, and events that arrived meanwhile must not be
+// handled with it.
 func (n *Node) detectStall(now Time) {
 	if pause := now - n.lastTick; pause > leader.StallLimit {
 		n.lastTick = now
@@ -352,9 +358,8 @@
 	}
 }
 
-// stalled gives up the lead after a pause: another process has taken the
-// runners meanwhile, and what this one believes to have lapsed may have been
-// taken over.
+// stalled gives up the lead after a pause. Another process has taken over the runners
+// meanwhile, and jobs or runs that this one considers expired may have been taken over.
 func (n *Node) stalled(now Time, pause time.Duration) {
 	n.warn("process-stalled", Field{"pause", ms(pause)}, Field{"leading", n.Leads()})
 	n.view.Stalled(now, n.Leads())
@@ -369,28 +374,28 @@
 	n.leadersReachedAt = now
 }
 
-// Self is the process's identity; "" before it is registered.
+// Self is the process's identity; empty before it is registered.
 func (n *Node) Self() leader.ID { return n.view.Self() }
 
 // Table is the configuration in force.
 func (n *Node) Table() routing.Table { return n.table }
 
-// ConfigVersion is that of the configuration in force; 0 before the first.
+// ConfigVersion is the version of the configuration in force; 0 if there is none.
 func (n *Node) ConfigVersion() uint64 { return n.table.Version() }
 
-// RunnersRevision is that of the list of runners that is known.
+// RunnersRevision is the revision of the known list of runners.
 func (n *Node) RunnersRevision() uint64 { return n.runners.Revision }
 
-// JobsInFlight is the number of jobs whose callers wait here.
+// JobsInFlight is the number of jobs whose callers wait for an answer from this process.
 func (n *Node) JobsInFlight() int { return n.gateway.InHand() }
 
-// Serves reports whether new callers should come here: a job finds a scheduler,
-// though perhaps not that of its home.
+// Serves reports whether new callers should connect here: jobs can be passed to a
+// scheduler, though perhaps not to that of their home shard.
 func (n *Node) Serves() bool {
 	return n.stopStartedAt == 0 && n.table.Current() != nil && (n.ReachesAllLeaders() || n.gateway.Reaches())
 }
 
-// ReachesAllLeaders reports whether the leader of each shard of the own cell is in reach.
+// ReachesAllLeaders reports whether the leader of each shard of the own cell is reachable.
 func (n *Node) ReachesAllLeaders() bool {
 	for _, s := range n.own {
 		if s.choice.Leader == "" || !s.choice.Reachable {
@@ -400,19 +405,19 @@
 	return len(n.own) > 0
 }
 
-// Started takes what came of a schedule.Start of a shard.
+// Started passes on the result of a schedule.Start of a shard.
 func (n *Node) Started(now Time, shard int, r schedule.StartResult) {
 	n.detectStall(now)
 	n.shards[shard].schedule.Started(now, r)
 }
 
-// Stopped takes what came of a schedule.Stop.
+// Stopped passes on the result of a schedule.Stop.
 func (n *Node) Stopped(now Time, shard int, r schedule.StopResult) {
 	n.detectStall(now)
 	n.shards[shard].schedule.Stopped(now, r)
 }
 
-// Held takes what came of a schedule.Hold.
+// Held passes on the result of a schedule.Hold.
 func (n *Node) Held(now Time, shard int, r schedule.HoldResult) {
 	n.detectStall(now)
 	n.shards[shard].schedule.Held(now, r)
--- a/core/fleet/peers.go
+++ b/core/fleet/peers.go
@@ -9,7 +9,7 @@
 	"sapphirepoint.example/sapphirepoint/core/schedule"
 )
 
-// PeerUp notes a connection with a process.
+// PeerUp handles a new connection with a process.
 func (n *Node) PeerUp(now Time, id leader.ID) {
 	n.detectStall(now)
 	n.connected[id] = true
@@ -24,8 +24,8 @@
 	n.gateway.Reconnected(now, id)
 }
 
-// PeerDown notes the end of a connection; ended says that the other process
-// said so itself. Else it may live, and silence decides.
+// PeerDown handles the end of a connection. ended: the other process reported that it
+// ends. Otherwise it may be alive, and counts as lost only after missed heartbeats.
 func (n *Node) PeerDown(now Time, id leader.ID, ended bool) {
 	n.detectStall(now)
 	delete(n.connected, id)
@@ -40,9 +40,9 @@
 	n.updateLeaders(now)
 }
 
-// peerLost drops what was in hand for a process, and the connection with it. On
-// one that is cut in one direction only, the other process would go on hearing
-// this one, and run its jobs on while they are handed to somebody else.
+// peerLost drops what was in flight for a process, and closes its connection. If only one
+// direction of it failed, the other process would still receive messages from this one, and
+// would continue jobs that are being passed to another process.
 func (n *Node) peerLost(now Time, id leader.ID, ended bool) {
 	n.warn("peer-lost", Field{"peer", string(id)}, Field{"ended", ended})
 	n.emit(Disconnect{Peer: id})
@@ -58,9 +58,9 @@
 	}
 }
 
-// disconnectAll gives up all connections after a pause. Others have done so, or are about
-// to; those that have ended meanwhile can't say so. What is still read from such a
-// connection may be of long ago, and jobs in it given to somebody else.
+// disconnectAll closes all connections after a pause. The other processes have closed them
+// already or are about to, and those that have ended meanwhile couldn't report it. Messages
+// that are still buffered may be outdated, and jobs in them may have been passed to others.
 func (n *Node) disconnectAll(now Time) {
 	for _, id := range n.peers() {
 		delete(n.connected, id)
@@ -71,7 +71,8 @@
 	}
 }
 
-// receiveHandIn takes jobs of a process that is connected.
+// receiveHandIn accepts a job from a connected process, and drops it if the connection has
+// ended.
 func (n *Node) receiveHandIn(now Time, from leader.ID, c gateway.HandIn) {
 	if !n.connected[from] {
 		n.notice("hand-in-dropped", Field{"job", string(c.Job.ID)}, Field{"entry", string(from)}, Field{"reason", "its connection has ended"})
@@ -80,7 +81,7 @@
 	n.submit(now, from, c)
 }
 
-// Receive takes a message. nil is a sign of life and nothing more.
+// Receive handles a message. A nil message only shows that the sender is alive.
 func (n *Node) Receive(now Time, from leader.ID, m Message) {
 	n.detectStall(now)
 	for _, s := range n.own {
@@ -154,8 +155,8 @@
 		}
 	}
 	if now-n.heartbeatSentAt[from] >= leader.HeartbeatInterval/2 {
-		// Sent now, the own heartbeat carries the connection's acknowledgement of
-		// the other one, which else takes a datagram by itself: one in four.
+		// Sent now, this process's heartbeat carries the connection's acknowledgement of
+		// the one received, which would otherwise need a datagram of its own: one in four.
 		n.sendHeartbeat(now, from)
 	}
 	delete(n.staleLeaders, from)
@@ -171,12 +172,12 @@
 			continue
 		}
 		if before.Leader(s.index) == from {
-			// It led on the other side of a cut, and has yielded.
+			// It led on the other side of a network partition and has yielded.
 			s.schedule.Reclaim(now)
 			continue
 		}
-		// It may have led for a moment without this process hearing of it, as
-		// two processes that start at the same time do.
+		// It may have led for a moment without this process learning of it, as happens
+		// when two processes start at the same time.
 		s.schedule.Retake(now)
 	}
 }
@@ -187,7 +188,7 @@
 // peers lists the connected processes in the order of their ids.
 func (n *Node) peers() []leader.ID { return slices.Sorted(maps.Keys(n.connected)) }
 
-// sendDueHeartbeats are due at equal distances; a tick may be a little early.
+// sendDueHeartbeats sends heartbeats at equal intervals; a tick may be slightly early.
 func (n *Node) sendDueHeartbeats(now Time) {
 	for _, id := range n.peers() {
 		if now-n.heartbeatSentAt[id] >= leader.HeartbeatInterval-TickInterval/2 {
@@ -196,7 +197,7 @@
 	}
 }
 
-// sendHeartbeats tells all processes of a change at once.
+// sendHeartbeats sends a heartbeat to all connected processes at once, to report a change.
 func (n *Node) sendHeartbeats(now Time) {
 	for _, id := range n.peers() {
 		n.sendHeartbeat(now, id)
--- a/core/fleet/processes_test.go
+++ b/core/fleet/processes_test.go
@@ -51,14 +51,13 @@
 	})
 }
 
-// enroll puts a process on the list of members, in place of an earlier one of its
-// VM.
+// enroll puts a process on the list of members, and removes an earlier process of its VM.
 func (w *world) enroll(n *fakeNode, number uint64) {
 	w.members = slices.DeleteFunc(w.members, func(m topology.Member) bool { return m.VM == n.name })
 	w.members = append(w.members, topology.Member{ID: string(n.id), VM: n.name, Domain: n.domain, Number: number, MilliCPU: n.milliCPU})
 }
 
-// do gives an event to a process, at once or when it wakes.
+// do passes an event to a process, at once or when it is resumed.
 func (w *world) do(n *fakeNode, f func()) {
 	if n.node == nil {
 		return
@@ -91,8 +90,8 @@
 	})
 }
 
-// wake lets a frozen process do what came meanwhile, before or after its own
-// timers.
+// wake resumes a frozen process. It handles the events queued meanwhile, before or after its
+// own timers.
 func (w *world) wake(n *fakeNode, incarnation int) {
 	if n.incarnation != incarnation || n.node == nil {
 		return
@@ -129,11 +128,11 @@
 	}
 }
 
-// redialPause is the pause after a connection that was refused.
+// redialPause is the pause after a refused connection.
 const redialPause = 100 * time.Millisecond
 
-// refuseConnection plays a connection that one side refuses, as it doesn't know the other one:
-// that one learns only that somebody is there.
+// refuseConnection simulates a connection that one side refuses because it doesn't know the
+// other process: the refused process learns only that its peer is alive.
 func (w *world) refuseConnection(n, o *fakeNode) bool {
 	if w.now >= w.unknownUntil[n.name] && w.now >= w.unknownUntil[o.name] {
 		return false
@@ -146,7 +145,7 @@
 	return true
 }
 
-// connectWanted makes the connections that a process is to make.
+// connectWanted makes the connections that a process is to dial.
 func (w *world) connectWanted(n *fakeNode) {
 	for _, l := range n.wanted {
 		id := leader.ID(l.ID)
@@ -165,7 +164,7 @@
 	}
 }
 
-// connectable reports whether two VMs have been able to talk for long enough.
+// connectable reports whether two VMs have been able to communicate for long enough.
 func (w *world) connectable(n, o *fakeNode) bool {
 	pair := [2]string{n.name, o.name}
 	if !w.canConnect(n, o) {
@@ -182,7 +181,7 @@
 	return nil
 }
 
-// storeLoop reads the configuration and the list of runners.
+// storeLoop reads the configuration and the list of runners periodically.
 func (w *world) storeLoop(n *fakeNode, incarnation int) {
 	if n.incarnation != incarnation || n.node == nil {
 		return
@@ -207,7 +206,7 @@
 	w.after(400*time.Millisecond, func() { w.storeLoop(n, incarnation) })
 }
 
-// list is the platform's list; the entries of a domain that is cut off lapse.
+// list is the platform's list; the entries of an isolated domain lapse.
 func (w *world) list() fleet.RunnerList {
 	w.revision++
 	l := fleet.RunnerList{Revision: w.revision}
@@ -316,7 +315,7 @@
 	n.id = ""
 }
 
-// kill ends a process without a word and starts it again after a while.
+// kill ends a process without notice to the others and restarts it after a while.
 func (w *world) kill(n *fakeNode, down time.Duration) {
 	if n.node == nil {
 		return
@@ -329,7 +328,7 @@
 	})
 }
 
-// stop sends SIGTERM, and starts the process again after it has ended.
+// stop begins a planned stop, and restarts the process after it has ended.
 func (w *world) stop(n *fakeNode) {
 	if n.node == nil {
 		return
@@ -356,7 +355,7 @@
 	return nil
 }
 
-// cutOff cuts a domain from all others and the store, for a while.
+// cutOff isolates a domain from all others and the store for a while.
 func (w *world) cutOff(domain string, d time.Duration) {
 	w.isolated[domain] = true
 	w.after(d, func() { delete(w.isolated, domain) })
--- a/core/fleet/queries.go
+++ b/core/fleet/queries.go
@@ -10,8 +10,8 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Query asks for a job's state, or with cancel to end it. A StateAnswer with
-// the request's number follows.
+// Query requests a job's state or, with cancel, its cancellation. A StateAnswer with the
+// request's number follows.
 func (n *Node) Query(now Time, request uint64, id workload.JobID, cancel bool) {
 	n.detectStall(now)
 	if !n.LayoutKnown() {
@@ -30,7 +30,7 @@
 	}
 }
 
-// ForgetQuery drops a question whose caller has left.
+// ForgetQuery drops the query of a caller that has disconnected.
 func (n *Node) ForgetQuery(request uint64) { delete(n.queries, request) }
 
 func (n *Node) receiveJobAnswer(m JobAnswer) {
@@ -47,35 +47,36 @@
 }
 
 const (
-	// endQueryTimeout is how long a question waits for a job whose tasks all run. A
-	// caller who sees that the work is done asks at once, some milliseconds
-	// before the runner's word is here; without an answer it would ask again
-	// much later.
+	// endQueryTimeout is how long a query waits for the end of a job whose tasks all run.
+	// A caller that sees the work done queries at once, some milliseconds before the
+	// runner's report arrives here; told that the job runs, it would query again much
+	// later.
 	endQueryTimeout = 40 * time.Millisecond
-	// saveQueryTimeout is how long a question waits for an end that is being written to
-	// the store: some milliseconds, a quarter of a second if the store is slow.
+	// saveQueryTimeout is how long a query waits for an end that is being written to the
+	// store: that takes some milliseconds, or a quarter of a second if the store is slow.
 	saveQueryTimeout = 400 * time.Millisecond
 )
 
-// pendingQuery is one that a caller's entry process has asked.
+// pendingQuery is the query of a caller, sent by its entry process.
 type pendingQuery struct {
 	from    leader.ID
 	request uint64
-	// shard is where the job is looked for, after it has left hops others.
+	// shard is the shard in which the job is looked up, after it has left hops others.
 	shard, hops int
-	// askedAt is when it came, and until how long it waits for the job's end, or
-	// for certainty. A cancelling that is being written has no such bound.
+	// askedAt is when the query arrived, and until is when it is answered at the latest,
+	// whether or not the job has ended and the state is certain. A query waiting for a
+	// cancellation to be written has no such limit, and until is 0.
 	askedAt Time
 	until   Time
 	cancel  bool
-	// awaitsSave: it waits for an end that is being written.
+	// awaitsSave: until was extended for an end that is being written.
 	awaitsSave bool
 }
 
-// handleQuery answers a question about a job, or has it answered later.
+// handleQuery answers a query, or queues it to be answered later.
 func (n *Node) handleQuery(now Time, q pendingQuery, id workload.JobID) {
-	// Callers ask only for stored jobs, and the process that has accepted the
-	// first one may not be heard here.
+	// Callers query only stored jobs, and the process that accepted the first one may
+	// not be reachable from here.
 	n.noteStoredJob(now)
 	s := n.ownShard(q.shard)
 	if s == nil {
@@ -96,9 +97,9 @@
 	}
 }
 
-// tryCancel cancels a job and tells what came of it. It reports false if the
-// question has to wait: until the cancelling is written, or for a moment until it
-// can be told whether there is such a job.
+// tryCancel cancels a job and answers the query. It reports false if the query has to
+// wait: until the cancellation is written or, for a limited time, until it is certain
+// whether the job exists.
 func (n *Node) tryCancel(now Time, s *shard, q *pendingQuery, id workload.JobID) bool {
 	state, done := s.schedule.Cancel(now, id)
 	switch {
@@ -128,7 +129,7 @@
 	s.pendingQueries[id] = append(s.pendingQueries[id], q)
 }
 
-// tickQueries answers questions that have waited long enough.
+// tickQueries answers queries whose time is up, or whose job's state has become final.
 func (n *Node) tickQueries(now Time, s *shard) {
 	for _, id := range slices.Sorted(maps.Keys(s.pendingQueries)) {
 		var rest []pendingQuery
@@ -143,7 +144,7 @@
 	}
 }
 
-// stillWaiting reports whether a question goes on waiting; else it is answered.
+// stillWaiting reports whether a query has to wait longer; otherwise it answers the query.
 func (n *Node) stillWaiting(now Time, s *shard, q *pendingQuery, id workload.JobID) bool {
 	if q.cancel {
 		return q.until == 0 || !n.tryCancel(now, s, q, id)
@@ -153,7 +154,7 @@
 	case now < q.until && state.Open():
 		return true
 	case state.Ending && !q.awaitsSave:
-		// It ended while the question waited.
+		// The job ended while the query waited.
 		q.until, q.awaitsSave = now+saveQueryTimeout, true
 		return true
 	}
@@ -161,13 +162,13 @@
 	return false
 }
 
-// answerSettled answers those who wait for a job's end to be in the store.
+// answerSettled answers the queries that wait until a job's end is in the store.
 func (n *Node) answerSettled(s *shard, c schedule.Settled) {
 	waiting := s.pendingQueries[c.Job]
 	delete(s.pendingQueries, c.Job)
 	for _, q := range waiting {
 		if q.cancel && !c.State.Ended {
-			// It goes to another shard, whose owner is to cancel it.
+			// The job moves to another shard, whose owner has to cancel it.
 			n.answerQuery(q, c.Job, schedule.JobState{Unsure: true})
 			continue
 		}
@@ -178,8 +179,8 @@
 	}
 }
 
-// answerQuery answers a question. That a job isn't known is a decision; how far it is,
-// other lines say.
+// answerQuery answers a query. Only an answer that the job is unknown is logged; the
+// progress of known jobs is logged elsewhere.
 func (n *Node) answerQuery(q pendingQuery, id workload.JobID, state schedule.JobState) {
 	if !state.Known && !state.Unsure {
 		n.notice("job-unknown", Field{"job", string(id)}, Field{"entry", string(q.from)}, Field{"stored-jobs", n.storedJobs.String()})
--- a/core/fleet/random_test.go
+++ b/core/fleet/random_test.go
@@ -16,7 +16,7 @@
 	firstSeed = flag.Uint64("fleet.first", 1, "seed of the first random run")
 )
 
-// fault is one kind of fault.
+// fault injects one kind of fault.
 type fault func(w *world)
 
 func randomNode(w *world) *fakeNode     { return w.nodes[w.rng.IntN(len(w.nodes))] }
@@ -115,8 +115,8 @@
 		w.after(w.randomDuration(500, 3000), func() { w.boot(fresh) })
 	},
 	"restart": func(w *world) { w.kill(randomNode(w), w.randomDuration(10, 300)) },
-	// The others don't know the new process for a while, since their feed from the
-	// store is stuck.
+	// The others don't know the new process for a while, since their watch of the store is
+	// stuck.
 	"unknown restart": func(w *world) {
 		n := randomNode(w)
 		w.kill(n, w.randomDuration(10, 300))
@@ -150,7 +150,7 @@
 	return append(faultNames(), "store for some", "part", "replace", "lost answers", "slow store", "kill all", "mute runners", "mute runners")
 }
 
-// randomRun plays twelve seconds of traffic with a fault about every 700 ms.
+// randomRun simulates twelve seconds of traffic with a fault about every 700 ms.
 func randomRun(seed uint64, shards int, names []string) (*world, []string) {
 	return randomRunOf(deployment(seed, shards), names)
 }
@@ -168,9 +168,9 @@
 	return w, played
 }
 
-// All kinds of faults strike while callers hand in jobs that are to be kept, ask
-// for them and cancel some. What was accepted is done once, or as often as its
-// queue allows, whoever is killed; and it is never said to be unknown.
+// Random faults of all kinds while callers submit, query and cancel stored jobs. An accepted
+// job must be completed, none of its tasks may be run more often than allowed, and no process
+// may report the job as unknown.
 func TestRandomFaultsWithStoredJobs(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -202,10 +202,10 @@
 	return w, played
 }
 
-// All kinds of faults strike at once and by turns, at any moment, while callers
-// of three failure domains send jobs. Whatever happens, no task runs twice at
-// the same time, a caller who is told that nothing has run finds that true for
-// ever, and a complete answer is complete.
+// Random faults of all kinds, also several at a time, while callers of three failure domains
+// submit jobs. No task may run twice at the same time, no task of a job may be started whose
+// caller is told NotRun, before or after, and a completed job must have completed all its
+// tasks.
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -221,8 +221,8 @@
 	g.Expect(served).To(BeNumerically(">", asked/2))
 }
 
-// Links between single VMs are cut, some VMs can't reach the store, and VMs are
-// replaced for good by others, beside the faults above. The promises hold.
+// Connections between single VMs are cut, some VMs can't reach the store, and VMs are
+// replaced for good by others, in addition to the faults above. The same invariants hold.
 func TestRandomFaultsOfLinks(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -234,7 +234,7 @@
 	}
 }
 
-// completed counts the jobs whose callers were told that they are complete.
+// completed counts the jobs whose callers were answered that they are completed.
 func (w *world) completed() int {
 	n := 0
 	for _, j := range w.jobs {
@@ -245,9 +245,9 @@
 	return n
 }
 
-// Failure domains are cells, and all kinds of faults strike, those of links among them.
-// Callers whose entry VM dies come again by another domain, whose schedulers know
-// nothing of the first try. The promises hold.
+// Failure domains are cells, with faults of all kinds, including those of connections.
+// Callers whose entry VM dies resubmit to another domain, whose schedulers know nothing of
+// the first attempt. The same invariants hold.
 func TestRandomFaultsInCells(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -264,8 +264,8 @@
 	g.Expect(served).To(BeNumerically(">", asked/2))
 }
 
-// The same with stored jobs, which belong to one shard of all, and with one or two shards
-// in a cell.
+// The same with stored jobs, each of which belongs to one shard of the whole fleet, and with
+// one or two shards in a cell.
 func TestRandomFaultsInCellsWithStoredJobs(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -285,54 +285,54 @@
 	return w, played
 }
 
-// Runs in cells that once broke a promise, with the cause.
+// Seeds in cells that once violated an invariant, with the cause.
 func TestCellRegressions(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	// A caller whose entry VM had died came again by another cell, and was told that
+	// A caller whose entry VM had died resubmitted to another cell, and was answered that
 	// nothing had run.
 	names := append(faultNames(), "store for some", "part", "part", "replace", "mute runners")
 	w, played := randomRunOf(cellDeployment(70012, 1), names)
 	g.Expect(w.checker.violations).To(BeEmpty(), "seed 70012: %v", played)
-	// A process that woke accepted a job that it found in its buffers, whose caller had
-	// been told by another one that it wasn't run.
+	// A resumed process accepted a job from its buffers whose caller had been answered by
+	// another process that it wasn't run.
 	w, played = storedCellRun(70099, 1)
 	g.Expect(w.checker.violations).To(BeEmpty(), "seed 70099: %v", played)
-	// The link between two VMs was cut. The one that led started a job that the other
-	// one had missed it with, and had begun to schedule itself.
+	// The connection between two VMs was cut. The leader started a job which the other VM,
+	// having lost its connection with the leader, had begun to schedule itself.
 	w, played = storedCellRun(71109, 1)
 	g.Expect(w.checker.violations).To(BeEmpty(), "seed 71109: %v", played)
-	// Two VMs that couldn't hear each other owned a shard by turns. The new owner
-	// acknowledged the end of a task that the old one, not knowing yet that it had lost
-	// the shard, was about to start again.
+	// Two VMs that couldn't reach each other owned a shard alternately. The new owner
+	// acknowledged the end of a task that the old owner, unaware that it had lost the
+	// shard, was about to start again.
 	w, played = storedCellRun(92566, 1)
 	g.Expect(w.checker.violations).To(BeEmpty(), "seed 92566: %v", played)
-	// A runner went out of the owner's sight with a task that had ended well there, while
-	// another process kept its lease alive. The owner started the task again, and the
+	// A runner with a successfully ended task became unreachable for the owner, while
+	// another process kept renewing its lease. The owner started the task again, and the
 	// next owner acknowledged the first end.
 	w, played = storedCellRun(5500042, 1)
 	g.Expect(w.checker.violations).To(BeEmpty(), "seed 5500042: %v", played)
-	// A job was refused for want of room and ran in another shard. Its entry VM died, and
-	// the copy was told that it had been refused.
+	// A job was refused for lack of capacity and ran in another shard. Its entry VM died,
+	// and the copy was answered with the refusal.
 	w, played = randomRunOf(cellDeployment(81131, 2), names)
 	g.Expect(w.checker.violations).To(BeEmpty(), "seed 81131: %v", played)
 }
 
-// Runs that once broke a promise, with the cause.
+// Seeds that once violated an invariant, with the cause.
 var regressions = map[uint64]string{
-	1:    "a caller whose entry VM had died was told that nothing had run, by a scheduler that had dropped the job or never known it",
-	5:    "every process was killed, and the first refusals of the new scheduler weren't true",
-	1252: "the leader of a domain that was cut off refused a job that had run on the other side",
-	1389: "an entry VM gave a job to an older process that had just woken, and the scheduler before it started the job too",
-	1586: "runners of a domain that was cut off were forgotten, so that nobody looked at them when its jobs were handed over",
+	1:    "a caller whose entry VM had died was answered that nothing had run, by a scheduler that had dropped the job or never known it",
+	5:    "every process was killed, and the first refusals of the new scheduler were false",
+	1252: "the leader of an isolated domain refused a job that had run on the other side of the partition",
+	1389: "an entry VM passed a job to an older process that had just resumed, and the previous scheduler started the job too",
+	1586: "runners of an isolated domain were forgotten, so that no scheduler queried them when the domain's jobs were handed over",
 }
 
-// The same with stored jobs.
+// Seeds with stored jobs that once violated an invariant, with the cause.
 var storedRegressions = map[uint64]string{
-	1011:  "the leader of a domain that was cut off refused a job as the cut healed, which another leader was about to accept",
-	1073:  "a process that came back to its jobs told callers that one was unknown which another had accepted",
-	2128:  "a process that had never been heard took the jobs of a leader behind a cut, which went on with them",
-	20383: "a new process refused a job that had run in a domain from which it had never heard",
+	1011:  "as a partition healed, the leader of the isolated domain refused a job that another leader was about to accept",
+	1073:  "a process that owned its jobs again reported a job as unknown that another process had accepted",
+	2128:  "a process that had never been reachable took the jobs of a leader behind a partition, which continued them",
+	20383: "a new process refused a job that had run in a domain that it had never reached",
 }
 
 func TestStoredRegressions(t *testing.T) {
@@ -351,8 +351,8 @@
 	}
 }
 
-// Guards against tasks that run twice, or are lost, as runners start again under their ids
-// while starts and ends are on their way, beside all other faults.
+// Guards against tasks that run twice or are lost when runners restart under their ids while
+// starts and ends are in flight, in addition to all other faults.
 func TestRandomRestartsOfRunners(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
--- a/core/fleet/runner_test.go
+++ b/core/fleet/runner_test.go
@@ -7,28 +7,27 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// fakeRunner keeps the promises of a runner in virtual time: it obeys the
-// highest token, kills what runs when the lease ends on its own clock, lists
-// ends until they are acknowledged, and never starts a run that was stopped.
+// fakeRunner implements a runner's contract in virtual time: it obeys the highest fencing
+// token, kills its runs when the lease expires on its own clock, lists ends until they are
+// acknowledged, and never starts a run that was stopped.
 type fakeRunner struct {
 	w    *world
 	info workload.Runner
-	// rate is the speed of its clock, offset its reading at time 0.
+	// rate is the speed of the runner's clock, and offset its reading at time 0.
 	rate   float64
 	offset int64
 	// workFactor times a task's work is its run time.
 	workFactor float64
-	// hangs: tasks stand still. fails: they fail at once.
+	// hangs: tasks never end. fails: tasks fail immediately.
 	hangs, fails bool
-	// lateShare of the orders stay unanswered and are carried out seconds
-	// later.
+	// lateShare of the orders stay unanswered and are carried out seconds later.
 	lateShare float64
-	// unansweredShare of the orders are carried out and not answered.
+	// unansweredShare of the orders are carried out, but not answered.
 	unansweredShare float64
 	down            bool
-	// born is the start of its lifetime.
+	// born is the start of the runner's incarnation, in milliseconds.
 	born int64
-	// started counts its runs.
+	// started counts the runs started.
 	started int
 
 	token        uint64
@@ -40,11 +39,11 @@
 	waitingHolds []*waitingHold
 }
 
-// fakeEnd is an end that isn't acknowledged.
+// fakeEnd is an unacknowledged end of a run.
 type fakeEnd struct {
 	workload.End
 	at time.Duration
-	// lapsed: the runner's lease has ended since.
+	// lapsed: the runner's lease has expired since the end.
 	lapsed bool
 }
 
@@ -63,12 +62,12 @@
 	return r.offset + int64(float64(r.w.now.Milliseconds())*r.rate)
 }
 
-// timeUntil is how long by the world's time timeUntil the runner's clock reads ms.
+// timeUntil is the virtual time until the runner's clock reads ms.
 func (r *fakeRunner) timeUntil(ms int64) time.Duration {
 	return time.Duration(float64(ms-r.clock())/r.rate*float64(time.Millisecond)) + time.Millisecond
 }
 
-// acceptToken checks a token; false means that the order is refused.
+// acceptToken checks a fencing token; false means that the order is refused.
 func (r *fakeRunner) acceptToken(token uint64) bool {
 	if token < r.token {
 		return false
@@ -209,7 +208,7 @@
 	h.answer(res)
 }
 
-// restart ends the lifetime, and begins another one under the same id.
+// restart ends the incarnation, and begins another one under the same id.
 func (r *fakeRunner) restart() {
 	r.crash()
 	r.down = false
@@ -219,10 +218,10 @@
 	r.runs, r.sealed = make(map[workload.RunKey]*fakeRun), make(map[workload.TaskName]int)
 }
 
-// worldStartMs is the time of day at which the world begins, in milliseconds.
+// worldStartMs is the time of day at which the simulation begins, in milliseconds.
 const worldStartMs = 1_760_000_000_000
 
-// crash ends the lifetime with all that runs.
+// crash ends the incarnation and all its runs.
 func (r *fakeRunner) crash() {
 	r.down = true
 	for _, k := range r.w.sortedRuns(r) {
--- a/core/fleet/runners.go
+++ b/core/fleet/runners.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// staleAfter is the age of the list at which the leader asks the others for
-	// theirs: two failed reads.
+	// staleAfter is the age of the list at which the leader requests those of other
+	// processes: two failed reads.
 	staleAfter = 1500 * time.Millisecond
-	// removedRetention is how long runners are remembered that have left the list:
-	// as long as runs may be alive on them that another scheduler has to know.
+	// removedRetention is how long runners are remembered after they left the list: as
+	// long as runs that another scheduler must be told of may be alive on them.
 	removedRetention = 3 * time.Second
 )
 
@@ -26,7 +26,7 @@
 	at   Time
 }
 
-// RunnersRead takes the list as this process has read it.
+// RunnersRead handles a list that this process has read from the store.
 func (n *Node) RunnersRead(now Time, list RunnerList) {
 	n.listReadAt = now
 	n.setListKnown()
@@ -42,19 +42,19 @@
 // inCell reports whether a process belongs to the own cell.
 func (n *Node) inCell(id leader.ID) bool { return n.view.Report(id).Cell == n.cell }
 
-// One process of a cell reads the list often, and tells the others when it says
-// something else: the rows change with each sign of life of a runner, and if all
-// leaders read them, that would be most of what they take from the store.
+// One process of a cell reads the list frequently, and sends it to the others when its
+// content changes. The rows change with every heartbeat of a runner; if all leaders read
+// them, that would be most of their load on the store.
 
 // readsForCell reports whether this process is that one: it leads the cell's first shard.
 func (n *Node) readsForCell() bool { return len(n.own) > 0 && n.own[0].leading() }
 
-// ShouldPollRunners reports whether the list should be read often here: for the cell, or for
-// a process that should and can't.
+// ShouldPollRunners reports whether this process should read the list frequently: for its
+// cell, or for a leader that can't read it.
 func (n *Node) ShouldPollRunners() bool { return n.readsForCell() || len(n.staleLeaders) > 0 }
 
-// ReceivesRunnerList reports whether this process needn't read the list, since the one that
-// reads it for the cell is in reach. Before anybody can lead the VMs with seats read.
+// ReceivesRunnerList reports whether this process needn't read the list because the one that
+// reads it for the cell is reachable. Until the layout is known VMs with seats read it.
 func (n *Node) ReceivesRunnerList() bool {
 	if !n.LayoutKnown() {
 		return !n.seated
@@ -66,7 +66,7 @@
 
 func (n *Node) askForRunners() { n.emit(ReadRunners{}) }
 
-// checkRunners notes whether the list can't be read at present.
+// checkRunners updates whether the list is stale, i.e. can't be read at present.
 func (n *Node) checkRunners(now Time) {
 	n.listStale = n.readsForCell() && now-n.listReadAt > staleAfter
 }
@@ -78,8 +78,8 @@
 	}
 }
 
-// runnersOfCell picks the runners of the own cell. Those of others are none of this
-// process's business; before the layout is known all may be.
+// runnersOfCell selects the runners of the own cell. Until the layout is known it returns
+// all runners, since each may belong to the cell.
 func (n *Node) runnersOfCell(list []workload.Runner) []workload.Runner {
 	if !n.layout.Divided() {
 		return list
@@ -87,7 +87,7 @@
 	return slices.DeleteFunc(slices.Clone(list), func(r workload.Runner) bool { return n.layout.Cell(r.Domain) != n.cell })
 }
 
-// takeRunners takes a list if it is newer than the one known.
+// takeRunners applies a list if it is newer than the known one.
 func (n *Node) takeRunners(now Time, list RunnerList, source string) {
 	if list.Revision <= n.runners.Revision {
 		return
@@ -112,20 +112,20 @@
 	}
 }
 
-// updateRunners tells a process the list if its own is older and says something
-// else. It needs the list when it comes to lead, and when it hands jobs to
-// another scheduler.
+// updateRunners sends the list to a process whose own list is older and has other content.
+// That process needs it when it becomes the leader, and when it passes jobs to another
+// scheduler.
 //
-// Telling each change when it is read isn't enough: whoever reads of a new runner
-// and leads only a moment later has told nobody. If it is lost then, its
-// successor doesn't look at that runner, and starts tasks again that run there.
+// Sending each change when it is read isn't enough: a process that reads of a new runner
+// and becomes the leader only a moment later has sent it to nobody. If that process is then
+// lost, its successor doesn't query the new runner, and starts tasks again that run there.
 func (n *Node) updateRunners(id leader.ID, h Heartbeat) {
 	if n.Leads() && n.inCell(id) && h.RunnersDigest != n.digest && h.RunnersRevision < n.runners.Revision {
 		n.sendRunners(id)
 	}
 }
 
-// sendRunners tells a process the list, unless it has just been told the same.
+// sendRunners sends the list to a process, unless that was last sent the same content.
 func (n *Node) sendRunners(id leader.ID) {
 	if n.sentDigest[id] == n.digest {
 		return
@@ -134,12 +134,12 @@
 	n.emit(Send{To: id, Message: n.runners})
 }
 
-// digestOf is the same for lists with the same runners in the same states and with the
-// same room.
+// digestOf is equal for lists with the same runners in the same states and with the same
+// capacities.
 func digestOf(list []workload.Runner) uint64 {
 	h := xxhash.New()
 	for _, r := range list {
-		// A hash takes all writes.
+		// Writing to a hash never fails.
 		_, _ = fmt.Fprintf(h, "%s %s %t %t %d %v\n", r.ID, r.Service, r.Draining, r.Lapsed, r.Born, r.Capacity)
 	}
 	return h.Sum64()
@@ -160,8 +160,8 @@
 	}
 }
 
-// reportPossibleRuns tells the next scheduler of a shard where the one before may have
-// started the jobs that this process is about to hand in again.
+// reportPossibleRuns tells the new leader of a shard on which runners the previous one may
+// have started the jobs that this process is about to pass on again.
 func (n *Node) reportPossibleRuns(now Time, s *shard) {
 	if s.choice.Leader == n.Self() {
 		s.schedule.Suspect(now, n.recentRunners(s))
@@ -170,12 +170,12 @@
 	n.sendPossibleRunners(s)
 }
 
-// sendPossibleRunners tells a shard's leader on which runners something may run.
+// sendPossibleRunners sends to a shard's leader the runners on which its jobs may run.
 func (n *Node) sendPossibleRunners(s *shard) {
 	n.emit(Send{To: s.choice.Leader, Message: RunnerList{Revision: n.runners.Revision, Runners: n.recentRunners(s), Handover: true}})
 }
 
-// recentRunners lists a shard's runners, and those that have left the list of late.
+// recentRunners lists a shard's runners, including those that left the list recently.
 func (n *Node) recentRunners(s *shard) []workload.Runner {
 	all := slices.Clone(n.runners.Runners)
 	for _, d := range n.removedRunners {
@@ -184,7 +184,7 @@
 	return n.runnersOfShard(s, all)
 }
 
-// suspectRunners passes runners that are handed over to their schedulers.
+// suspectRunners passes the runners of a handover to the schedulers of their shards.
 func (n *Node) suspectRunners(now Time, list []workload.Runner) {
 	for _, s := range n.own {
 		if own := n.runnersOfShard(s, list); len(own) > 0 {
--- a/core/fleet/shards.go
+++ b/core/fleet/shards.go
@@ -9,20 +9,20 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// shard is a part of the runners with a leader of its own, and the jobs that it
-// takes. Of a shard of another cell only the leader is known.
+// shard is a subset of the runners with a leader of its own, and the jobs that run on them.
+// Of a shard of another cell only index and choice are set.
 type shard struct {
 	index    int
 	choice   leader.Choice
 	schedule *schedule.Scheduler
-	// ledger keeps the shard's stored jobs.
+	// ledger stores the shard's stored jobs.
 	ledger *ledger.Ledger
-	// pendingQueries wait until the store has a job's end.
+	// pendingQueries wait for a job's end or for its state to become certain.
 	pendingQueries map[workload.JobID][]pendingQuery
 }
 
-// ApplyLayout sets how the runners are divided, once: it is kept in the platform's
-// store and the same in all processes.
+// ApplyLayout sets how the runners are divided into shards. Only the first call has an
+// effect: the layout is in the platform's store and the same in all processes.
 func (n *Node) ApplyLayout(now Time, l layout.Layout) {
 	if n.LayoutKnown() || len(l) == 0 {
 		return
@@ -56,7 +56,7 @@
 	n.own = append(n.own, s)
 }
 
-// otherShards are the shards to which jobs may go but their home.
+// otherShards are the shards that jobs may be passed to besides their home shard.
 func (n *Node) otherShards() gateway.Shards {
 	var o gateway.Shards
 	for i, cell := range n.layout {
@@ -69,20 +69,20 @@
 	return o
 }
 
-// LayoutKnown reports whether the number of shards is known.
+// LayoutKnown reports whether the shards are known.
 func (n *Node) LayoutKnown() bool { return len(n.shards) > 0 }
 
-// updateAble says whether this process could schedule: it knows the shards, the
-// configuration, which failure domains are evacuated, and a list of runners. One that
-// has just started beside a slow store may have to be told the list by another process;
-// without it, it would refuse all jobs. A VM without a seat leaves scheduling to those
-// that have one, until none of them has been in reach for a while.
+// updateAble updates whether this process is able to schedule: it knows the shards, the
+// configuration, the evacuated failure domains and a list of runners. Without a list it
+// would refuse all jobs; a process that has just started while the store is slow may have to
+// receive the list from another process. A VM without a seat leaves scheduling to those that
+// have one, until none of them has been reachable for a while.
 func (n *Node) updateAble() {
 	able := n.LayoutKnown() && n.table.Current() != nil && n.evacuations.Version > 0 && n.listKnown
 	n.view.SetAble(able, !n.seated && !n.Leads())
 }
 
-// shardOfJob is the shard of a job that comes from a caller here.
+// shardOfJob is the home shard of a job that a caller submits here.
 func (n *Node) shardOfJob(job *workload.Job) int {
 	if job.Stored {
 		return n.layout.OfStoredJob(job.ID)
@@ -90,8 +90,7 @@
 	return n.layout.OfJob(job.ID, n.cell)
 }
 
-// ownShard is the shard of a job that another process has handed in here; nil if
-// this process has no such shard.
+// ownShard is the shard with an index; nil if it doesn't exist or belongs to another cell.
 func (n *Node) ownShard(index int) *shard {
 	if index < 0 || index >= len(n.shards) || n.shards[index].schedule == nil {
 		return nil
@@ -136,10 +135,10 @@
 	return term
 }
 
-// updateLeaders acts on changes of the processes that lead. All others are told at once
-// only what this process leads: whom it follows they learn from its next heartbeat.
-// If each change were told, each would bring the next, since a leader hears from
-// all that updateLeaders it.
+// updateLeaders acts on changes of leaders. Only a change of what this process leads is
+// reported to all others at once; whom it follows they learn from its next heartbeat. If
+// each change were reported at once, each report would cause the next, since a leader
+// receives reports from all that follow it.
 func (n *Node) updateLeaders(now Time) {
 	changed := false
 	for _, s := range n.shards {
@@ -154,8 +153,7 @@
 	}
 }
 
-// updateLeader acts on a change of a shard's leader, and reports whether there was
-// one.
+// updateLeader acts on a change of a shard's leader, and reports whether there was one.
 func (n *Node) updateLeader(now Time, s *shard) bool {
 	c := n.view.Choose(now, s.index, s.leading())
 	if s.schedule != nil {
@@ -198,7 +196,7 @@
 // leading reports whether this process leads the shard.
 func (s *shard) leading() bool { return s.schedule != nil && s.schedule.Leading() }
 
-// retire gives up a shard, and tells the next leader what has been done.
+// retire gives up the lead of a shard, and sends the progress of its jobs to the next leader.
 func (n *Node) retire(now Time, s *shard) {
 	if s.schedule.Leading() && s.choice.Reachable {
 		n.sendPossibleRunners(s)
@@ -207,7 +205,7 @@
 	s.retire(now)
 }
 
-// retire drops all that the process knows as the shard's leader.
+// retire discards all state that the process holds as the shard's leader.
 func (s *shard) retire(now Time) {
 	s.schedule.Retire(now)
 	s.ledger.Retire()
@@ -222,7 +220,7 @@
 	return list
 }
 
-// DumpShards describes each shard as this process sees it, for dumps.
+// DumpShards describes each shard from this process's view, for dumps.
 func (n *Node) DumpShards(now Time) []ShardDump {
 	var list []ShardDump
 	for _, s := range n.shards {
@@ -236,17 +234,17 @@
 	return list
 }
 
-// ShardDump is one shard as a process sees it.
+// ShardDump describes one shard from a process's view.
 type ShardDump struct {
-	// Cell is that of the shard; "" if runners are pooled.
+	// Cell is the shard's cell; empty if runners are pooled.
 	Cell      string `json:"cell,omitempty"`
 	Leader    string `json:"leader"`
 	Reachable bool   `json:"reachable"`
-	// Scheduler is left out for shards of other cells.
+	// Scheduler is omitted for shards of other cells.
 	Scheduler *schedule.Dump `json:"scheduler,omitempty"`
 }
 
-// Counters are the totals of this process's schedulers.
+// Counters are the summed counters of this process's schedulers.
 func (n *Node) Counters() schedule.Counters {
 	var sum schedule.Counters
 	for _, s := range n.own {
--- a/core/fleet/start_test.go
+++ b/core/fleet/start_test.go
@@ -25,9 +25,8 @@
 	return list
 }
 
-// A process is up again after a loss of power, and a job comes before it has read
-// how the runners are divided. The caller doesn't come twice: the job waits for
-// these milliseconds. If they become many it is told that nobody serves it.
+// A process restarts, and a job arrives before it knows the layout. The job must wait for it,
+// since its caller won't submit twice; after earlyTimeout the job is answered.
 func TestEarlyRequestsWait(t *testing.T) {
 	g := NewWithT(t)
 	job := &workload.Job{ID: "0000000000000001", Queue: queue, Service: service, Steps: []workload.Step{{Tasks: 1}}}
@@ -50,9 +49,9 @@
 	g.Expect(got[0].Outcome).To(Equal(workload.GaveUp))
 }
 
-// Processes are stopped and started in turn while the store is slow. One that has
-// started knows the configuration and the shards before the list of runners; if
-// it led, it would refuse all jobs since no runner can be reached.
+// Processes are restarted one by one while the store is slow. A restarted process knows the
+// configuration and the shards before the list of runners. It must not lead yet: it would
+// refuse all jobs because it has no runners.
 func TestNobodyLeadsWithoutAListOfRunners(t *testing.T) {
 	g := NewWithT(t)
 	n := fleet.New(schedule.DefaultConfig(), grace, 400, 0)
@@ -71,9 +70,9 @@
 	g.Expect(n.Leads()).To(BeTrue())
 }
 
-// Guards against a restarted process that leads beside the others: they don't know it yet
-// and refuse its connections, so it hears nobody, though it sees that they are there. It
-// took their runners, and what ran stood still for half a second.
+// Guards against a restarted process that leads besides the current leader. The others don't
+// know it yet and refuse its connections, so it receives no heartbeat, though it notices that
+// they are alive. It took their runners, and running tasks stalled for half a second.
 func TestAProcessThatOthersDontKnowDoesntLead(t *testing.T) {
 	for name, w := range map[string]*world{"pooled": deployment(1, 1), "cells": cellDeployment(1, 1)} {
 		g := NewWithT(t)
@@ -93,8 +92,8 @@
 	}
 }
 
-// Guards against a deployment that nobody leads, since those who refuse a process never
-// come to know it.
+// Guards against a deployment without a leader because the processes that refuse a new one
+// never learn of it.
 func TestAProcessThatStaysUnknownLeadsInTheEnd(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 1)
--- a/core/fleet/stop.go
+++ b/core/fleet/stop.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// minStopTime is how long a stopping process stays at least: the platform
-	// sees within two health checks, a second apart, that it isn't ready.
+	// minStopTime is how long a stopping process runs at least: the platform notices
+	// within two health checks, a second apart, that the process isn't ready.
 	minStopTime = 2500 * time.Millisecond
-	// stopQuietPeriod is how long no request must have come before it ends early.
+	// stopQuietPeriod is how long no request must have arrived before the process ends
+	// ahead of its grace period.
 	stopQuietPeriod = 700 * time.Millisecond
-	// stopEstimateFactor and stopMargin are what a job that comes during a planned
-	// stop must have left: twice its estimate, which one job in twenty exceeds,
-	// and the time to find a runner.
+	// A job that arrives during a planned stop must have stopEstimateFactor times its
+	// estimate left, which one job in twenty exceeds, and stopMargin for finding a
+	// runner.
 	stopEstimateFactor = 2
 	stopMargin         = 200 * time.Millisecond
 	// stopReserve is how long before the platform kills it the process ends.
 	stopReserve = 500 * time.Millisecond
-	// stopRetryAfter is when a caller may come back, to another entry VM.
+	// stopRetryAfter is when a caller may retry, at another entry VM.
 	stopRetryAfter = time.Second
 )
 
-// Stop begins a planned stop: another process takes over what this one
-// schedules, and it serves its callers until the grace is nearly over.
+// Stop begins a planned stop: another process takes over the shards that this one leads,
+// and it serves its callers until the grace period is nearly over.
 func (n *Node) Stop(now Time) {
 	if n.stopStartedAt > 0 {
 		return
@@ -39,7 +40,7 @@
 	n.updateLeaders(now)
 }
 
-// StopComplete reports whether a planned stop is over.
+// StopComplete reports whether a planned stop is complete and the process may exit.
 func (n *Node) StopComplete(now Time) bool {
 	if n.stopStartedAt == 0 {
 		return false
@@ -50,11 +51,11 @@
 	return now-n.stopStartedAt > minStopTime && n.gateway.InHand() == 0 && now-n.lastArrival > stopQuietPeriod
 }
 
-// GiveUp answers all callers, as the process ends.
+// GiveUp answers all waiting callers with the outcome GaveUp, as the process ends.
 func (n *Node) GiveUp(now Time) { n.gateway.GiveUp(now, "the process ends") }
 
-// timeToServe reports whether a job that comes now will probably be done before
-// the process has to end.
+// timeToServe reports whether a job that arrives now will probably complete before the
+// process has to end.
 func (n *Node) timeToServe(now Time, job *workload.Job) bool {
 	if n.stopStartedAt == 0 {
 		return true
--- a/core/fleet/store_test.go
+++ b/core/fleet/store_test.go
@@ -12,26 +12,25 @@
 )
 
 const (
-	// storeDelay is the time of a call to the store, storeTimeout that after
-	// which it is given up.
+	// storeDelay is the duration of a call to the store, and storeTimeout the time after
+	// which a call is given up.
 	storeDelay   = 4 * time.Millisecond
 	storeTimeout = 1500 * time.Millisecond
 )
 
-// fakeStore keeps the rows of the shards in virtual time.
+// fakeStore stores the rows of the shards in virtual time.
 type fakeStore struct {
 	shards map[int]*fakeRows
-	// lostShare of the writes are done, at once or seconds later, and not
-	// answered.
+	// lostShare of the writes are carried out, at once or seconds later, but not answered.
 	lostShare float64
-	// delayFactor times the usual delay.
+	// delayFactor multiplies the usual delay.
 	delayFactor int
 }
 
 type fakeRows struct {
 	ownership ledger.Ownership
 	owner     leader.ID
-	// excluded VMs may not take the rows until a time.
+	// excluded VMs may not claim the rows until excludedUntil.
 	excluded      []string
 	excludedUntil time.Duration
 	records       map[workload.JobID]ledger.Record
@@ -73,7 +72,7 @@
 	return ledger.Applied
 }
 
-// storeCall carries a ledger's call to the store and its result back.
+// storeCall passes a ledger's call to the store and its result back.
 func (w *world) storeCall(n *fakeNode, c fleet.StoreCall) {
 	rows, sent, incarnation := w.store.rows(c.Shard), w.now, n.incarnation
 	travel := storeDelay / 2 * time.Duration(w.store.delayFactor)
@@ -120,8 +119,8 @@
 	}
 }
 
-// storeDo has a call done. A store that can't be reached turns it away or stays
-// silent; one that loses answers may do it seconds later.
+// storeDo carries out a call. An unreachable store rejects the call or leaves it unanswered;
+// with lostShare set, a call may be carried out seconds later and stay unanswered.
 func (w *world) storeDo(n *fakeNode, travel time.Duration, do func() ledger.Outcome, answered func(ledger.Outcome), silent func()) {
 	incarnation := n.incarnation
 	if !w.storeReachable(n) {
@@ -153,10 +152,10 @@
 	})
 }
 
-// pollInterval is how often callers ask how far a stored job is.
+// pollInterval is the interval at which callers query a stored job.
 const pollInterval = 300 * time.Millisecond
 
-// poll asks for a stored job's state until it has ended, and may cancel it.
+// poll queries a stored job until it has ended, and may cancel it.
 func (w *world) poll(j *fakeJob) {
 	w.after(pollInterval, func() {
 		if j.ended {
@@ -185,19 +184,19 @@
 	})
 }
 
-// jobQuery is a question that a caller has asked.
+// jobQuery is a query sent by a caller.
 type jobQuery struct {
 	job      *fakeJob
 	cancel   bool
 	answered bool
-	// passive: its answer changes nothing of what the caller does.
+	// passive: the answer doesn't affect the caller's next actions.
 	passive bool
 }
 
-// queryTimes are when all processes are asked for a job, after it was accepted.
+// queryTimes are when all processes are queried for a job, after its acceptance.
 var queryTimes = []time.Duration{0, time.Millisecond, 20 * time.Millisecond, 150 * time.Millisecond, 440 * time.Millisecond, 1200 * time.Millisecond, 5 * time.Second}
 
-// queryAllNodes asks all processes for a job, also those that are frozen or cut off.
+// queryAllNodes queries all processes for a job, including frozen or isolated ones.
 func (w *world) queryAllNodes(j *fakeJob) {
 	for _, d := range queryTimes {
 		w.after(d, func() {
--- a/core/fleet/storedjobs.go
+++ b/core/fleet/storedjobs.go
@@ -1,30 +1,29 @@
 package fleet
 
-// A scheduler that takes over must own and read the stored jobs before it may
-// forget what runners list of jobs that it doesn't know. In a deployment without
-// stored jobs that would cost calls to the store, and hold it up for nothing
-// whenever the store is away. So the processes tell each other whether there are
-// any.
+// A scheduler that takes over must own and read the stored jobs before it may discard runs
+// of unknown jobs that runners report. In a deployment without stored jobs that would cost
+// calls to the store, and delay the takeover whenever the store is unavailable. Therefore
+// heartbeats report whether there are any stored jobs.
 
-// StoredJobs is what a process knows about stored jobs in the deployment.
+// StoredJobs is what a process knows about the existence of stored jobs in the deployment.
 type StoredJobs uint8
 
 // What is known about stored jobs.
 const (
-	// StoredJobsUnknown: there may be some.
+	// StoredJobsUnknown: the deployment may have stored jobs.
 	StoredJobsUnknown StoredJobs = iota
-	// NoStoredJobs: the store had none, and none has been handed in since.
+	// NoStoredJobs: the store had none, and none has been submitted since.
 	NoStoredJobs
-	// HasStoredJobs: there are, or were, some.
+	// HasStoredJobs: there are stored jobs, or there were.
 	HasStoredJobs
 )
 
 var storedJobsNames = [...]string{"unknown", "none", "some"}
 
-// String is for logs.
+// String is used in logs.
 func (k StoredJobs) String() string { return storedJobsNames[k] }
 
-// StoredJobsRead tells whether the store has any stored jobs, as it was read.
+// StoredJobsRead handles the result of reading the store: any says that it has stored jobs.
 func (n *Node) StoredJobsRead(now Time, any bool) {
 	if any {
 		n.learnStoredJobs(now, HasStoredJobs)
@@ -33,7 +32,7 @@
 	n.learnStoredJobs(now, NoStoredJobs)
 }
 
-// learnStoredJobs takes another process's knowledge, or what has been read.
+// learnStoredJobs applies what another process reports or what has been read.
 func (n *Node) learnStoredJobs(now Time, known StoredJobs) {
 	if known <= n.storedJobs {
 		return
@@ -46,15 +45,16 @@
 	}
 }
 
-// acquireRows takes the rows of a shard that this process leads, if it may have some.
+// acquireRows begins to claim ownership of the rows of a shard that this process leads,
+// unless there are no stored jobs.
 func (n *Node) acquireRows(now Time, s *shard) {
 	if s.schedule.Leading() && n.storedJobs != NoStoredJobs {
 		s.ledger.Lead(now)
 	}
 }
 
-// noteStoredJob notes a stored job. All others are told before it is accepted, which
-// takes a call to the store.
+// noteStoredJob records that a stored job exists, and reports it to all other processes.
+// They learn it before the job is accepted, since that takes a call to the store.
 func (n *Node) noteStoredJob(now Time) {
 	if n.storedJobs == HasStoredJobs {
 		return
--- a/core/fleet/storewatch.go
+++ b/core/fleet/storewatch.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// A leader that needs the store and is turned away by it can't accept jobs, nor
-// acknowledge what has ended, while another process may reach it. So it asks the
-// others, and gives up the lead if one does. If none does, the lead stays where
-// the jobs are known: another one couldn't even read them.
+// A leader that needs the store and can't reach it can neither accept stored jobs nor
+// acknowledge their ends, while another process may reach the store. It asks the others to
+// probe the store, and gives up the lead if one of them succeeds. If none does, it stays the
+// leader because it holds the jobs in memory, and a successor couldn't even read them.
 
 const (
-	// storeLostAfter is how long all calls of a leader to the store must have
-	// failed until it asks: a few tries, and more than a slow answer takes.
+	// storeLostAfter is how long all calls of a leader to the store must have failed until
+	// it asks the others: a few attempts, and longer than a slow answer takes.
 	storeLostAfter = 500 * time.Millisecond
-	// probeInterval is how often a process tries to reach the store while it is
-	// asked to, and probeFresh how old the last success may be.
+	// probeInterval is how often a process probes the store while it is asked to, and
+	// probeFresh the maximum age of its last success.
 	probeInterval = 300 * time.Millisecond
 	probeFresh    = time.Second
 )
 
-// storeWatch is what a process knows of its own way to the store.
+// storeWatch is the state of this process's probes of the store.
 type storeWatch struct {
 	probing   bool
 	probedAt  Time
 	reachedAt Time
-	// failed: the last probe has failed.
+	// failed: the last probe failed.
 	failed bool
-	// lost: this process says that another one should lead.
+	// lost: this process reports that it can't reach the store and that another one
+	// should lead.
 	lost bool
 }
 
-// ProbeStore asks for a call to the store. Its result is given to StoreProbed.
+// ProbeStore requests a call to the store. Its result is passed to StoreProbed.
 type ProbeStore struct{}
 
 func (ProbeStore) command() {}
 
-// StoreProbed takes what came of a ProbeStore.
+// StoreProbed handles the result of a ProbeStore.
 func (n *Node) StoreProbed(now Time, reached bool) {
 	n.store.probing = false
 	n.store.failed = !reached
@@ -42,8 +43,8 @@
 	}
 }
 
-// watchStore asks, probes, and gives up the lead to a process that reaches the
-// store.
+// watchStore asks other processes for probes of the store, probes it when asked, and gives
+// up the lead to a process that reaches the store.
 func (n *Node) watchStore(now Time) {
 	trouble := n.storeTrouble(now)
 	asked := trouble
@@ -74,8 +75,8 @@
 	n.view.SetStoreLost(n.store.lost)
 }
 
-// storeTrouble reports whether this process leads a shard whose stored jobs wait
-// for the store.
+// storeTrouble reports whether this process leads a shard whose stored jobs are blocked
+// because the store is unreachable.
 func (n *Node) storeTrouble(now Time) bool {
 	for _, s := range n.own {
 		if s.schedule.Leading() && s.schedule.NeedsStore() && s.ledger.FailingFor(now) > storeLostAfter {
--- a/core/fleet/uncertainty.go
+++ b/core/fleet/uncertainty.go
@@ -7,39 +7,42 @@
 	"sapphirepoint.example/sapphirepoint/core/schedule"
 )
 
-// A caller whose entry VM has died, or is cut off, sends its job again, and perhaps to
-// another cell. Its schedulers don't miss that VM, and would tell the caller that
-// nothing of the job was run, which they can't know. So processes tell each other in
-// heartbeats that a VM is missing, or was of late. The word comes to all cells by the
-// connections between them before the caller does:
+// A caller whose entry VM has died or is cut off resubmits its job, possibly to another
+// cell. The schedulers of that cell aren't connected with the lost VM, and would answer
+// that no task of the job was run, which they can't know. Therefore heartbeats report that a
+// VM is unreachable or was until recently. This reaches all cells over the connections
+// between them before the caller resubmits:
 //
-//	the VM is missed by its cell       450 ms after its last word, and a tick
-//	heartbeats within and between      150 ms each, four of them at most
-//	callers send a job again           1,300 ms after their connection broke
+//	the VM counts as lost in its cell      450 ms after its last message, and a tick
+//	heartbeats within and between cells    150 ms each, four of them at most
+//	callers resubmit a job                 1,300 ms after their connection broke
 
 const (
-	// uncertaintyPeriod is how long after a VM was missed copies of its jobs may come.
+	// uncertaintyPeriod is how long after a VM was unreachable copies of its jobs may
+	// arrive.
 	uncertaintyPeriod = 4 * time.Second
-	// relayedUncertaintyDecay is taken off what was heard. Else two processes would keep each
-	// other in doubt, as each word is a little older than it says.
+	// relayedUncertaintyDecay is subtracted from the remaining time that another process
+	// reports. A report is older on arrival than it states, so without this two processes
+	// would prolong each other's uncertainty for ever.
 	relayedUncertaintyDecay = 100 * time.Millisecond
 )
 
-// updateUncertainty reports whether copies of jobs may come of which something has run in another
-// cell, and notes the reasons that this process sees itself.
+// updateUncertainty reports whether copies of jobs may arrive whose tasks were started in
+// another cell. missing says that a VM of the cell is unreachable and may be alive.
 func (n *Node) updateUncertainty(now Time, missing bool) bool {
 	if !n.layout.Divided() {
 		return false
 	}
 	maps.DeleteFunc(n.lostVMs, func(_ string, since Time) bool { return now-since >= schedule.MissingMost })
-	// A VM without a seat isn't connected with all of its cell, and misses some always.
+	// A VM without a seat isn't connected with its whole cell, so some VMs are always
+	// unreachable from it.
 	if missing && n.seated || len(n.lostVMs) > 0 {
 		n.uncertainUntil = now + uncertaintyPeriod
 	}
 	return now < n.uncertainUntil
 }
 
-// extendUncertainty takes the doubt of another process.
+// extendUncertainty applies the remaining uncertainty that another process reports.
 func (n *Node) extendUncertainty(now Time, remaining time.Duration) {
 	n.uncertainUntil = max(n.uncertainUntil, now+remaining-relayedUncertaintyDecay)
 }
--- a/core/fleet/uncertainty_test.go
+++ b/core/fleet/uncertainty_test.go
@@ -9,15 +9,15 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// An entry VM dies. Its callers send their jobs again after 1.3 s, and some come to a
-// cell whose processes have no connection with that VM. By then each scheduler of the
-// fleet knows that something may have run of what comes, and tells nobody "not run".
+// An entry VM dies. Its callers resubmit their jobs after 1.3 s, some of them to a cell whose
+// processes have no connection with that VM. By then all schedulers of the fleet must know
+// that tasks of such jobs may have run, and must not answer NotRun.
 func TestAllCellsAreUncertainAfterAVMLoss(t *testing.T) {
 	g := NewWithT(t)
 	w := largeFleet(5, 8)
 	w.run(8 * time.Second)
 	refusal := func(n *fakeNode) workload.Outcome {
-		// Nobody can do a job of ten seconds for a caller who waits for one.
+		// No scheduler can complete a job of 10 s for a caller who waits for 1 s.
 		j := w.newJob(n.domain, 1, 10*time.Second, time.Second)
 		n.lastID++
 		n.requests[n.lastID] = j
--- a/core/fleet/world_test.go
+++ b/core/fleet/world_test.go
@@ -18,16 +18,15 @@
 const (
 	service = "labels"
 	queue   = "spot"
-	// messageDelay is the time that a message takes between processes or to a runner.
+	// messageDelay is the latency of a message between processes or to a runner.
 	messageDelay = time.Millisecond
-	// resendInterval is when a caller without an answer sends its job again.
+	// resendInterval is how long after a submission a caller without an answer resubmits.
 	resendInterval = 1300 * time.Millisecond
 	grace          = 6 * time.Second
 )
 
-// world is a deployment in virtual time: entry processes, runners and callers
-// in failure domains, with a platform that can be away. One seed gives the same
-// run every time.
+// world simulates a deployment in virtual time: entry processes, runners and callers in
+// failure domains, and a platform that can be unavailable. A run is determined by its seed.
 type world struct {
 	now     time.Duration
 	events  eventHeap
@@ -40,37 +39,37 @@
 	jobs     map[workload.JobID]*fakeJob
 	checker  *checker
 	store    *fakeStore
-	// storedShare of the jobs are stored ones.
+	// storedShare is the proportion of stored jobs.
 	storedShare float64
-	// isolated are failure domains that reach nothing outside.
+	// isolated are the failure domains that can't communicate with anything outside.
 	isolated  map[string]bool
 	storeDown bool
-	// evacuations are what the operator has written, oldest first.
+	// evacuations are the evacuated failure domains, as set by the operator.
 	evacuations operatorRows
-	// storeUnreachable are VMs that can't reach the store, and parted are pairs of VMs
-	// that can't reach each other.
+	// storeUnreachable are VMs that can't reach the store, and partitioned are pairs of
+	// VMs that can't reach each other.
 	storeUnreachable map[string]bool
 	partitioned      map[[2]string]bool
 	shards           int
-	// cells: the layout follows from the runners, and processes connect as they ask
-	// to. Otherwise runners are pooled, and each process connects with each.
+	// cells: failure domains are cells, and processes make the connections that they
+	// request. Otherwise runners are pooled, and all processes connect with each other.
 	cells      bool
 	cellLayout layout.Layout
 	// layoutAt is when the layout becomes known.
 	layoutAt time.Duration
-	// unknownUntil are VMs whose new process the others don't know before the time given:
+	// unknownUntil are VMs whose new process the others don't know before the given time:
 	// they refuse its connections.
 	unknownUntil map[string]time.Duration
-	// connectDelay is how long after they can reach each other two processes connect.
+	// connectDelay is the delay until two processes that can reach each other connect.
 	connectDelay  time.Duration
 	connectableAt map[[2]string]time.Duration
-	// sendDelay is how much longer what a VM sends to others takes.
+	// sendDelay is the additional latency of the messages that a VM sends.
 	sendDelay map[string]time.Duration
-	// queryAll: all processes are asked for each job that is accepted.
+	// queryAll: all processes are queried for each accepted job.
 	queryAll bool
-	// onSend sees each message as it is sent, if set.
+	// onSend, if set, is called with each message as it is sent.
 	onSend func(*fakeNode, fleet.Send)
-	// lastWakeAt is when the last frozen process wakes.
+	// lastWakeAt is when the last frozen process is resumed.
 	lastWakeAt time.Duration
 	numbers    uint64
 	byName     map[leader.ID]*fakeNode
@@ -113,20 +112,20 @@
 	node        *fleet.Node
 	id          leader.ID
 	incarnation int
-	// removed VMs never come back.
+	// removed VMs never return.
 	removed     bool
 	frozen      time.Duration
 	connections map[leader.ID]bool
-	// redialAt is when a process that has refused a connection is tried again.
+	// redialAt is when a process that has refused a connection is dialled again.
 	redialAt map[leader.ID]time.Duration
-	// wanted are the connections that the process asks for.
+	// wanted are the connections that the process requests.
 	wanted []topology.Link
-	// membersSeen is the number of members that the process was last told of.
+	// membersSeen is the number of registrations at the last update of the process's members.
 	membersSeen uint64
-	// What the process has cost since it was last looked at.
+	// Counters since the last reset.
 	messagesSent, connectionsMade, timesLed int
 	queuedEvents                            []func()
-	// requests are the jobs that wait for an answer here.
+	// requests are the jobs whose callers wait for an answer from this process.
 	requests map[uint64]*fakeJob
 	queries  map[uint64]*jobQuery
 	lastID   uint64
@@ -143,8 +142,8 @@
 	refused  bool
 	outcome  workload.Outcome
 	took     time.Duration
-	// Of stored jobs: when it was accepted, is to be cancelled, was asked to be
-	// and has been, and whether its end was shown.
+	// For stored jobs: when the job was accepted, is to be cancelled, when cancellation was
+	// requested and took effect, and whether the caller has received the job's end.
 	accepted   time.Duration
 	cancelAt   time.Duration
 	cancelSent time.Duration
@@ -178,7 +177,7 @@
 	return w.build()
 }
 
-// cellDeployment is the same with domains that are cells of some shards each.
+// cellDeployment builds the same with the domains as cells of some shards each.
 func cellDeployment(seed uint64, shards int) *world {
 	w := newWorld(seed)
 	w.cells = true
@@ -206,7 +205,7 @@
 	return w
 }
 
-// layout is how the runners are divided.
+// layout is how the runners are divided into shards.
 func (w *world) layout() layout.Layout {
 	if !w.cells {
 		return layout.Pooled(w.shards)
@@ -243,7 +242,7 @@
 	heap.Push(&w.events, event{at: w.now + max(0, d), seq: w.seq, f: f})
 }
 
-// run lets time pass.
+// run advances the virtual time.
 func (w *world) run(d time.Duration) {
 	end := w.now + d
 	for len(w.events) > 0 && w.events[0].at <= end {
@@ -263,20 +262,20 @@
 	return list
 }
 
-// domainsConnected reports whether two domains can talk.
+// domainsConnected reports whether two domains can communicate.
 func (w *world) domainsConnected(a, b string) bool { return a == b || !w.isolated[a] && !w.isolated[b] }
 
 func (w *world) storeReachable(n *fakeNode) bool {
 	return !w.storeDown && !w.isolated[n.domain] && !w.storeUnreachable[n.name]
 }
 
-// canConnect reports whether two VMs can talk.
+// canConnect reports whether two VMs can communicate.
 func (w *world) canConnect(a, b *fakeNode) bool {
 	return w.domainsConnected(a.domain, b.domain) && !w.partitioned[[2]string{a.name, b.name}] && !w.partitioned[[2]string{b.name, a.name}]
 }
 
-// call carries an order to a runner and its answer back; lost says that the
-// caller hears nothing.
+// call passes an order to a runner and its answer back. Without an answer within the timeout
+// the outcome is Unanswered.
 func (w *world) call(n *fakeNode, id workload.RunnerID, timeout time.Duration, order func(*fakeRunner, func(schedule.CallOutcome, *schedule.HoldResult)), done func(schedule.CallOutcome, schedule.Reading, *schedule.HoldResult)) {
 	sent, incarnation := w.now, n.incarnation
 	var finished bool
@@ -298,7 +297,7 @@
 	if late {
 		travel = 2*time.Second + time.Duration(w.rng.IntN(10000))*time.Millisecond
 	}
-	// What is on its way to a lifetime is lost with its connections.
+	// Orders in flight are lost with the connections when the runner restarts.
 	sentTo := r.born
 	w.after(travel, func() {
 		if r.down || r.born != sentTo || !w.domainsConnected(n.domain, r.info.Domain) {
@@ -379,7 +378,7 @@
 	return j
 }
 
-// newJob is a job that hasn't been sent yet.
+// newJob returns a job that hasn't been sent yet.
 func (w *world) newJob(domain string, tasks int, work, patience time.Duration) *fakeJob {
 	id := workload.JobID(fmt.Sprintf("%016x", len(w.jobs)+1))
 	estimate := time.Duration(float64(work) * (0.7 + w.rng.Float64()*0.6))
@@ -400,7 +399,7 @@
 	return j
 }
 
-// sendJob sends a job to a process of its domain that serves, or to any.
+// sendJob sends a job to a serving process, preferably of the job's domain.
 func (w *world) sendJob(j *fakeJob) {
 	if j.answered || w.now >= j.sent+j.patience {
 		return
@@ -416,7 +415,7 @@
 	w.do(n, func() { n.node.Submit(w.now, request, j.work, j.sent+j.patience-w.now) })
 }
 
-// serving is a process of a domain that serves, or of another one.
+// serving returns a random process that serves callers, preferably of the domain.
 func (w *world) serving(domain string) *fakeNode {
 	var near, all []*fakeNode
 	for _, n := range w.nodes {
