--- a/core/fleet/evacuation_test.go
+++ b/core/fleet/evacuation_test.go
@@ -158,7 +158,7 @@
 		g.Expect(j.answered).To(BeTrue())
 		g.Expect(j.outcome).To(Equal(workload.NotRun))
 		w.run(4 * time.Second)
-		g.Expect(early.outcome).To(Equal(workload.Completed), "what runs goes on to its end")
+		g.Expect(early.outcome).To(Equal(workload.Completed), "running tasks aren't interrupted")
 		for _, d := range []string{"a", "b", "c"} {
 			w.revokeEvacuation(d)
 		}
--- a/core/fleet/gone_test.go
+++ b/core/fleet/gone_test.go
@@ -50,7 +50,7 @@
 		w.storeUnreachable[n.name] = true
 	}
 	w.run(12 * time.Second)
-	g.Expect(w.store.rows(0).owner).To(Equal(owner), "the other one has taken the shard")
+	g.Expect(w.store.rows(0).owner).To(Equal(owner), "the shard has another owner")
 	clear(w.storeUnreachable)
 	clear(w.partitioned)
 	w.run(5 * time.Second)
--- a/core/fleet/lapsed_test.go
+++ b/core/fleet/lapsed_test.go
@@ -83,7 +83,7 @@
 	n.advanceTo(6*s).RunnersRead(6*s, listOf(2, "a"))
 	g.Expect(n.sentList()).To(Equal(map[workload.RunnerID]bool{"a": false, "b": true}))
 	n.advanceTo(8*s).RunnersRead(8*s, listOf(3, "a"))
-	g.Expect(n.sentList()).To(HaveKey(workload.RunnerID("b")), "its time isn't over")
+	g.Expect(n.sentList()).To(HaveKey(workload.RunnerID("b")), "within lapsedRetention")
 	n.advanceTo(9*s).RunnersRead(9*s, listOf(4, "a"))
 	g.Expect(n.sentList()).NotTo(HaveKey(workload.RunnerID("b")))
 }
--- a/core/fleet/large_test.go
+++ b/core/fleet/large_test.go
@@ -220,7 +220,7 @@
 			small++
 		}
 	}
-	g.Expect(small).To(BeNumerically(">", 0), "the domain's runners have a scheduler again")
+	g.Expect(small).To(BeNumerically(">", 0), "no small VM leads a shard of the domain")
 	w.run(6 * time.Second)
 	w.expectSettled(g)
 	g.Expect(w.checker.violations).To(BeEmpty())
--- a/core/fleet/members.go
+++ b/core/fleet/members.go
@@ -121,15 +121,15 @@
 // side of a network partition and lead there, even if this process was never connected
 // with it.
 func (n *Node) updateUnreachable(now Time) {
-	heard := map[string]bool{schedule.EntryID(n.Self()).VM(): true}
+	reachable := map[string]bool{schedule.EntryID(n.Self()).VM(): true}
 	for id := range n.connected {
 		// Until the first heartbeat it isn't known which leaders the process follows.
 		if n.view.Report(id).Number > 0 {
-			heard[schedule.EntryID(id).VM()] = true
+			reachable[schedule.EntryID(id).VM()] = true
 		}
 	}
 	for _, vm := range n.cellVMs {
-		if heard[vm] {
+		if reachable[vm] {
 			delete(n.unreachableSince, vm)
 		} else if _, known := n.unreachableSince[vm]; !known {
 			n.unreachableSince[vm] = now
@@ -147,8 +147,8 @@
 	}
 	for _, m := range n.fleet.Seats(n.cell, n.seatDoublings) {
 		id := leader.ID(m.ID)
-		heard := n.view.LastHeard(id)
-		if m.Number < n.number && heard > 0 && now-heard <= leader.LostAfter && n.view.Report(id).Number == 0 {
+		lastHeard := n.view.LastHeard(id)
+		if m.Number < n.number && lastHeard > 0 && now-lastHeard <= leader.LostAfter && n.view.Report(id).Number == 0 {
 			return true
 		}
 	}
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -348,7 +348,7 @@
 	n.sendDueHeartbeats(now)
 }
 
-// detectStall detects that the process was suspended. Every event handler calls it first:
+// detectStall detects that the process was suspended. Event handlers call it first, since
 // state from before the pause is outdated, and events that arrived meanwhile must not be
 // handled with it.
 func (n *Node) detectStall(now Time) {
--- a/core/fleet/runner_test.go
+++ b/core/fleet/runner_test.go
@@ -177,15 +177,15 @@
 	if c.LeaseEnd > 0 {
 		r.extendLease(c.LeaseEnd)
 	}
-	kept := r.ends[:0]
+	remaining := r.ends[:0]
 	for _, e := range r.ends {
 		if e.Sequence > c.Acknowledged {
-			kept = append(kept, e)
+			remaining = append(remaining, e)
 			continue
 		}
 		r.w.checker.acknowledged(e)
 	}
-	r.ends = kept
+	r.ends = remaining
 	h := &waitingHold{hold: c, answer: answer}
 	if len(r.ends) > 0 || c.Wait == 0 {
 		r.answerHold(h)
--- a/core/fleet/runners.go
+++ b/core/fleet/runners.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// runnersOfCell selects the runners of the own cell. Until the layout is known it returns
-// all runners, since each may belong to the cell.
+// runnersOfCell selects the runners of the own cell. It returns all runners if they are pooled,
+// and until the layout is known, since each may belong to the cell.
 func (n *Node) runnersOfCell(list []workload.Runner) []workload.Runner {
 	if !n.layout.Divided() {
 		return list
--- a/core/fleet/uncertainty.go
+++ b/core/fleet/uncertainty.go
@@ -8,10 +8,10 @@
 )
 
 // A caller whose entry VM has died or is cut off resubmits its job, possibly to another
-// cell. The schedulers of that cell aren't connected with the lost VM, and would answer
-// that no task of the job was run, which they can't know. Therefore heartbeats report that a
-// VM is unreachable or was until recently. This reaches all cells over the connections
-// between them before the caller resubmits:
+// cell. The schedulers of that cell don't notice the loss of the VM, and would answer that no
+// task of the job was run, which they can't know. Therefore heartbeats report that a VM is
+// unreachable or was until recently. This reaches all cells over the connections between them
+// before the caller resubmits:
 //
 //	the VM counts as lost in its cell      450 ms after its last message, and a tick
 //	heartbeats within and between cells    150 ms each, four of them at most
--- a/core/fleet/uncertainty_test.go
+++ b/core/fleet/uncertainty_test.go
@@ -34,7 +34,7 @@
 			dead = n
 		}
 	}
-	g.Expect(refusal(w.nodes[20])).To(Equal(workload.NotRun), "all is well")
+	g.Expect(refusal(w.nodes[20])).To(Equal(workload.NotRun), "before the loss")
 	w.kill(dead, 20*time.Second)
 	w.run(resendInterval)
 	for _, n := range w.nodes {
@@ -44,5 +44,5 @@
 	}
 	w.run(16 * time.Second)
 	w.run(12 * time.Second)
-	g.Expect(refusal(w.nodes[20])).To(Equal(workload.NotRun), "it is back for long")
+	g.Expect(refusal(w.nodes[20])).To(Equal(workload.NotRun), "long after the VM has returned")
 }
