--- a/core/fleet/cpuwait.go
+++ b/core/fleet/cpuwait.go
@@ -30,12 +30,12 @@
 		return
 	}
 	recent := n.cpuDemotedAt > 0 && now-n.cpuDemotedAt < cpuDemotionInterval
-	if !n.Leads() || recent || now-n.becameLeaderAt < leadSettleTime || !n.view.Relief(now) {
+	if !n.Leads() || recent || now-n.becameLeaderAt < leadSettleTime || !n.view.HasIdleSuccessor(now) {
 		return
 	}
 	n.cpuDemotedAt = now
-	n.warn("process-strained", Field{"wait", ms(wait)}, Field{"jobs", n.gateway.InHand()})
-	n.view.Strain()
+	n.warn("process-strained", Field{"wait", ms(wait)}, Field{"jobs", n.gateway.InFlight()})
+	n.view.RecordStarvation()
 	n.sendHeartbeats(now)
 	n.updateLeaders(now)
 }
--- a/core/fleet/gone.go
+++ b/core/fleet/gone.go
@@ -18,7 +18,7 @@
 func (n *Node) presumedGone(now Time) []string {
 	var list []string
 	for vm, since := range n.unreachableSince {
-		if now-since >= schedule.MissingMost {
+		if now-since >= schedule.UnreachableTimeout {
 			list = append(list, vm)
 		}
 	}
--- a/core/fleet/jobs.go
+++ b/core/fleet/jobs.go
@@ -31,13 +31,13 @@
 		n.queueEarly(now, request, job, patience)
 		return
 	}
-	n.gateway.Arrive(now, request, n.shardOfJob(job), job, patience)
+	n.gateway.Submit(now, request, n.shardOfJob(job), job, patience)
 }
 
 // CallerLeft handles the disconnect of a caller.
 func (n *Node) CallerLeft(now Time, request uint64) {
 	n.dropEarly(request)
-	n.gateway.Left(now, request)
+	n.gateway.CallerLeft(now, request)
 }
 
 // sendVerdict passes a scheduler's verdict to the entry process of the job's caller.
@@ -51,7 +51,7 @@
 		Field{"estimate", ms(a.Estimate)}, Field{"runs", a.Runs}, Field{"retry-after", ms(a.RetryAfter)}, Field{"reason", a.Reason})
 	v := gateway.Verdict{From: n.Self(), Job: a.Job, Outcome: a.Outcome, RetryAfter: a.RetryAfter, Reason: a.Reason, NoRoom: a.NoRoom}
 	if leader.ID(a.Entry) == n.Self() {
-		n.gateway.Decide(a.At, v)
+		n.gateway.HandleVerdict(a.At, v)
 		return
 	}
 	n.emit(Send{To: leader.ID(a.Entry), Message: Verdict{v}})
@@ -99,14 +99,14 @@
 		n.noteStoredJob(now)
 	}
 	s.schedule.Submit(now, schedule.Submission{
-		Job:      c.Job,
-		Entry:    schedule.EntryID(from),
-		Due:      c.Due,
-		Patience: c.Patience,
-		Handed:   c.Handed,
-		Unknown:  c.Unknown,
-		Domain:   c.Domain,
-		Guest:    c.Shard != c.Home,
+		Job:                c.Job,
+		Entry:              schedule.EntryID(from),
+		RemainingObjective: c.Due,
+		RemainingTimeout:   c.Patience,
+		PriorSubmissions:   c.Handed,
+		PriorRunsTTL:       c.Unknown,
+		Domain:             c.Domain,
+		Foreign:            c.Shard != c.Home,
 	})
 }
 
--- a/core/fleet/members.go
+++ b/core/fleet/members.go
@@ -22,7 +22,7 @@
 // SetMembers sets the registered processes. Some of them may have been removed.
 func (n *Node) SetMembers(now Time, list []topology.Member) {
 	n.members = list
-	n.view.Found(now)
+	n.view.PeersDiscovered(now)
 	n.membersChanged(now)
 }
 
@@ -37,7 +37,7 @@
 	list := slices.DeleteFunc(slices.Clone(n.members), func(m topology.Member) bool { return m.VM == n.member.VM })
 	n.fleet = topology.New(n.layout, n.storedJobs == HasStoredJobs, append(list, n.member))
 	n.cellVMs = nil
-	for _, m := range n.fleet.InCell(n.member) {
+	for _, m := range n.fleet.CellMembers(n.member) {
 		n.cellVMs = append(n.cellVMs, m.VM)
 	}
 	for vm := range n.unreachableSince {
@@ -54,7 +54,7 @@
 	if n.fleet == nil {
 		return
 	}
-	n.seated = n.fleet.Seated(n.member, n.seatDoublings)
+	n.seated = n.fleet.HasSeat(n.member, n.seatDoublings)
 	links := n.fleet.Links(n.member, n.seatDoublings)
 	for _, s := range n.own {
 		l := topology.Link{ID: string(s.choice.Leader)}
@@ -73,11 +73,11 @@
 // reachable. Before the configuration and the shards are known no process can lead, so
 // more connections would not find a scheduler.
 func (n *Node) widenSeats(now Time) {
-	if n.ReachesAllLeaders() || !n.view.Informed() {
+	if n.ReachesAllLeaders() || !n.view.CanSchedule() {
 		n.leadersReachedAt = now
 	}
 	step := widenInterval
-	if n.gateway.Reaches() {
+	if n.gateway.HasReachableScheduler() {
 		step = servedWidenInterval
 	}
 	seatDoublings := int((now - n.leadersReachedAt) / step)
@@ -135,7 +135,7 @@
 			n.unreachableSince[vm] = now
 		}
 	}
-	n.view.SetComplete(n.allReachable())
+	n.view.SetAllVMsReachable(n.allReachable())
 }
 
 // hasUnreportedElder reports whether an older process that could lead this one's cell is
@@ -147,8 +147,8 @@
 	}
 	for _, m := range n.fleet.Seats(n.cell, n.seatDoublings) {
 		id := leader.ID(m.ID)
-		lastHeard := n.view.LastHeard(id)
-		if m.Number < n.number && lastHeard > 0 && now-lastHeard <= leader.LostAfter && n.view.Report(id).Number == 0 {
+		lastHeard := n.view.LastContact(id)
+		if m.Number < n.number && lastHeard > 0 && now-lastHeard <= leader.HeartbeatTimeout && n.view.Report(id).Number == 0 {
 			return true
 		}
 	}
@@ -161,7 +161,7 @@
 // anyMissing reports whether a VM of the cell is unreachable that may still be alive.
 func (n *Node) anyMissing(now Time) bool {
 	for _, since := range n.unreachableSince {
-		if now-since < schedule.MissingMost {
+		if now-since < schedule.UnreachableTimeout {
 			return true
 		}
 	}
--- a/core/fleet/moved.go
+++ b/core/fleet/moved.go
@@ -33,12 +33,12 @@
 // alternateShard is the other shard with a reachable leader in which a stored job would wait
 // least, and how long it would wait; -1 if there is none.
 func (n *Node) alternateShard(s *shard) (int, time.Duration) {
-	best, least := -1, schedule.NoRunners
+	best, least := -1, schedule.NoRunnersWait
 	for _, o := range n.shards {
 		if o == s || n.leaderOf(o.index) == "" {
 			continue
 		}
-		wait := n.gateway.Wait(o.index)
+		wait := n.gateway.ExpectedWait(o.index)
 		if o.leading() {
 			wait = o.schedule.Wait()
 		}
@@ -50,7 +50,7 @@
 }
 
 // moveJob transfers a job to the owner of another shard.
-func (n *Node) moveJob(now Time, s *shard, c schedule.HandOn) {
+func (n *Node) moveJob(now Time, s *shard, c schedule.MoveJob) {
 	c.From = s.index
 	m := JobMove{Shard: c.To, MovedJob: c.MovedJob}
 	switch to := n.leaderOf(c.To); to {
@@ -74,12 +74,12 @@
 func (n *Node) receiveMovedJob(now Time, from leader.ID, m JobMove) {
 	if s := n.ownShard(m.Shard); s != nil {
 		n.noteStoredJob(now)
-		s.schedule.Take(now, schedule.EntryID(from), m.MovedJob)
+		s.schedule.AcceptMovedJob(now, schedule.EntryID(from), m.MovedJob)
 	}
 }
 
 // sendJobTaken reports to the former owner that a moved job has been stored here.
-func (n *Node) sendJobTaken(now Time, c schedule.Taken) {
+func (n *Node) sendJobTaken(now Time, c schedule.MoveAck) {
 	m := JobTaken{Shard: c.Shard, Job: c.Job}
 	if leader.ID(c.To) == n.Self() {
 		n.receiveJobTaken(now, m)
@@ -90,7 +90,7 @@
 
 func (n *Node) receiveJobTaken(now Time, m JobTaken) {
 	if s := n.ownShard(m.Shard); s != nil {
-		s.schedule.Arrived(now, m.Job)
+		s.schedule.MoveAcknowledged(now, m.Job)
 	}
 }
 
@@ -98,7 +98,7 @@
 func (n *Node) receiveQuery(now Time, from leader.ID, m JobQuery) {
 	q := pendingQuery{from: from, request: m.Request, cancel: m.Cancel, shard: m.Shard, hops: m.Hops}
 	if m.Hops == 0 && n.LayoutKnown() {
-		q.shard = n.layout.OfStoredJob(m.Job)
+		q.shard = n.layout.StoredJobShard(m.Job)
 	}
 	n.handleQuery(now, q, m.Job)
 }
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -153,7 +153,7 @@
 		digest:           digestOf(nil),
 		lastRelayID:      firstRelayID,
 	}
-	n.view.SetProcessor(milliCPU)
+	n.view.SetMilliCPU(milliCPU)
 	n.member.MilliCPU = milliCPU
 	return n
 }
@@ -236,13 +236,13 @@
 	switch c := c.(type) {
 	case schedule.Save:
 		s.ledger.Save(c.At, c.Sequence, c.Record)
-	case schedule.Settled:
+	case schedule.OutcomeSaved:
 		n.answerSettled(s, c)
 	case schedule.Answer:
 		n.sendVerdict(c)
-	case schedule.HandOn:
+	case schedule.MoveJob:
 		n.moveJob(c.At, s, c)
-	case schedule.Taken:
+	case schedule.MoveAck:
 		n.sendJobTaken(c.At, c)
 	case schedule.Decision:
 		n.notice(c.Event, decisionFields(c)...)
@@ -261,9 +261,9 @@
 	case ledger.Saved:
 		s.schedule.Saved(c.At, c.Records)
 	case ledger.Verified:
-		s.schedule.Verified(c.At, c.OwnedAt)
+		s.schedule.RowOwnershipVerified(c.At, c.OwnedAt)
 	case ledger.Lost:
-		s.schedule.CustodyLost(c.At)
+		s.schedule.RowOwnershipLost(c.At)
 		clear(s.pendingQueries)
 	default:
 		n.emit(StoreCall{Shard: s.index, Call: c})
@@ -273,7 +273,7 @@
 // StoreAnswered passes on the result of a StoreCall.
 func (n *Node) StoreAnswered(now Time, shard int, r ledger.Result) {
 	n.detectStall(now)
-	n.shards[shard].ledger.Take(now, r)
+	n.shards[shard].ledger.HandleResult(now, r)
 }
 
 // SetTimeOfDay sets the time of day, in milliseconds since 1970.
@@ -291,7 +291,7 @@
 	n.member.ID, n.member.Number = string(id), number
 	n.member.VM = schedule.EntryID(id).VM()
 	for _, s := range n.own {
-		s.schedule.SetNumber(number)
+		s.schedule.SetProcessNumber(number)
 	}
 	n.membersChanged(now)
 }
@@ -310,11 +310,11 @@
 func (n *Node) Tick(now Time) {
 	n.detectStall(now)
 	n.lastTick = now
-	for _, id := range n.view.Silent(now) {
+	for _, id := range n.view.ExpirePeers(now) {
 		n.peerLost(now, id, false)
 	}
 	n.watchStore(now)
-	n.view.SetStrangers(n.hasUnreportedElder(now))
+	n.view.SetOlderPeerPending(n.hasUnreportedElder(now))
 	n.updateLeaders(now)
 	n.widenSeats(now)
 	n.expireEarly(now)
@@ -326,18 +326,18 @@
 	n.backlogTime = 0
 	uncertain := n.updateUncertainty(now, missing)
 	for _, s := range n.own {
-		s.schedule.Heard(now, schedule.EntryID(n.Self()))
+		s.schedule.EntryAlive(now, schedule.EntryID(n.Self()))
 		s.ledger.Exclude(gone)
 		since, all := n.rivalsReachableSince(now, s, gone)
-		s.schedule.SetAllHeard(all, since)
-		s.schedule.SetMissing(missing)
-		s.schedule.SetDoubt(uncertain)
+		s.schedule.SetAllReachable(all, since)
+		s.schedule.SetUnreachable(missing)
+		s.schedule.SetOtherCellUnreachable(uncertain)
 		s.schedule.SetAlternate(n.alternateShard(s))
 		if all && s.schedule.Leading() {
 			s.ledger.Uncontested(now)
 		}
-		s.ledger.Tick(now, s.schedule.Keeps() || len(s.pendingQueries) > 0)
-		s.schedule.SetStoreTrouble(s.ledger.FailingFor(now))
+		s.ledger.Tick(now, s.schedule.DependsOnRowOwnership() || len(s.pendingQueries) > 0)
+		s.schedule.SetStoreFailingFor(s.ledger.FailingFor(now))
 		s.schedule.Tick(now)
 		if s.schedule.Leading() {
 			n.backlogTime = max(n.backlogTime, s.schedule.Wait())
@@ -352,7 +352,7 @@
 // state from before the pause is outdated, and events that arrived meanwhile must not be
 // handled with it.
 func (n *Node) detectStall(now Time) {
-	if pause := now - n.lastTick; pause > leader.StallLimit {
+	if pause := now - n.lastTick; pause > leader.StallThreshold {
 		n.lastTick = now
 		n.stalled(now, pause)
 	}
@@ -362,14 +362,14 @@
 // meanwhile, and jobs or runs that this one considers expired may have been taken over.
 func (n *Node) stalled(now Time, pause time.Duration) {
 	n.warn("process-stalled", Field{"pause", ms(pause)}, Field{"leading", n.Leads()})
-	n.view.Stalled(now, n.Leads())
+	n.view.RecordStall(now, n.Leads())
 	n.disconnectAll(now)
 	for _, s := range n.shards {
 		if s.schedule != nil {
 			s.retire(now)
 		}
 		s.choice = leader.Choice{}
-		n.gateway.Follow(now, s.index, s.choice)
+		n.gateway.SetLeader(now, s.index, s.choice)
 	}
 	n.leadersReachedAt = now
 }
@@ -387,12 +387,12 @@
 func (n *Node) RunnersRevision() uint64 { return n.runners.Revision }
 
 // JobsInFlight is the number of jobs whose callers wait for an answer from this process.
-func (n *Node) JobsInFlight() int { return n.gateway.InHand() }
+func (n *Node) JobsInFlight() int { return n.gateway.InFlight() }
 
 // Serves reports whether new callers should connect here: jobs can be passed to a
 // scheduler, though perhaps not to that of their home shard.
 func (n *Node) Serves() bool {
-	return n.stopStartedAt == 0 && n.table.Current() != nil && (n.ReachesAllLeaders() || n.gateway.Reaches())
+	return n.stopStartedAt == 0 && n.table.Current() != nil && (n.ReachesAllLeaders() || n.gateway.HasReachableScheduler())
 }
 
 // ReachesAllLeaders reports whether the leader of each shard of the own cell is reachable.
--- a/core/fleet/peers.go
+++ b/core/fleet/peers.go
@@ -13,11 +13,11 @@
 func (n *Node) PeerUp(now Time, id leader.ID) {
 	n.detectStall(now)
 	n.connected[id] = true
-	n.view.Heard(now, id, nil)
+	n.view.RecordContact(now, id, nil)
 	n.sendHeartbeat(now, id)
 	for _, s := range n.own {
-		s.schedule.EntryReset(now, schedule.EntryID(id))
-		s.schedule.EntryBack(now, schedule.EntryID(id))
+		s.schedule.EntryDisconnected(now, schedule.EntryID(id))
+		s.schedule.EntryReachable(now, schedule.EntryID(id))
 	}
 	delete(n.lostVMs, schedule.EntryID(id).VM())
 	delete(n.sentDigest, id)
@@ -31,11 +31,11 @@
 	delete(n.connected, id)
 	if !ended {
 		for _, s := range n.own {
-			s.schedule.EntryReset(now, schedule.EntryID(id))
+			s.schedule.EntryDisconnected(now, schedule.EntryID(id))
 		}
 		return
 	}
-	n.view.Ended(id)
+	n.view.RemovePeer(id)
 	n.peerLost(now, id, true)
 	n.updateLeaders(now)
 }
@@ -66,7 +66,7 @@
 		delete(n.connected, id)
 		n.emit(Disconnect{Peer: id})
 		for _, s := range n.own {
-			s.schedule.EntryReset(now, schedule.EntryID(id))
+			s.schedule.EntryDisconnected(now, schedule.EntryID(id))
 		}
 	}
 }
@@ -85,19 +85,19 @@
 func (n *Node) Receive(now Time, from leader.ID, m Message) {
 	n.detectStall(now)
 	for _, s := range n.own {
-		s.schedule.Heard(now, schedule.EntryID(from))
+		s.schedule.EntryAlive(now, schedule.EntryID(from))
 	}
 	if h, ok := m.(Heartbeat); ok {
 		n.receiveHeartbeat(now, from, h)
 		return
 	}
-	n.view.Heard(now, from, nil)
+	n.view.RecordContact(now, from, nil)
 	switch m := m.(type) {
 	case HandIn:
 		n.receiveHandIn(now, from, m.HandIn)
 	case Verdict:
 		m.From = from
-		n.gateway.Decide(now, m.Verdict)
+		n.gateway.HandleVerdict(now, m.Verdict)
 	case DropJob:
 		n.dropJob(now, from, m)
 	case JobQuery:
@@ -112,7 +112,7 @@
 		n.ApplyDeclaration(now, m.Declaration, string(from))
 	case Progress:
 		if s := n.ownShard(m.Shard); s != nil {
-			s.schedule.Learn(now, m.Progress)
+			s.schedule.ApplyProgress(now, m.Progress)
 		}
 	case Layout:
 		n.ApplyLayout(now, m.Layout)
@@ -131,7 +131,7 @@
 
 func (n *Node) receiveHeartbeat(now Time, from leader.ID, h Heartbeat) {
 	before := n.view.Report(from)
-	n.view.Heard(now, from, &h.Report)
+	n.view.RecordContact(now, from, &h.Report)
 	if before.Number == 0 {
 		n.updateUnreachable(now)
 	}
@@ -140,7 +140,7 @@
 	}
 	n.learnStoredJobs(now, h.StoredJobs)
 	for _, s := range n.own {
-		s.schedule.SeeTerm(h.Report.Term)
+		s.schedule.ObserveTerm(h.Report.Term)
 	}
 	if d := n.table.Current(); d != nil && h.DeclarationVersion < d.Version {
 		n.emit(Send{To: from, Message: Declaration{d}})
@@ -151,7 +151,7 @@
 	n.pending[from] = h.Pending
 	for _, s := range n.shards {
 		if h.Report.Leader(s.index) == from {
-			n.gateway.SetWait(s.index, h.BacklogTime)
+			n.gateway.SetExpectedWait(s.index, h.BacklogTime)
 		}
 	}
 	if now-n.heartbeatSentAt[from] >= leader.HeartbeatInterval/2 {
@@ -173,12 +173,12 @@
 		}
 		if before.Leader(s.index) == from {
 			// It led on the other side of a network partition and has yielded.
-			s.schedule.Reclaim(now)
+			s.schedule.TakeOverRunners(now)
 			continue
 		}
 		// It may have led for a moment without this process learning of it, as happens
 		// when two processes start at the same time.
-		s.schedule.Retake(now)
+		s.schedule.ReacquireRunners(now)
 	}
 }
 
@@ -207,7 +207,7 @@
 func (n *Node) sendHeartbeat(now Time, to leader.ID) {
 	n.heartbeatSentAt[to] = now
 	h := Heartbeat{
-		Report:             n.view.Own(now, n.choices()),
+		Report:             n.view.OwnReport(now, n.choices()),
 		DeclarationVersion: n.table.Version(),
 		RunnersRevision:    n.runners.Revision,
 		RunnersStale:       n.listStale,
--- a/core/fleet/queries.go
+++ b/core/fleet/queries.go
@@ -18,7 +18,7 @@
 		n.emit(StateAnswer{Request: request, Unreachable: true})
 		return
 	}
-	home := n.layout.OfStoredJob(id)
+	home := n.layout.StoredJobShard(id)
 	switch c := n.shards[home].choice; {
 	case c.Leader == "" || !c.Reachable:
 		n.emit(StateAnswer{Request: request, Unreachable: true})
@@ -163,7 +163,7 @@
 }
 
 // answerSettled answers the queries that wait until a job's end is in the store.
-func (n *Node) answerSettled(s *shard, c schedule.Settled) {
+func (n *Node) answerSettled(s *shard, c schedule.OutcomeSaved) {
 	waiting := s.pendingQueries[c.Job]
 	delete(s.pendingQueries, c.Job)
 	for _, q := range waiting {
--- a/core/fleet/runner_test.go
+++ b/core/fleet/runner_test.go
@@ -93,7 +93,7 @@
 			r.ends[i].lapsed = true
 		}
 		for _, k := range r.w.sortedRuns(r) {
-			r.end(k, workload.Lapsed)
+			r.end(k, workload.LeaseExpired)
 		}
 	})
 }
--- a/core/fleet/runners.go
+++ b/core/fleet/runners.go
@@ -81,7 +81,7 @@
 // runnersOfCell selects the runners of the own cell. It returns all runners if they are pooled,
 // and until the layout is known, since each may belong to the cell.
 func (n *Node) runnersOfCell(list []workload.Runner) []workload.Runner {
-	if !n.layout.Divided() {
+	if !n.layout.HasCells() {
 		return list
 	}
 	return slices.DeleteFunc(slices.Clone(list), func(r workload.Runner) bool { return n.layout.Cell(r.Domain) != n.cell })
@@ -164,7 +164,7 @@
 // have started the jobs that this process is about to pass on again.
 func (n *Node) reportPossibleRuns(now Time, s *shard) {
 	if s.choice.Leader == n.Self() {
-		s.schedule.Suspect(now, n.recentRunners(s))
+		s.schedule.AddUnlistedRunners(now, n.recentRunners(s))
 		return
 	}
 	n.sendPossibleRunners(s)
@@ -188,7 +188,7 @@
 func (n *Node) suspectRunners(now Time, list []workload.Runner) {
 	for _, s := range n.own {
 		if own := n.runnersOfShard(s, list); len(own) > 0 {
-			s.schedule.Suspect(now, own)
+			s.schedule.AddUnlistedRunners(now, own)
 		}
 	}
 }
--- a/core/fleet/shards.go
+++ b/core/fleet/shards.go
@@ -37,7 +37,7 @@
 		}
 	}
 	n.view.SetLayout(now, l, n.cell)
-	n.gateway.SetOthers(n.otherShards())
+	n.gateway.SetFallbackShards(n.otherShards())
 	n.membersChanged(now)
 	n.notice("layout-known", Field{"shards", len(l)}, Field{"cell", n.cell}, Field{"own", len(n.own)})
 	n.leadersReachedAt = now
@@ -50,20 +50,20 @@
 func (n *Node) openShard(s *shard) {
 	s.schedule, s.ledger = schedule.New(n.cfg), ledger.New()
 	s.pendingQueries = make(map[workload.JobID][]pendingQuery)
-	s.schedule.SetNumber(n.number)
-	s.schedule.SetNoStored(n.storedJobs == NoStoredJobs)
+	s.schedule.SetProcessNumber(n.number)
+	s.schedule.SetNoStoredJobs(n.storedJobs == NoStoredJobs)
 	s.schedule.SetEvacuated(0, n.evacuations.Domains)
 	n.own = append(n.own, s)
 }
 
 // otherShards are the shards that jobs may be passed to besides their home shard.
-func (n *Node) otherShards() gateway.Shards {
-	var o gateway.Shards
+func (n *Node) otherShards() gateway.FallbackShards {
+	var o gateway.FallbackShards
 	for i, cell := range n.layout {
 		if cell == n.cell {
-			o.Near = append(o.Near, i)
+			o.SameCell = append(o.SameCell, i)
 		} else {
-			o.Far = append(o.Far, i)
+			o.OtherCells = append(o.OtherCells, i)
 		}
 	}
 	return o
@@ -85,9 +85,9 @@
 // shardOfJob is the home shard of a job that a caller submits here.
 func (n *Node) shardOfJob(job *workload.Job) int {
 	if job.Stored {
-		return n.layout.OfStoredJob(job.ID)
+		return n.layout.StoredJobShard(job.ID)
 	}
-	return n.layout.OfJob(job.ID, n.cell)
+	return n.layout.JobShard(job.ID, n.cell)
 }
 
 // ownShard is the shard with an index; nil if it doesn't exist or belongs to another cell.
@@ -102,7 +102,7 @@
 func (n *Node) runnersOfShard(s *shard, list []workload.Runner) []workload.Runner {
 	var own []workload.Runner
 	for _, r := range list {
-		if n.layout.OfRunner(r.ID, r.Domain) == s.index {
+		if n.layout.RunnerShard(r.ID, r.Domain) == s.index {
 			own = append(own, r)
 		}
 	}
@@ -111,7 +111,7 @@
 
 func (n *Node) setRunners(now Time) {
 	for _, s := range n.own {
-		s.schedule.SeeVersion(n.runners.Revision)
+		s.schedule.ObserveVersion(n.runners.Revision)
 		s.schedule.SetRunners(now, n.runnersOfShard(s, n.runners.Runners))
 	}
 }
@@ -169,7 +169,7 @@
 	if s.schedule != nil {
 		n.leadOrRetire(now, s, before)
 	}
-	n.gateway.Follow(now, s.index, c)
+	n.gateway.SetLeader(now, s.index, c)
 	n.connect()
 	return true
 }
@@ -180,7 +180,7 @@
 	if c.Reachable && c.Leader == n.Self() {
 		n.askForRunners()
 		if n.connected[before] {
-			s.schedule.Await(now, schedule.EntryID(before))
+			s.schedule.AwaitProgress(now, schedule.EntryID(before))
 		}
 		n.becameLeaderAt = now
 		s.schedule.Lead(now)
@@ -188,7 +188,7 @@
 	} else {
 		n.retire(now, s)
 	}
-	if c.Reachable && n.gateway.InHand() > 0 {
+	if c.Reachable && n.gateway.InFlight() > 0 {
 		n.reportPossibleRuns(now, s)
 	}
 }
@@ -208,7 +208,7 @@
 // retire discards all state that the process holds as the shard's leader.
 func (s *shard) retire(now Time) {
 	s.schedule.Retire(now)
-	s.ledger.Retire()
+	s.ledger.Release()
 	clear(s.pendingQueries)
 }
 
--- a/core/fleet/stop.go
+++ b/core/fleet/stop.go
@@ -30,9 +30,9 @@
 	if n.stopStartedAt > 0 {
 		return
 	}
-	n.notice("process-stopping", Field{"jobs", n.gateway.InHand()})
+	n.notice("process-stopping", Field{"jobs", n.gateway.InFlight()})
 	n.stopStartedAt = now
-	n.view.Stop()
+	n.view.SetStopping()
 	for _, s := range n.own {
 		s.schedule.Yield()
 	}
@@ -48,7 +48,7 @@
 	if now-n.stopStartedAt > n.grace-stopReserve {
 		return true
 	}
-	return now-n.stopStartedAt > minStopTime && n.gateway.InHand() == 0 && now-n.lastArrival > stopQuietPeriod
+	return now-n.stopStartedAt > minStopTime && n.gateway.InFlight() == 0 && now-n.lastArrival > stopQuietPeriod
 }
 
 // GiveUp answers all waiting callers with the outcome GaveUp, as the process ends.
@@ -61,5 +61,5 @@
 		return true
 	}
 	left := n.stopStartedAt + n.grace - stopReserve - now
-	return left > stopEstimateFactor*job.Chain()+stopMargin
+	return left > stopEstimateFactor*job.CriticalPath()+stopMargin
 }
--- a/core/fleet/storedjobs.go
+++ b/core/fleet/storedjobs.go
@@ -40,7 +40,7 @@
 	n.storedJobs = known
 	n.membersChanged(now)
 	for _, s := range n.own {
-		s.schedule.SetNoStored(known == NoStoredJobs)
+		s.schedule.SetNoStoredJobs(known == NoStoredJobs)
 		n.acquireRows(now, s)
 	}
 }
@@ -49,7 +49,7 @@
 // unless there are no stored jobs.
 func (n *Node) acquireRows(now Time, s *shard) {
 	if s.schedule.Leading() && n.storedJobs != NoStoredJobs {
-		s.ledger.Lead(now)
+		s.ledger.Acquire(now)
 	}
 }
 
--- a/core/fleet/uncertainty.go
+++ b/core/fleet/uncertainty.go
@@ -30,10 +30,10 @@
 // updateUncertainty reports whether copies of jobs may arrive whose tasks were started in
 // another cell. missing says that a VM of the cell is unreachable and may be alive.
 func (n *Node) updateUncertainty(now Time, missing bool) bool {
-	if !n.layout.Divided() {
+	if !n.layout.HasCells() {
 		return false
 	}
-	maps.DeleteFunc(n.lostVMs, func(_ string, since Time) bool { return now-since >= schedule.MissingMost })
+	maps.DeleteFunc(n.lostVMs, func(_ string, since Time) bool { return now-since >= schedule.UnreachableTimeout })
 	// A VM without a seat isn't connected with its whole cell, so some VMs are always
 	// unreachable from it.
 	if missing && n.seated || len(n.lostVMs) > 0 {
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -243,7 +243,7 @@
 		Able:               h.Report.Able,
 		Stopping:           h.Report.Stopping,
 		Demotions:          h.Report.Demotions,
-		Strains:            h.Report.Strains,
+		Strains:            h.Report.Starvations,
 		StoreTrouble:       h.Report.StoreTrouble,
 		StoreReached:       h.Report.StoreReached,
 		StoreLost:          h.Report.StoreLost,
@@ -279,13 +279,13 @@
 func heartbeatOf(m *pb.Heartbeat) fleet.Heartbeat {
 	h := fleet.Heartbeat{
 		Report: leader.Report{
-			Number:    m.GetNumber(),
-			Able:      m.GetAble(),
-			Standby:   m.GetStandby(),
-			Cell:      m.GetCell(),
-			Stopping:  m.GetStopping(),
-			Demotions: m.GetDemotions(),
-			Strains:   m.GetStrains(),
+			Number:      m.GetNumber(),
+			Able:        m.GetAble(),
+			Standby:     m.GetStandby(),
+			Cell:        m.GetCell(),
+			Stopping:    m.GetStopping(),
+			Demotions:   m.GetDemotions(),
+			Starvations: m.GetStrains(),
 
 			StoreTrouble: m.GetStoreTrouble(),
 			StoreReached: m.GetStoreReached(),
@@ -450,7 +450,7 @@
 }
 
 func progressMessage(p fleet.Progress) *pb.FleetMessage {
-	m := &pb.Progress{Shard: uint32(p.Shard), Epoch: p.Epoch, UnknownMs: p.Unknown.Milliseconds()}
+	m := &pb.Progress{Shard: uint32(p.Shard), Epoch: p.Epoch, UnknownMs: p.PriorRunsTTL.Milliseconds()}
 	for _, t := range p.Done {
 		m.Done = append(m.Done, t.String())
 	}
@@ -463,7 +463,7 @@
 // progressOf leaves out names that can't be read: their tasks may run again.
 func progressOf(m *pb.Progress) fleet.Progress {
 	p := fleet.Progress{Shard: int(m.GetShard())}
-	p.Epoch, p.Unknown = m.GetEpoch(), milliseconds(m.GetUnknownMs())
+	p.Epoch, p.PriorRunsTTL = m.GetEpoch(), milliseconds(m.GetUnknownMs())
 	for _, name := range m.GetDone() {
 		if t, err := workload.ParseTaskName(name); err == nil {
 			p.Done = append(p.Done, t)
