--- a/core/fleet/members.go
+++ b/core/fleet/members.go
@@ -147,8 +147,8 @@
 	}
 	for _, m := range n.fleet.Seats(n.cell, n.seatDoublings) {
 		id := leader.ID(m.ID)
-		lastHeard := n.view.LastContact(id)
-		if m.Number < n.number && lastHeard > 0 && now-lastHeard <= leader.HeartbeatTimeout && n.view.Report(id).Number == 0 {
+		lastContact := n.view.LastContact(id)
+		if m.Number < n.number && lastContact > 0 && now-lastContact <= leader.HeartbeatTimeout && n.view.Report(id).Number == 0 {
 			return true
 		}
 	}
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -237,7 +237,7 @@
 	case schedule.Save:
 		s.ledger.Save(c.At, c.Sequence, c.Record)
 	case schedule.OutcomeSaved:
-		n.answerSettled(s, c)
+		n.answerSaved(s, c)
 	case schedule.Answer:
 		n.sendVerdict(c)
 	case schedule.MoveJob:
--- a/core/fleet/peers.go
+++ b/core/fleet/peers.go
@@ -118,7 +118,7 @@
 		n.ApplyLayout(now, m.Layout)
 	case RunnerList:
 		if m.Handover {
-			n.suspectRunners(now, m.Runners)
+			n.addUnlistedRunners(now, m.Runners)
 			return
 		}
 		if n.LayoutKnown() && !n.inCell(from) {
--- a/core/fleet/queries.go
+++ b/core/fleet/queries.go
@@ -162,8 +162,8 @@
 	return false
 }
 
-// answerSettled answers the queries that wait until a job's end is in the store.
-func (n *Node) answerSettled(s *shard, c schedule.OutcomeSaved) {
+// answerSaved answers the queries that wait until a job's end is in the store.
+func (n *Node) answerSaved(s *shard, c schedule.OutcomeSaved) {
 	waiting := s.pendingQueries[c.Job]
 	delete(s.pendingQueries, c.Job)
 	for _, q := range waiting {
--- a/core/fleet/runners.go
+++ b/core/fleet/runners.go
@@ -184,8 +184,8 @@
 	return n.runnersOfShard(s, all)
 }
 
-// suspectRunners passes the runners of a handover to the schedulers of their shards.
-func (n *Node) suspectRunners(now Time, list []workload.Runner) {
+// addUnlistedRunners passes the runners of a handover to the schedulers of their shards.
+func (n *Node) addUnlistedRunners(now Time, list []workload.Runner) {
 	for _, s := range n.own {
 		if own := n.runnersOfShard(s, list); len(own) > 0 {
 			s.schedule.AddUnlistedRunners(now, own)
