--- a/core/fleet/evacuation_test.go
+++ b/core/fleet/evacuation_test.go
@@ -11,16 +11,16 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// evacuateTime is how long after the operator's word starts in a domain must have ceased.
-const evacuateTime = 2 * time.Second
+// evacuationDelay is how long after its evacuation a domain may still get new tasks.
+const evacuationDelay = 2 * time.Second
 
-// operatorRows are the failure domains that the operator has evacuated, by since when.
+// operatorRows are the failure domains that the operator has evacuated, and since when.
 type operatorRows struct {
 	version uint64
 	since   map[string]time.Duration
 }
 
-func (o *operatorRows) newest() routing.Evacuations {
+func (o *operatorRows) latest() routing.Evacuations {
 	e := routing.Evacuations{Version: o.version + 1}
 	for d := range o.since {
 		e.Domains = append(e.Domains, d)
@@ -37,12 +37,12 @@
 	w.evacuations.since[domain] = w.now
 }
 
-func (w *world) takeBack(domain string) {
+func (w *world) revokeEvacuation(domain string) {
 	w.evacuations.version++
 	delete(w.evacuations.since, domain)
 }
 
-// startedIn counts the runs in a domain, from now on.
+// startedIn returns a function that counts the runs started in a domain since this call.
 func (w *world) startedIn(domain string) func() int {
 	count := func() int {
 		n := 0
@@ -57,8 +57,8 @@
 	return func() int { return count() - before }
 }
 
-// Guards against tasks that go to a domain which the operator has evacuated, and against
-// one that gets none after it was taken back.
+// Guards against tasks started in an evacuated domain, and against a domain that gets none
+// after its evacuation was revoked.
 func TestAnEvacuatedDomainGetsNothingUntilItIsTakenBack(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 2)
@@ -69,7 +69,7 @@
 	evacuated := w.startedIn("b")
 	w.run(4 * time.Second)
 	g.Expect(evacuated()).To(BeZero())
-	w.takeBack("b")
+	w.revokeEvacuation("b")
 	w.run(time.Second)
 	back := w.startedIn("b")
 	w.run(2 * time.Second)
@@ -80,40 +80,40 @@
 	w.run(2 * time.Second)
 	g.Expect(again()).To(BeZero())
 	w.run(10 * time.Second)
-	g.Expect(w.truth.broken).To(BeEmpty())
+	g.Expect(w.checker.violations).To(BeEmpty())
 	g.Expect(w.unanswered()).To(BeZero())
 }
 
-// unanswered counts the jobs without a final word.
+// unanswered counts the jobs without a final answer.
 func (w *world) unanswered() int {
 	n := 0
 	for _, j := range w.jobs {
-		if !j.answered && w.now > j.sent+j.patience+resend {
+		if !j.answered && w.now > j.sent+j.patience+resendInterval {
 			n++
 		}
 	}
 	return n
 }
 
-// Guards against a leader that the store turns away, and that goes on using a domain
-// though the others know that it is evacuated.
+// Guards against a leader that can't reach the store and goes on using a domain, though the
+// other processes know that it is evacuated.
 func TestALeaderWithoutTheStoreHearsOfAnEvacuation(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 1)
 	w.load(40, 8*time.Second)
-	w.storeAway[w.leader().name] = true
+	w.storeUnreachable[w.leader().name] = true
 	w.run(time.Second)
 	w.evacuate("b")
 	w.run(time.Second)
 	started := w.startedIn("b")
 	w.run(3 * time.Second)
 	g.Expect(started()).To(BeZero())
-	g.Expect(w.truth.broken).To(BeEmpty())
+	g.Expect(w.checker.violations).To(BeEmpty())
 }
 
-// Guards against a leader that takes over while the store is away, and doesn't know what
-// the one before knew; and against a process that starts then.
-func TestAnEvacuationOutlivesItsLeaders(t *testing.T) {
+// Guards against a leader that takes over while the store is unavailable and doesn't know the
+// evacuations that its predecessor knew, and against a process that starts at that time.
+func TestAnEvacuationSurvivesLeaderChanges(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 1)
 	w.load(40, 12*time.Second)
@@ -133,11 +133,11 @@
 	}
 	w.run(4 * time.Second)
 	g.Expect(started()).To(BeZero())
-	g.Expect(w.truth.broken).To(BeEmpty())
+	g.Expect(w.checker.violations).To(BeEmpty())
 }
 
-// Guards against callers who wait in vain: with all domains evacuated nothing can be
-// started, and they are told at once, truly, and when to come back.
+// Guards against callers who wait in vain. With all domains evacuated no task can be started,
+// and callers must be answered at once that nothing was run.
 func TestJobsAreRefusedAtOnceWhileAllDomainsAreEvacuated(t *testing.T) {
 	for _, cells := range []bool{false, true} {
 		g := NewWithT(t)
@@ -145,7 +145,7 @@
 		if cells {
 			w = cellDeployment(1, 2)
 		}
-		// Until then copies of jobs may come that an earlier scheduler had.
+		// Until then copies of jobs may arrive that an earlier scheduler had.
 		w.run(5 * time.Second)
 		early := w.submit("a", 2, 3*time.Second, 6*time.Second)
 		w.run(50 * time.Millisecond)
@@ -158,19 +158,19 @@
 		g.Expect(j.answered).To(BeTrue())
 		g.Expect(j.outcome).To(Equal(workload.NotRun))
 		w.run(4 * time.Second)
-		g.Expect(early.outcome).To(Equal(workload.Completed), "what runs goes on to its end")
+		g.Expect(early.outcome).To(Equal(workload.Completed), "running tasks aren't interrupted")
 		for _, d := range []string{"a", "b", "c"} {
-			w.takeBack(d)
+			w.revokeEvacuation(d)
 		}
 		w.run(time.Second)
 		j = w.submit("a", 4, 100*time.Millisecond, 3*time.Second)
 		w.run(time.Second)
 		g.Expect(j.outcome).To(Equal(workload.Completed))
-		g.Expect(w.truth.broken).To(BeEmpty())
+		g.Expect(w.checker.violations).To(BeEmpty())
 	}
 }
 
-// Guards against an evacuated cell whose jobs wait there, though others have room.
+// Guards against jobs that wait in an evacuated cell though other cells have capacity.
 func TestJobsOfAnEvacuatedCellGoToAnother(t *testing.T) {
 	g := NewWithT(t)
 	w := cellDeployment(1, 1)
@@ -186,5 +186,5 @@
 	for _, j := range jobs {
 		g.Expect(j.outcome).To(Equal(workload.Completed))
 	}
-	g.Expect(w.truth.broken).To(BeEmpty())
+	g.Expect(w.checker.violations).To(BeEmpty())
 }
