--- a/core/dispatch/admission.go
+++ b/core/dispatch/admission.go
@@ -10,114 +10,116 @@
 )
 
 const (
-	// hopeless is how far an expected run time may be off before a task that
-	// would end past its job's deadline isn't started.
-	hopeless = 4
-	// percent is the unit of an institution's capacity.
+	// infeasibleFactor is by how much the run time of a task may be overestimated
+	// before a task that is expected to end past the deadline is not started.
+	infeasibleFactor = 4
+	// percent is 100%, the default of an institution's CapacityPercent.
 	percent = 100
 )
 
-// AdmissionPolicy is what admission may be told, to compare policies.
+// AdmissionPolicy configures admission control, to compare policies.
 type AdmissionPolicy struct {
-	// WaitPercent is the part of its time that a job may be expected to wait.
+	// WaitPercent is the maximum expected wait, as a percentage of a job's time.
 	WaitPercent int
-	// OverloadAfter is how long tasks may have waited without a break before the
-	// wait counts as one that won't pass by itself; then OverloadWaitPercent holds.
+	// OverloadAfter is how long tasks must have been waiting without a break for the
+	// overload to count as lasting; then OverloadWaitPercent replaces WaitPercent.
 	OverloadAfter       time.Duration
 	OverloadWaitPercent int
-	// AdmitAll takes every job on that fits into the queue.
+	// AdmitAll admits every job for which the queue has room.
 	AdmitAll bool
-	// StartInfeasible starts tasks that can't end in time.
+	// StartInfeasible starts tasks even if they cannot end before their deadline.
 	StartInfeasible bool
 }
 
-// DefaultAdmissionPolicy is what measured best; see docs/design/admission.md.
+// DefaultAdmissionPolicy gave the best results; see docs/design/admission.md.
 var DefaultAdmissionPolicy = AdmissionPolicy{WaitPercent: 50, OverloadAfter: time.Second, OverloadWaitPercent: 3}
 
-// admissionState is the state of admission by the institutions' terms.
+// admissionState is the state of admission control.
 type admissionState struct {
-	estimate  *admission.Estimator
-	quotas    *admission.Quotas
-	comeBacks map[admission.Key]*admission.ComeBack
-	refusals  map[pb.Reason]uint64
-	// workers is the size of an institution's listed upstreams.
-	workers map[string]size
-	// inUse is the number of starts that aren't settled, by institution.
+	estimate    *admission.Estimator
+	quotas      *admission.Quotas
+	retryAfters map[admission.Key]*admission.ComeBack
+	refusals    map[pb.Reason]uint64
+	// totals are the totals of the listed upstreams, by institution.
+	totals map[string]upstreamTotals
+	// inUse is the number of starts without a final result, by institution.
 	inUse map[string]int
 	teams map[admission.Key]teamQueue
-	// lastIdle is when an institution last had no task waiting.
-	lastIdle map[string]task.Time
-	// placing is the institution that allowTeam asks for.
+	// lastEmpty is when an institution last had no task waiting.
+	lastEmpty map[string]task.Time
+	// placing is the institution whose teams allowTeam checks.
 	placing   string
 	allowTeam func(team string) bool
 }
 
 func newAdmissionState(self task.Incarnation) admissionState {
 	return admissionState{
-		estimate:  admission.NewEstimator(),
-		quotas:    admission.NewQuotas(self),
-		comeBacks: make(map[admission.Key]*admission.ComeBack),
-		refusals:  make(map[pb.Reason]uint64),
-		inUse:     make(map[string]int),
-		teams:     make(map[admission.Key]teamQueue),
-		lastIdle:  make(map[string]task.Time),
+		estimate:    admission.NewEstimator(),
+		quotas:      admission.NewQuotas(self),
+		retryAfters: make(map[admission.Key]*admission.ComeBack),
+		refusals:    make(map[pb.Reason]uint64),
+		inUse:       make(map[string]int),
+		teams:       make(map[admission.Key]teamQueue),
+		lastEmpty:   make(map[string]task.Time),
 	}
 }
 
-// admit decides whether a claimed job is taken on; nil means yes. A caller's
-// own key was let through before its claim: refused now it would be spent, and
-// while the process stops no new ones are let through.
+// admit decides whether a job whose claim is held is admitted; nil means yes. Jobs
+// under a caller's own key are not checked again: admitKey admitted them before
+// their claim, a refusal now would leave the key used up, and no new ones are
+// admitted while draining.
 func (c *Core) admit(sub *submission) *pb.Answer {
 	if c.draining && sub.id.Issued() {
-		return c.notRun(sub, pb.Reason_REASON_NOT_SERVING, "the process is stopping")
+		return c.notRunAnswer(sub, pb.Reason_REASON_NOT_SERVING, "the process is stopping")
 	}
 	if c.now >= sub.deadline {
-		return c.notRun(sub, pb.Reason_REASON_DEADLINE, "the deadline passed before a claim was settled")
+		return c.notRunAnswer(sub, pb.Reason_REASON_DEADLINE, "the deadline passed before a claim was settled")
 	}
 	if !sub.id.Issued() {
 		return nil
 	}
-	refusal, comeBack := c.decide(sub)
+	refusal, retryAfter := c.decide(sub)
 	if refusal == nil {
 		return nil
 	}
-	a := c.notRun(sub, refusal.Reason, refusal.Detail)
-	a.RetryAfterMs = uint32(comeBack.Milliseconds())
+	a := c.notRunAnswer(sub, refusal.Reason, refusal.Detail)
+	a.RetryAfterMs = uint32(retryAfter.Milliseconds())
 	return a
 }
 
-// admitKey decides on a request under the caller's own key before its claim is
-// written, so that the key stays usable; it reports false if it was refused.
+// admitKey checks admission for a request under the caller's own key before its
+// claim is written, so that the key can be used again after a refusal. It reports
+// whether the request was admitted.
 func (c *Core) admitKey(r *waiter, sub *submission) bool {
 	if sub.id.Issued() {
 		return true
 	}
-	refusal, comeBack := c.decide(sub)
+	refusal, retryAfter := c.decide(sub)
 	if refusal == nil {
 		return true
 	}
-	a := rejected(r, refusal.Reason, refusal.Detail)
-	a.RetryAfterMs = uint32(comeBack.Milliseconds())
+	a := rejectedAnswer(r, refusal.Reason, refusal.Detail)
+	a.RetryAfterMs = uint32(retryAfter.Milliseconds())
 	c.reply(r, a)
 	return false
 }
 
-// decide asks the institution's terms whether a job is taken on, and when it
-// should come back if not.
+// decide checks a job against the limits of its institution and team. It returns a
+// refusal and the delay before a retry, or nil if the job is admitted.
 func (c *Core) decide(sub *submission) (*admission.Refusal, time.Duration) {
 	inst := c.settings.Institution(sub.id.Institution)
-	c.noteQueue(inst.GetName())
+	c.recordEmptyQueue(inst.GetName())
 	j, capacity := c.jobOf(sub), c.capacity(sub)
 	var refusal *admission.Refusal
 	if c.cfg.AdmissionPolicy.AdmitAll {
 		capacity.Queued = 0
 	}
 	refusal = admission.Decide(j, capacity)
-	line := admission.Key{Institution: inst.GetName()}
+	key := admission.Key{Institution: inst.GetName()}
 	if team, binding := c.teamCapacity(sub, j, capacity); refusal == nil && binding {
 		refusal = admission.Decide(j, team)
 		capacity = team
-		line.Team = sub.request.GetTeam()
+		key.Team = sub.request.GetTeam()
 	}
 	if refusal == nil && c.queue.Tasks(inst.GetName())+len(sub.request.GetTasks()) > c.queueLimit(inst) {
 		refusal = &admission.Refusal{
@@ -130,15 +132,15 @@
 		return nil, 0
 	}
 	c.admission.refusals[refusal.Reason]++
-	back := c.admission.comeBacks[line]
-	if back == nil {
-		back = &admission.ComeBack{}
-		c.admission.comeBacks[line] = back
+	schedule := c.admission.retryAfters[key]
+	if schedule == nil {
+		schedule = &admission.ComeBack{}
+		c.admission.retryAfters[key] = schedule
 	}
-	return refusal, back.After(c.now, refusal, j, capacity)
+	return refusal, schedule.After(c.now, refusal, j, capacity)
 }
 
-// queueLimit is an institution's part of the tasks that may wait.
+// queueLimit is the maximum number of waiting tasks of an institution.
 func (c *Core) queueLimit(inst *pb.Institution) int {
 	p := int(inst.GetCapacityPercent())
 	if p == 0 {
@@ -154,7 +156,7 @@
 		MemoryMiB: sub.service.GetMemoryMib(),
 	}
 	for i := range sub.request.GetTasks() {
-		d := c.expected(sub, i)
+		d := c.expectedRunTime(sub, i)
 		j.Work += d
 		j.Longest = max(j.Longest, d)
 	}
@@ -170,12 +172,12 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// expected is a task's declared run time, corrected by what is observed.
-func (c *Core) expected(sub *submission, index int) time.Duration {
+// expectedRunTime is the declared run time of a task, corrected by observed times.
+func (c *Core) expectedRunTime(sub *submission, index int) time.Duration {
 	return c.admission.estimate.Expect(sub.id.Institution, sub.request.GetService(), declaredRun(sub, index))
 }
 
-// nextTask takes the task to be served next, within quotas and ceiling.
+// nextTask takes the next task to start, within quotas and ceiling.
 func (c *Core) nextTask(institution string) (queue.Ref, bool) {
 	if c.queue.Tasks(institution) == 0 || !c.admission.quotas.Allow(c.now, institution, "") {
 		return queue.Ref{}, false
@@ -183,30 +185,30 @@
 	c.admission.placing = institution
 	ref, ok := c.queue.Next(c.now, institution, c.admission.allowTeam)
 	if !ok {
-		// Only tasks that wait for their team's quota are left.
-		c.admission.lastIdle[institution] = c.now
+		// All remaining tasks wait for the quota of their team.
+		c.admission.lastEmpty[institution] = c.now
 	}
 	return ref, ok
 }
 
-// belowCeiling says whether the institution may hold one more slot.
+// belowCeiling reports whether the institution may hold one more slot.
 func (c *Core) belowCeiling(institution string) bool {
 	return c.admission.quotas.Room(c.now, admission.Key{Institution: institution})
 }
 
-// giveUpHopeless ends a job if a task of it that is about to be started can't
-// end in its time; it reports whether it did. Started, it would hold a slot
-// for an answer that nobody gets.
-func (c *Core) giveUpHopeless(ref queue.Ref) bool {
+// giveUpInfeasible ends a job whose next task cannot end before the deadline; it
+// reports whether it did. Starting the task would occupy a slot for a result that
+// nobody receives.
+func (c *Core) giveUpInfeasible(ref queue.Ref) bool {
 	sub := c.jobs[ref.Job]
-	if c.cfg.AdmissionPolicy.StartInfeasible || c.now+c.expected(sub, ref.Index)/hopeless <= sub.deadline {
+	if c.cfg.AdmissionPolicy.StartInfeasible || c.now+c.expectedRunTime(sub, ref.Index)/infeasibleFactor <= sub.deadline {
 		return false
 	}
 	c.giveUp(sub, pb.Reason_REASON_DEADLINE, "it can't be done in its time any more")
 	return true
 }
 
-// shareQuotas works out what is asked of peers and given back to them.
+// shareQuotas updates the quota borrowed from and returned to peers.
 func (c *Core) shareQuotas() {
 	c.admission.quotas.Tick(c.now)
 }
--- a/core/dispatch/admission_test.go
+++ b/core/dispatch/admission_test.go
@@ -11,8 +11,8 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// termsCore is one entry process with two upstreams of two slots.
-type termsCore struct {
+// admissionCore is the core of one entry process with two upstreams of two slots.
+type admissionCore struct {
 	*Core
 	g        *gomega.WithT
 	clock    task.Time
@@ -21,7 +21,7 @@
 	block    *pb.IdBlock
 }
 
-func newTermsCore(t *testing.T, change func(*pb.Institution)) *termsCore {
+func newAdmissionCore(t *testing.T, change func(*pb.Institution)) *admissionCore {
 	inst := &pb.Institution{
 		Name: "hollowell", TokenSha256: []string{strings.Repeat("a", 64)}, CapacityPercent: 50,
 		ResponseTimeMs: 2000, RetryPercent: 10, ResubmitWindowS: 60,
@@ -31,7 +31,7 @@
 	if change != nil {
 		change(inst)
 	}
-	c := &termsCore{g: gomega.NewWithT(t), Core: New(DefaultConfig(task.Incarnation{Node: "n", Run: 1}, "d"))}
+	c := &admissionCore{g: gomega.NewWithT(t), Core: New(DefaultConfig(task.Incarnation{Node: "n", Run: 1}, "d"))}
 	c.Step(0, SettingsRead{&pb.Settings{Version: 1, Institutions: []*pb.Institution{inst}}})
 	m := task.Members{Version: 1, Nodes: []task.Node{{Name: "n", FailureDomain: "d"}}}
 	for _, name := range []string{"u0", "u1"} {
@@ -42,7 +42,7 @@
 	return c
 }
 
-func (c *termsCore) submit(own, team string, tasks int, runMs uint32) uint64 {
+func (c *admissionCore) submit(own, team string, tasks int, runMs uint32) uint64 {
 	id := &pb.SubmissionId{Kind: &pb.SubmissionId_OwnKey{OwnKey: own}}
 	if own == "" {
 		id = &pb.SubmissionId{Kind: &pb.SubmissionId_Issued{Issued: &pb.IssuedId{Holder: c.block.GetHolder(), Number: c.block.GetFirst() + c.ids}}}
@@ -57,8 +57,8 @@
 	return c.requests
 }
 
-// taken sorts the commands since the last call.
-func (c *termsCore) taken() (answers map[uint64]*pb.Answer, starts []StartTask, writes int) {
+// takeSorted takes the commands since the last call, sorted by kind.
+func (c *admissionCore) takeSorted() (answers map[uint64]*pb.Answer, starts []StartTask, writes int) {
 	answers = make(map[uint64]*pb.Answer)
 	for _, cmd := range c.TakeCommands() {
 		switch cmd := cmd.(type) {
@@ -73,15 +73,15 @@
 	return answers, starts, writes
 }
 
-// A rush brings more jobs than can be printed in their time. Those beyond must
-// learn at once that they won't be, and when to come back, each at another
-// time, or all would come back together.
+// A burst brings more jobs than can finish in their time. The excess jobs must be
+// refused at once with a retry delay, and the delays must differ, because otherwise all
+// callers would retry at the same time.
 func TestJobsBeyondTheTimeAreRefusedAtOnce(t *testing.T) {
-	c := newTermsCore(t, nil)
+	c := newAdmissionCore(t, nil)
 	for range 100 {
 		c.submit("", "", 4, 200)
 	}
-	answers, _, _ := c.taken()
+	answers, _, _ := c.takeSorted()
 	c.g.Expect(len(answers)).To(gomega.BeNumerically(">", 80))
 	var last uint32
 	for n := uint64(1); n <= 100; n++ {
@@ -97,37 +97,36 @@
 	c.g.Expect(last).To(gomega.BeNumerically("<", 30_000))
 }
 
-// A job of many tasks makes others wait for a moment, and they would be done in
-// time. Only a wait that has stood for a while, as under lasting overload, may
-// turn them away.
-func TestShortQueueTurnsNobodyAway(t *testing.T) {
-	c := newTermsCore(t, nil)
+// A job of many tasks makes others wait briefly, but they still finish in time. Jobs may
+// be refused only if tasks have been waiting for a while, as under lasting overload.
+func TestShortQueueCausesNoRefusals(t *testing.T) {
+	c := newAdmissionCore(t, nil)
 	c.submit("", "", 12, 200)
 	c.clock += 20 * time.Millisecond
 	n := c.submit("", "", 1, 200)
-	answers, _, _ := c.taken()
+	answers, _, _ := c.takeSorted()
 	c.g.Expect(answers[n]).To(gomega.BeNil())
 	for c.clock < 1500*time.Millisecond {
 		c.clock += 10 * time.Millisecond
 		c.Tick(c.clock)
 	}
-	c.taken()
+	c.takeSorted()
 	n = c.submit("", "", 1, 200)
-	answers, _, _ = c.taken()
+	answers, _, _ = c.takeSorted()
 	c.g.Expect(answers[n].GetReason()).To(gomega.Equal(pb.Reason_REASON_OVERLOADED))
 }
 
-// A settlement comes under the caller's own key in the middle of the rush. The
-// claim of a job refused after it would spend the key, and the settlement
-// could never be made; so it is refused before.
+// A settlement under the caller's own key arrives during a burst. A refusal after its
+// claim was written would use up the key, and the settlement could never be made; so it
+// must be refused before the claim.
 func TestOwnKeyIsRefusedBeforeItsClaim(t *testing.T) {
-	c := newTermsCore(t, nil)
+	c := newAdmissionCore(t, nil)
 	for range 100 {
 		c.submit("", "", 4, 200)
 	}
-	c.taken()
+	c.takeSorted()
 	n := c.submit("settle-lot-17", "", 4, 200)
-	answers, _, writes := c.taken()
+	answers, _, writes := c.takeSorted()
 	c.g.Expect(writes).To(gomega.BeZero())
 	c.g.Expect(answers[n].GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_UNKNOWN))
 	c.g.Expect(answers[n].GetRetryAfterMs()).To(gomega.BeNumerically(">", 0))
@@ -136,12 +135,12 @@
 		c.Tick(c.clock)
 	}
 	c.submit("settle-lot-17", "", 4, 200)
-	_, _, writes = c.taken()
+	_, _, writes = c.takeSorted()
 	c.g.Expect(writes).To(gomega.Equal(1))
 }
 
-// Some jobs can never run. A caller who is told to come back would come back
-// for ever, so the answer names the reason and no time.
+// Some jobs can never run. A caller who was told to retry would do so for ever, so the
+// answer must give the reason and no retry delay.
 func TestJobsThatCanNeverRunAreRefusedWithTheReason(t *testing.T) {
 	for name, job := range map[string]struct {
 		change func(*pb.Institution)
@@ -157,9 +156,9 @@
 		"slots":      {nil, "", 200, 200, "on 4 slots, the most it may ever hold"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newTermsCore(t, job.change)
+			c := newAdmissionCore(t, job.change)
 			n := c.submit("", job.team, job.tasks, job.runMs)
-			answers, starts, _ := c.taken()
+			answers, starts, _ := c.takeSorted()
 			c.g.Expect(starts).To(gomega.BeEmpty())
 			c.g.Expect(answers[n].GetReason()).To(gomega.Equal(pb.Reason_REASON_NEVER_RUNNABLE))
 			c.g.Expect(answers[n].GetDetail()).To(gomega.ContainSubstring(job.detail))
@@ -168,36 +167,36 @@
 	}
 }
 
-// Two teams share the upstreams and one has more work than its quota. The
-// other's labels must not wait behind it, and the dump must say why it waits.
-func TestTeamAtItsQuotaDoesNotHoldUpOthers(t *testing.T) {
-	c := newTermsCore(t, nil)
+// Two teams share the upstreams and one has more work than its quota. The other's tasks
+// must not wait behind it, and the dump must name the quota.
+func TestTeamAtItsQuotaDoesNotDelayOthers(t *testing.T) {
+	c := newAdmissionCore(t, nil)
 	c.submit("", "kitchens", 3, 200)
 	c.submit("", "", 2, 200)
-	_, starts, _ := c.taken()
+	_, starts, _ := c.takeSorted()
 	c.g.Expect(starts).To(gomega.HaveLen(3))
 	c.g.Expect(c.Dump().Submissions[0].WaitsFor).To(gomega.Equal("the quota of its team"))
 	c.g.Expect(c.Dump().Constraints.Limits[0].Held).To(gomega.Equal(1))
 }
 
-// One team has piled up seconds of work beyond its quota. It must be told so,
-// and the other's jobs, for which slots are idle, must not be refused for it.
-func TestBacklogOfOneTeamTurnsOnlyItAway(t *testing.T) {
-	c := newTermsCore(t, nil)
+// One team has a backlog of seconds of work beyond its quota. Its further jobs must be
+// refused, and those of others, for which slots are idle, must not be.
+func TestBacklogOfOneTeamCausesNoOtherRefusals(t *testing.T) {
+	c := newAdmissionCore(t, nil)
 	c.submit("", "kitchens", 25, 200)
 	others := c.submit("", "", 1, 200)
 	kitchens := c.submit("", "kitchens", 1, 200)
-	answers, starts, _ := c.taken()
+	answers, starts, _ := c.takeSorted()
 	c.g.Expect(starts).To(gomega.HaveLen(2))
 	c.g.Expect(answers).NotTo(gomega.HaveKey(others))
 	c.g.Expect(answers[kitchens].GetReason()).To(gomega.Equal(pb.Reason_REASON_OVERLOADED))
 }
 
-// A domain's kitchens are quiet and its entry VM has lent its part of their quota
-// to another. Then labels come in. The part comes home within a second or two,
-// so the callers must not be sent away from slots that stand idle.
-func TestQuotaThatIsLentTurnsNobodyAway(t *testing.T) {
-	c := newTermsCore(t, func(i *pb.Institution) { i.Teams[0].QuotaSlots = 3 })
+// A team is idle here and this process has lent its part of the team's quota to another.
+// Then jobs arrive. The lent part returns within a second or two, so the jobs must not be
+// refused while slots are idle.
+func TestLentQuotaCausesNoRefusals(t *testing.T) {
+	c := newAdmissionCore(t, func(i *pb.Institution) { i.Teams[0].QuotaSlots = 3 })
 	other := task.Incarnation{Node: "m", Run: 2}
 	list := c.view.List()
 	list.Version++
@@ -214,20 +213,20 @@
 	c.g.Expect(limit.Lent).To(gomega.And(gomega.BeNumerically(">", 0), gomega.Equal(limit.Own)))
 	c.submit("", "kitchens", 10, 200)
 	n := c.submit("", "kitchens", 1, 200)
-	answers, starts, _ := c.taken()
-	c.g.Expect(starts).To(gomega.BeEmpty(), "nothing has come home yet")
+	answers, starts, _ := c.takeSorted()
+	c.g.Expect(starts).To(gomega.BeEmpty(), "nothing has been returned yet")
 	c.g.Expect(answers[n].String()).To(gomega.Equal("<nil>"))
 }
 
-// An upstream begins to fail all its tasks while the other does well. After a
-// few of them the next must go elsewhere, though its slots are idle.
+// One of two upstreams begins to fail all its tasks. After a few failures it must get no
+// more tasks, although its slots are idle.
 func TestFailingUpstreamGetsNoMoreTasks(t *testing.T) {
-	c := newTermsCore(t, nil)
+	c := newAdmissionCore(t, nil)
 	failed := 0
 	for range 200 {
 		c.clock += 10 * time.Millisecond
 		c.submit("", "", 4, 200)
-		_, starts, _ := c.taken()
+		_, starts, _ := c.takeSorted()
 		for _, s := range starts {
 			r := task.Result{Verdict: task.Finished}
 			if s.Upstream == "u0" && c.clock > time.Second {
@@ -238,6 +237,6 @@
 		}
 	}
 	c.g.Expect(c.Dump().Constraints.Health.Ejections).To(gomega.BeNumerically(">=", 1))
-	c.g.Expect(failed).To(gomega.BeNumerically("<=", 8), "four jobs of two tasks there: with one other to compare, more is needed than in a fleet")
+	c.g.Expect(failed).To(gomega.BeNumerically("<=", 8), "four jobs with two tasks each on u0: with one other upstream to compare with, ejection takes more failures than in a fleet")
 	c.g.Expect(c.Dump().Constraints.Upstreams[0].State).To(gomega.Equal("ejected"))
 }
--- a/core/dispatch/adopt.go
+++ b/core/dispatch/adopt.go
@@ -9,12 +9,12 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// maxSuccession bounds how many planned stops in a row a request is led past.
+// maxSuccession bounds the chain of successors that is followed for one holder.
 const maxSuccession = 16
 
-// adopted is an ended incarnation that this process answers for.
+// adopted is an ended incarnation whose successor is this process.
 type adopted struct {
-	// issuer knows which of its ids were used.
+	// issuer is the record of which of its ids were used.
 	issuer *claim.Issuer
 	until  task.Time
 }
@@ -25,9 +25,9 @@
 	until task.Time
 }
 
-// adopt takes over the answers of a peer that stops as planned. Each message
-// is complete in itself and may come twice; only the last one makes this
-// process answer for what isn't among the answers.
+// adopt takes over the retained answers of a peer that stops as planned. Each message
+// is self-contained and may arrive twice; only the last one makes this process the
+// successor, which answers also for ids without a retained answer.
 func (c *Core) adopt(from task.Incarnation, h *pb.Handover) {
 	if c.draining || task.IncarnationOf(h.GetFrom()) != from {
 		return
@@ -63,30 +63,29 @@
 	c.succession.adopted[holder] = &adopted{claim.Restore(blocks, until), until}
 }
 
-// answerAdopted answers for an ended incarnation. Its answer may have been
-// handed over while the claim of the same key was being written here. A number
-// that it never used will never be used: its process closed admission before it
-// handed over.
+// answerAdopted answers for an ended incarnation. Its answer may have been handed over
+// while the claim of the same key was being written here. An id that it had not used
+// will never be used: its process closed admission before the handover.
 func (c *Core) answerAdopted(r *waiter, holder task.Incarnation) {
-	if kept := c.answers.Get(r.id); kept != nil {
-		c.replyKept(r, kept)
+	if retained := c.answers.Get(r.id); retained != nil {
+		c.replyRetained(r, retained)
 		return
 	}
-	// What was known of a holder may have expired here before the notice of its
-	// successor did, which led back to this process.
+	// The record of the holder may have expired here before the notice that names
+	// this process as its successor.
 	a := c.succession.adopted[holder]
 	if a != nil && r.id.Issued() && a.issuer.State(c.now, r.id.Number) == claim.Fresh {
-		word := answerFor(r.id, r.digest, pb.Outcome_OUTCOME_NOT_RUN, pb.Reason_REASON_HOLDER_GONE, "the process that issued the id stopped before it was used")
-		// Another id works at once; 0 would tell the caller not to try.
-		word.RetryAfterMs = atOnceMs
-		c.reply(r, word)
+		result := answerFor(r.id, r.digest, pb.Outcome_OUTCOME_NOT_RUN, pb.Reason_REASON_HOLDER_GONE, "the process that issued the id stopped before it was used")
+		// A submission under another id works at once; 0 would mean "do not retry".
+		result.RetryAfterMs = minRetryAfterMs
+		c.reply(r, result)
 		return
 	}
-	c.reply(r, failed(r, pb.Reason_REASON_ID_EXPIRED, "the process that held the claim has stopped and the answer isn't kept"))
+	c.reply(r, failedAnswer(r, pb.Reason_REASON_ID_EXPIRED, "the process that held the claim has stopped and the answer isn't kept"))
 }
 
-// successorOf finds who answers for an incarnation: itself, unless it has
-// handed over.
+// successorOf returns the incarnation that answers for a holder: the holder itself,
+// unless it has handed over.
 func (c *Core) successorOf(holder task.Incarnation) task.Incarnation {
 	for range maxSuccession {
 		if c.succession.adopted[holder] != nil {
@@ -101,21 +100,20 @@
 	return holder
 }
 
-// announceAdopted tells a peer which incarnations this process answers for. It
-// is said again on each new connection, so that a peer that was cut off learns
-// of it as well.
+// announceAdopted sends a peer the incarnations that this process has adopted. It is
+// repeated on each new connection, for peers that were unreachable before.
 func (c *Core) announceAdopted(to task.Incarnation) {
 	if len(c.succession.adopted) == 0 {
 		return
 	}
 	notice := &pb.HandoverNotice{}
 	for _, holder := range c.adoptedHolders() {
-		notice.Holders = append(notice.Holders, handedHolder(holder, nil, c.keepMs(c.succession.adopted[holder].until)))
+		notice.Holders = append(notice.Holders, handedHolder(holder, nil, c.retentionMs(c.succession.adopted[holder].until)))
 	}
 	c.send(to, &pb.PeerMessage{Body: &pb.PeerMessage_HandoverNotice{HandoverNotice: notice}})
 }
 
-func (c *Core) noticeSuccessor(from task.Incarnation, n *pb.HandoverNotice) {
+func (c *Core) recordSuccessor(from task.Incarnation, n *pb.HandoverNotice) {
 	for _, h := range n.GetHolders() {
 		holder := task.IncarnationOf(h.GetHolder())
 		if holder != c.cfg.Self && holder != from {
@@ -124,12 +122,12 @@
 	}
 }
 
-// handedAdopted lists the incarnations that this process answers for.
+// handedAdopted lists the incarnations that this process has adopted.
 func (c *Core) handedAdopted() []*pb.HandedHolder {
 	var list []*pb.HandedHolder
 	for _, holder := range c.adoptedHolders() {
 		a := c.succession.adopted[holder]
-		list = append(list, handedHolder(holder, a.issuer.Handed(c.now), c.keepMs(a.until)))
+		list = append(list, handedHolder(holder, a.issuer.Handed(c.now), c.retentionMs(a.until)))
 	}
 	return list
 }
--- a/core/dispatch/answer.go
+++ b/core/dispatch/answer.go
@@ -5,18 +5,18 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// defaultRetryAfterMs is when to come back if nothing better is known.
+// defaultRetryAfterMs is the minimum retry delay if no better estimate exists.
 const defaultRetryAfterMs = 200
 
-// atOnceMs is the least that still says that coming back is worthwhile.
-const atOnceMs = 1
+// minRetryAfterMs is the shortest retry delay; 0 would mean "do not retry".
+const minRetryAfterMs = 1
 
 func (c *Core) retryAfter() uint32 {
 	return defaultRetryAfterMs + uint32(c.rng.IntN(defaultRetryAfterMs))
 }
 
-// digestBytes is the wire form of a digest; a zero digest, of a submission
-// whose payload was never seen, is empty.
+// digestBytes returns the wire form of a digest. The zero digest, used for a
+// submission whose payload is not known, is empty.
 func digestBytes(d task.Digest) []byte {
 	if d == (task.Digest{}) {
 		return nil
@@ -38,31 +38,31 @@
 	}
 }
 
-// notRun is the word for a sealed submission none of whose tasks ran.
-func (c *Core) notRun(sub *submission, reason pb.Reason, detail string) *pb.Answer {
+// notRunAnswer is the answer to a sealed submission none of whose tasks ran.
+func (c *Core) notRunAnswer(sub *submission, reason pb.Reason, detail string) *pb.Answer {
 	a := answer(sub, pb.Outcome_OUTCOME_NOT_RUN, reason, detail)
 	a.RetryAfterMs = c.retryAfter()
 	return a
 }
 
-// failed is the final word on a submission that may have run and whose answer
-// can't be had any more.
-func failed(r *waiter, reason pb.Reason, detail string) *pb.Answer {
+// failedAnswer is the final answer to a submission that may have run and whose
+// result is no longer available.
+func failedAnswer(r *waiter, reason pb.Reason, detail string) *pb.Answer {
 	a := answerFor(r.id, r.digest, pb.Outcome_OUTCOME_FAILED, reason, detail)
 	a.MayHaveRun = true
 	return a
 }
 
-// unsettled is the answer when this request couldn't settle the outcome and
-// asking again is worthwhile.
-func (c *Core) unsettled(r *waiter, reason pb.Reason, detail string) *pb.Answer {
-	a := rejected(r, reason, detail)
+// retryableAnswer is the answer to a request that could not determine the outcome
+// and should be retried.
+func (c *Core) retryableAnswer(r *waiter, reason pb.Reason, detail string) *pb.Answer {
+	a := rejectedAnswer(r, reason, detail)
 	a.RetryAfterMs = c.retryAfter()
 	return a
 }
 
-// rejected turns a request away without a word on the submission.
-func rejected(r *waiter, reason pb.Reason, detail string) *pb.Answer {
+// rejectedAnswer rejects a request without an outcome for the submission.
+func rejectedAnswer(r *waiter, reason pb.Reason, detail string) *pb.Answer {
 	a := answerFor(r.id, r.digest, pb.Outcome_OUTCOME_UNKNOWN, reason, detail)
 	a.MayHaveRun = true
 	return a
--- a/core/dispatch/bench_test.go
+++ b/core/dispatch/bench_test.go
@@ -9,11 +9,11 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// benchCore is one process with all upstreams to itself.
+// benchCore returns the core of the only process, which owns all upstreams.
 func benchCore(upstreams int) *Core {
 	cfg := DefaultConfig(task.Incarnation{Node: "entry-0", Run: 1}, "melton")
 	cfg.MaxQueuedTasks = 1 << 30
-	// The longest queue measured is longer than admission would let it grow.
+	// The longest queue measured is longer than admission control would admit.
 	cfg.AdmissionPolicy.WaitPercent = percent
 	cfg.AdmissionPolicy.OverloadWaitPercent = percent
 	c := New(cfg)
@@ -64,7 +64,7 @@
 	}
 }
 
-// finish reports the end of the oldest start, which makes room for another.
+// finish reports the end of the oldest start, which frees its slot.
 func (l *benchLoad) finish() {
 	id := l.started[l.next]
 	l.next++
@@ -76,9 +76,9 @@
 	l.collect()
 }
 
-// BenchmarkPlacement is the whole cost in the core of one task: its tenth of a
-// submission, its start, its result and its tenth of the answer. Jobs wait for
-// slots, and lending is out of play.
+// BenchmarkPlacement measures the cost of one task in the core: a tenth of a submission of
+// ten tasks, the start, the result and a tenth of the answer. Jobs wait for slots, and no
+// slots are lent.
 func BenchmarkPlacement(b *testing.B) {
 	for _, c := range []struct{ upstreams, waiting int }{{48, 100}, {384, 100}, {1000, 100}, {6700, 100}, {48, 1000}, {48, 10_000}, {48, 100_000}} {
 		b.Run(fmt.Sprintf("upstreams=%d/waiting=%d", c.upstreams, c.waiting), func(b *testing.B) {
--- a/core/dispatch/borrowing.go
+++ b/core/dispatch/borrowing.go
@@ -10,91 +10,92 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-func (c *Core) lendingTerms(inst *pb.Institution) LendingLimits {
+func (c *Core) lendingLimits(inst *pb.Institution) LendingLimits {
 	return c.cfg.Lending.Limits(time.Duration(inst.GetBorrowToleranceMs()) * time.Millisecond)
 }
 
-// borrow asks peers for slots if tasks would wait longer than tolerated.
+// borrow requests slots from peers if tasks would wait longer than tolerated.
 func (c *Core) borrow(inst *pb.Institution) {
 	name := inst.GetName()
-	if c.cfg.Lending.Off || c.now < c.lending.quiet || c.queue.Tasks(name) == 0 || len(c.lending.seen) == 0 {
+	if c.cfg.Lending.Off || c.now < c.lending.quietUntil || c.queue.Tasks(name) == 0 || len(c.lending.reports) == 0 {
 		return
 	}
-	terms := c.lendingTerms(inst)
+	limits := c.lendingLimits(inst)
 	need := c.queue.Late(c.now, name, queue.Demand{
-		Pace:      c.pace(name),
-		Tolerance: terms.Tolerance,
-		Typical:   c.meanRun(name),
-		Slack:     terms.Slack,
+		Pace:      c.slotInterval(name),
+		Tolerance: limits.Tolerance,
+		Typical:   c.meanRunTime(name),
+		Slack:     limits.Slack,
 	})
-	need -= c.pending(name)
+	need -= c.pendingSlots(name)
 	if need > 0 {
-		need = c.askIdle(name, need, terms)
+		need = c.requestIdle(name, need, limits)
 	}
-	if need > 0 && c.expectedWait(name) >= terms.MinSpeculativeWait {
-		c.askBlind(name, need)
+	if need > 0 && c.expectedWait(name) >= limits.MinSpeculativeWait {
+		c.requestSpeculatively(name, need)
 	}
-	c.lookAgain()
+	c.scheduleRecheck()
 }
 
-// lookAgain sets a timer, because tasks become late and requests go without an
-// answer when nothing happens, too.
-func (c *Core) lookAgain() {
-	if c.lending.looking {
+// scheduleRecheck sets a timer that leads to another placement pass: tasks become
+// late and requests stay unanswered without any event.
+func (c *Core) scheduleRecheck() {
+	if c.lending.recheckPending {
 		return
 	}
-	c.lending.looking = true
-	c.after(patience, func() { c.lending.looking = false })
+	c.lending.recheckPending = true
+	c.after(grantTimeout, func() { c.lending.recheckPending = false })
 }
 
-// pending is the number of slots asked for that may be granted any moment.
-func (c *Core) pending(institution string) int {
+// pendingSlots is the number of requested slots that may still be granted.
+func (c *Core) pendingSlots(institution string) int {
 	n := 0
-	for k, r := range c.lending.asked {
-		if k.institution == institution && c.now-r.at < patience {
+	for k, r := range c.lending.requested {
+		if k.institution == institution && c.now-r.at < grantTimeout {
 			n += r.count
 		}
 	}
 	return n
 }
 
-// askIdle asks the peers that are thought to have idle slots, the one with the
-// most first, and returns the need that is left.
-func (c *Core) askIdle(institution string, need int, terms LendingLimits) int {
-	var list []task.Incarnation
-	for p, s := range c.lending.seen {
+// requestIdle requests slots from the peers that are thought to have idle ones, the
+// one with the most first, and returns the remaining need.
+func (c *Core) requestIdle(institution string, need int, limits LendingLimits) int {
+	var candidates []task.Incarnation
+	for p, s := range c.lending.reports {
 		if s.idle[institution] > 0 {
-			list = append(list, p)
+			candidates = append(candidates, p)
 		}
 	}
-	slices.SortFunc(list, func(a, b task.Incarnation) int {
-		seen := c.lending.seen
-		return cmp.Or(cmp.Compare(seen[b].idle[institution], seen[a].idle[institution]), compareIncarnations(a, b))
+	slices.SortFunc(candidates, func(a, b task.Incarnation) int {
+		reports := c.lending.reports
+		return cmp.Or(cmp.Compare(reports[b].idle[institution], reports[a].idle[institution]), compareIncarnations(a, b))
 	})
-	for _, p := range list {
+	for _, p := range candidates {
 		if need <= 0 {
 			break
 		}
-		idle := c.lending.seen[p].idle[institution]
+		idle := c.lending.reports[p].idle[institution]
 		n := min(need, idle)
-		c.ask(counterpart{p, institution}, n+(idle-n)*terms.SurplusPercent/100)
+		c.sendBorrowRequest(requestKey{p, institution}, n+(idle-n)*limits.SurplusPercent/100)
 		need -= n
 	}
 	return need
 }
 
-// askBlind asks one peer that isn't known to have idle slots: of those that
-// didn't just say that tasks wait there too, and that aren't asked already, the
-// one last heard of longest ago. If there is none, nobody is asked for a while.
-func (c *Core) askBlind(institution string, need int) {
-	var best counterpart
+// requestSpeculatively requests slots from one peer that is not known to have idle
+// ones. Peers that recently reported waiting tasks or have a request outstanding are
+// excluded; of the others it picks the one with the oldest report. If there is none,
+// no peer is asked for a while.
+func (c *Core) requestSpeculatively(institution string, need int) {
+	var best requestKey
 	var bestAt task.Time
-	for p, s := range c.lending.seen {
-		k := counterpart{p, institution}
-		if s.queued && c.now-s.at < queueTrust {
+	for p, s := range c.lending.reports {
+		k := requestKey{p, institution}
+		if s.queued && c.now-s.at < queuedPeerBackoff {
 			continue
 		}
-		if r := c.lending.asked[k]; r != nil && c.now-r.at < r.stands() {
+		if r := c.lending.requested[k]; r != nil && c.now-r.at < r.lifetime() {
 			continue
 		}
 		if best.peer.Node == "" || s.at < bestAt || s.at == bestAt && compareIncarnations(p, best.peer) < 0 {
@@ -102,18 +103,18 @@
 		}
 	}
 	if best.peer.Node == "" {
-		c.lending.quiet = c.now + leastStanding
+		c.lending.quietUntil = c.now + minRequestLifetime
 		return
 	}
-	c.ask(best, need)
+	c.sendBorrowRequest(best, need)
 }
 
-func (c *Core) ask(k counterpart, count int) {
+func (c *Core) sendBorrowRequest(k requestKey, count int) {
 	c.lending.lastRequest++
-	r := &request{id: c.lending.lastRequest, count: count, at: c.now, wait: c.expectedWait(k.institution)}
-	c.lending.asked[k] = r
-	c.after(max(r.stands(), patience), func() { forgetRequest(c.lending.asked, k, r) })
-	s := c.lending.seen[k.peer]
+	r := &slotRequest{id: c.lending.lastRequest, count: count, at: c.now, wait: c.expectedWait(k.institution)}
+	c.lending.requested[k] = r
+	c.after(max(r.lifetime(), grantTimeout), func() { removeRequest(c.lending.requested, k, r) })
+	s := c.lending.reports[k.peer]
 	s.idle[k.institution] = max(0, s.idle[k.institution]-count)
 	c.send(k.peer, &pb.PeerMessage{Body: &pb.PeerMessage_BorrowRequest{BorrowRequest: &pb.BorrowRequest{
 		Request:     r.id,
@@ -124,16 +125,16 @@
 	}}})
 }
 
-// granted takes over the slots of a grant. They may be used for half of the
-// time that the lender gives, so that tasks started on them have ended by then.
-func (c *Core) granted(from task.Incarnation, g *pb.LendGrant, returned int) {
-	for k, r := range c.lending.asked {
+// receiveGrant takes over granted slots. They are used for half of the loan duration
+// of the lender, so that tasks started on them have ended when the loan expires.
+func (c *Core) receiveGrant(from task.Incarnation, g *pb.LendGrant, returned int) {
+	for k, r := range c.lending.requested {
 		if k.peer != from || r.id != g.GetRequest() {
 			continue
 		}
 		r.count -= len(g.GetSlots()) + returned
 		if r.count <= 0 {
-			delete(c.lending.asked, k)
+			delete(c.lending.requested, k)
 		}
 	}
 	if len(g.GetSlots()) == 0 {
@@ -145,11 +146,11 @@
 	}
 	c.pool.Borrow(from, g.GetLoan(), list)
 	c.stats.Borrowed += uint64(len(list))
-	use := time.Duration(g.GetValidMs()) * time.Millisecond / 2
-	c.after(use, func() { c.pool.EndLoan(from, g.GetLoan()) })
+	usable := time.Duration(g.GetValidMs()) * time.Millisecond / 2
+	c.after(usable, func() { c.pool.EndLoan(from, g.GetLoan()) })
 }
 
-// addReturns lets spare borrowed slots ride home on a message to their lender.
+// addReturns adds spare borrowed slots to a message to their lender.
 func (c *Core) addReturns(to task.Incarnation, m *pb.PeerMessage) {
 	for _, inst := range c.settings.Current().GetInstitutions() {
 		name := inst.GetName()
@@ -167,48 +168,49 @@
 	}
 }
 
-// returnLater sends borrowed slots home that are spare for a while.
-func (c *Core) returnLater(inst *pb.Institution) {
+// scheduleReturn returns borrowed slots that stay unused for a while.
+func (c *Core) scheduleReturn(inst *pb.Institution) {
 	name := inst.GetName()
-	if c.lending.returning || c.pool.Idle(name) == c.pool.IdleOwn(name) {
+	if c.lending.returnPending || c.pool.Idle(name) == c.pool.IdleOwn(name) {
 		return
 	}
-	terms := c.lendingTerms(inst)
-	c.lending.returning = true
+	limits := c.lendingLimits(inst)
+	c.lending.returnPending = true
 	c.pool.SpareBorrowed(name, true)
-	c.after(terms.ReturnDelay, func() {
-		c.lending.returning = false
-		c.sendHome(name, terms.MinReturnBatch)
+	c.after(limits.ReturnDelay, func() {
+		c.lending.returnPending = false
+		c.returnSpare(name, limits.MinReturnBatch)
 	})
 }
 
-// sendHome returns spare borrowed slots, most of them in few messages.
-func (c *Core) sendHome(institution string, least int) {
+// returnSpare returns spare borrowed slots, to the peers with the most idle ones
+// first to save messages.
+func (c *Core) returnSpare(institution string, minBatch int) {
 	c.lending.spare[institution] = c.pool.SpareBorrowed(institution, false)
 	list := c.sortedPeers()
 	slices.SortStableFunc(list, func(a, b task.Incarnation) int {
 		return cmp.Compare(c.pool.IdleBorrowed(b), c.pool.IdleBorrowed(a))
 	})
 	for _, p := range list {
-		if min(c.lending.spare[institution], c.pool.IdleBorrowed(p)) < least {
+		if min(c.lending.spare[institution], c.pool.IdleBorrowed(p)) < minBatch {
 			return
 		}
 		c.send(p, &pb.PeerMessage{Body: &pb.PeerMessage_LendReturn{LendReturn: &pb.LendReturn{}}})
 	}
 }
 
-// seeIdle notes what a peer says of its idle slots.
-func (c *Core) seeIdle(from task.Incarnation, st *pb.PeerStatus) {
+// recordIdle records the idle slots that a peer reports.
+func (c *Core) recordIdle(from task.Incarnation, st *pb.PeerStatus) {
 	if st.GetStopping() {
-		delete(c.lending.seen, from)
+		delete(c.lending.reports, from)
 		return
 	}
 	idle := make(map[string]int, len(st.GetIdle()))
 	for _, i := range st.GetIdle() {
 		idle[i.GetInstitution()] = int(i.GetSlots())
 	}
-	c.lending.seen[from] = &sight{idle: idle, queued: st.GetQueuedTasks() > 0, at: c.now}
+	c.lending.reports[from] = &slotReport{idle: idle, queued: st.GetQueuedTasks() > 0, at: c.now}
 	if len(idle) > 0 {
-		c.lending.quiet = 0
+		c.lending.quietUntil = 0
 	}
 }
--- a/core/dispatch/cancel.go
+++ b/core/dispatch/cancel.go
@@ -7,12 +7,12 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// cancel ends a submission at its caller's wish, here or at its holder. One
-// that has ended keeps its word. One that isn't known yet is sealed, because a
+// cancel ends a submission at the request of its caller, here or at its holder. An
+// ended submission retains its answer. An unknown one is sealed, because a
 // cancellation may overtake the submission that it is for.
-func (c *Core) cancel(from asker, institution string, wire *pb.SubmissionId) {
+func (c *Core) cancel(from requester, institution string, wire *pb.SubmissionId) {
 	id := task.IDOf(institution, wire)
-	r := c.open(from, id, nil, task.Digest{}, c.allowance(institution, nil))
+	r := c.openRequest(from, id, nil, task.Digest{}, c.allowedWait(institution, nil))
 	if r == nil {
 		return
 	}
@@ -22,16 +22,16 @@
 		return
 	}
 	if sub := c.submissions[id]; sub != nil {
-		c.cancelHere(r, sub)
+		c.cancelKnown(r, sub)
 		return
 	}
 	c.cancelUnknown(r)
 }
 
-// cancelHere ends a job in progress. While its claim isn't settled another
-// process may yet turn out to hold it, so it is only marked: once the claim
-// stands here the job is sealed, and never runs, however often it is asked for.
-func (c *Core) cancelHere(r *waiter, sub *submission) {
+// cancelKnown ends a job in progress. While its claim is not settled, another process
+// may turn out to hold it, so the submission is only marked. If this incarnation
+// obtains the claim, the job is sealed and never runs, whatever is submitted later.
+func (c *Core) cancelKnown(r *waiter, sub *submission) {
 	c.attach(r, sub)
 	if sub.phase == claiming {
 		sub.cancelled = true
@@ -43,10 +43,10 @@
 func (c *Core) cancelUnknown(r *waiter) {
 	here := !r.id.Issued() || r.id.Holder == c.cfg.Self
 	switch {
-	case c.closed || c.draining && !here:
-		c.reply(r, c.unsettled(r, pb.Reason_REASON_NOT_SERVING, "the process is stopping"))
+	case c.admissionClosed || c.draining && !here:
+		c.reply(r, c.retryableAnswer(r, pb.Reason_REASON_NOT_SERVING, "the process is stopping"))
 	case !here:
-		c.toHolder(r, r.id.Holder)
+		c.sendToHolder(r, r.id.Holder)
 	case r.id.Issued():
 		c.sealIssued(r)
 	default:
@@ -54,9 +54,9 @@
 	}
 }
 
-// sealIssued uses a fresh number up.
+// sealIssued marks an unused id as used, so that its submission never runs.
 func (c *Core) sealIssued(r *waiter) {
-	if !c.idFresh(r) {
+	if !c.requireFreshID(r) {
 		return
 	}
 	c.issuer.Use(c.now, r.id.Number)
@@ -65,27 +65,27 @@
 	c.reply(r, a)
 }
 
-// cancelOwnKey claims a key in order to seal it, or finds its holder.
+// cancelOwnKey claims a key in order to seal it, or forwards to the holder.
 func (c *Core) cancelOwnKey(r *waiter) {
 	inst := c.settings.Institution(r.id.Institution)
 	h, known := c.holders.Get(r.id)
 	switch {
 	case known:
-		c.toHolder(r, h.Incarnation)
-	case !r.from.local() && !c.unsettledHere(r):
-		c.reply(r, failed(r, pb.Reason_REASON_ID_EXPIRED, "the answer isn't kept any more"))
+		c.sendToHolder(r, h.Incarnation)
+	case !r.from.local() && !c.hasUnsettledClaim(r):
+		c.reply(r, failedAnswer(r, pb.Reason_REASON_ID_EXPIRED, "the answer isn't kept any more"))
 	case c.draining:
-		c.reply(r, c.unsettled(r, pb.Reason_REASON_NOT_SERVING, "the process is stopping"))
+		c.reply(r, c.retryableAnswer(r, pb.Reason_REASON_NOT_SERVING, "the process is stopping"))
 	case inst == nil:
-		c.reply(r, rejected(r, pb.Reason_REASON_INVALID, "the institution isn't declared"))
+		c.reply(r, rejectedAnswer(r, pb.Reason_REASON_INVALID, "the institution isn't declared"))
 	default:
 		c.beginClaim(c.cancelledSubmission(r, inst), r)
 	}
 }
 
-// cancelledSubmission carries the claim of a cancellation. Its digest is that
-// of an unsettled claim of the same key, so that a row of that claim is known
-// again, and zero if there is none.
+// cancelledSubmission creates the submission that carries the claim of a
+// cancellation. If there is an unsettled claim of the same key, its digest is used,
+// so that its row is recognised; otherwise the digest is zero.
 func (c *Core) cancelledSubmission(r *waiter, inst *pb.Institution) *submission {
 	u, _ := c.unsettledClaims.Get(r.id)
 	return &submission{
@@ -93,7 +93,7 @@
 		digest:    u.Digest,
 		arrived:   c.now,
 		deadline:  r.deadline,
-		ttl:       time.Duration(inst.GetResubmitWindowS()) * time.Second,
+		retention: time.Duration(inst.GetResubmitWindowS()) * time.Second,
 		cancelled: true,
 	}
 }
--- a/core/dispatch/capacity.go
+++ b/core/dispatch/capacity.go
@@ -7,41 +7,42 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// size is the largest worker and the number of slots of an institution's
-// listed upstreams.
-type size struct {
+// upstreamTotals are the number of slots of an institution's listed upstreams and
+// the size of its largest worker; 0 means that the size is unknown.
+type upstreamTotals struct {
 	slots                int
 	cpuMillis, memoryMiB uint32
 }
 
-// sizesOf sums up the list. A worker of unknown size may be the largest.
-func sizesOf(list []task.Upstream) map[string]size {
-	sizes := make(map[string]size)
+// totalsOf sums up the list by institution. If the size of any worker is unknown,
+// it may be the largest, so the size is reported as unknown.
+func totalsOf(list []task.Upstream) map[string]upstreamTotals {
+	totals := make(map[string]upstreamTotals)
 	unknown := make(map[string]bool)
 	for _, u := range list {
-		s := sizes[u.Institution]
+		s := totals[u.Institution]
 		s.slots += int(u.Slots)
 		s.cpuMillis = max(s.cpuMillis, u.CPUMillis)
 		s.memoryMiB = max(s.memoryMiB, u.MemoryMiB)
-		sizes[u.Institution] = s
+		totals[u.Institution] = s
 		unknown[u.Institution] = unknown[u.Institution] || u.CPUMillis == 0 || u.MemoryMiB == 0
 	}
 	for name := range unknown {
 		if unknown[name] {
-			sizes[name] = size{slots: sizes[name].slots}
+			totals[name] = upstreamTotals{slots: totals[name].slots}
 		}
 	}
-	return sizes
+	return totals
 }
 
-// teamQueue is the waiting tasks of a team, without a break since a time.
+// teamQueue counts the waiting tasks of a team, and since when there have been any.
 type teamQueue struct {
 	tasks int
 	since task.Time
 }
 
-// noteWaiting counts the waiting tasks of a submission's team.
-func (c *Core) noteWaiting(sub *submission, n int) {
+// countWaiting adds n to the waiting tasks of a submission's team.
+func (c *Core) countWaiting(sub *submission, n int) {
 	key := admission.Key{Institution: sub.id.Institution, Team: sub.request.GetTeam()}
 	q, known := c.admission.teams[key]
 	if !known {
@@ -55,44 +56,44 @@
 	c.admission.teams[key] = q
 }
 
-// teamCapacity is what there is for a team within its quota; false if no quota
-// limits it.
+// teamCapacity returns the capacity available to a team within its quota; false if
+// no quota limits it.
 func (c *Core) teamCapacity(sub *submission, j admission.Job, all admission.Capacity) (admission.Capacity, bool) {
 	key := admission.Key{Institution: sub.id.Institution, Team: sub.request.GetTeam()}
 	q, waits := c.admission.teams[key]
-	stands := waits && c.now-q.since > c.cfg.AdmissionPolicy.OverloadAfter
-	units, binding := c.limitUnits(key, stands)
+	overloaded := waits && c.now-q.since > c.cfg.AdmissionPolicy.OverloadAfter
+	units, binding := c.usableUnits(key, overloaded)
 	if key.Team == "" || !binding || c.cfg.AdmissionPolicy.AdmitAll {
 		return all, false
 	}
 	all.Slots = min(all.Slots, units)
 	all.Queued = time.Duration(q.tasks) * j.Work / time.Duration(len(sub.request.GetTasks()))
 	all.WaitPercent = c.cfg.AdmissionPolicy.WaitPercent
-	if stands {
+	if overloaded {
 		all.WaitPercent = c.cfg.AdmissionPolicy.OverloadWaitPercent
 	}
 	return all, true
 }
 
-// limitUnits is how many tasks a quota or ceiling will let run here, and
-// whether it binds.
+// usableUnits returns how many tasks a quota or ceiling lets run at this process,
+// and whether the limit is binding.
 //
-// Units that aren't used here go to processes that ask for them and come back
-// when they are wanted, all within a second or two. Counting only those here at
-// the moment, an idle process took itself for exhausted and sent callers away
-// from slots that stood idle. What can't be had shows by tasks that wait for
-// longer than that; until then the whole limit counts.
-func (c *Core) limitUnits(key admission.Key, stands bool) (int, bool) {
+// Unused units are lent to processes that ask for them and return within a second
+// or two when they are needed here. If only the units present were counted, an idle
+// process that has lent its units would refuse jobs while slots are idle. Tasks that
+// have been waiting for longer than that show that the units are not available;
+// until then the whole limit counts.
+func (c *Core) usableUnits(key admission.Key, overloaded bool) (int, bool) {
 	units, binding := c.admission.quotas.Usable(c.now, key)
-	if binding && !stands {
+	if binding && !overloaded {
 		units = max(units, c.admission.quotas.Most(key.Institution, key.Team))
 	}
 	return units, binding
 }
 
-// queuedWork is the expected run time of the tasks that wait for a slot. Those
-// that wait for their team's quota keep no slot from the others; counted, one
-// team's backlog would have all teams refused.
+// queuedWork returns the expected run time of the tasks that wait for a slot. Tasks
+// that wait for their team's quota take no slot from others and are not counted;
+// otherwise the backlog of one team would cause jobs of all teams to be refused.
 func (c *Core) queuedWork(institution string) time.Duration {
 	tasks := c.queue.Tasks(institution)
 	if tasks == 0 {
@@ -110,49 +111,49 @@
 
 func (c *Core) capacity(sub *submission) admission.Capacity {
 	name := sub.id.Institution
-	s := c.admission.workers[name]
-	most := s.slots
-	if limit := c.admission.quotas.Most(name, sub.request.GetTeam()); limit > 0 && (most == 0 || limit < most) {
-		most = limit
+	s := c.admission.totals[name]
+	maxSlots := s.slots
+	if limit := c.admission.quotas.Most(name, sub.request.GetTeam()); limit > 0 && (maxSlots == 0 || limit < maxSlots) {
+		maxSlots = limit
 	}
-	// Lent slots come home as soon as they are spare there. Left out, a process
-	// that has lent most of its slots takes a short queue for one that lasts
-	// half a minute, and sends callers away for as long.
+	// Lent slots are returned as soon as their borrower does not need them. Without
+	// them a process that has lent most of its slots would estimate half a minute
+	// for a short queue, and refuse jobs for as long.
 	idle := c.pool.Idle(name) + c.pool.Lent(name)
-	for _, s := range c.lending.seen {
+	for _, s := range c.lending.reports {
 		idle += s.idle[name]
 	}
 	usable := c.admission.inUse[name] + idle
-	stands := c.now-c.admission.lastIdle[name] > c.cfg.AdmissionPolicy.OverloadAfter
-	if units, binding := c.limitUnits(admission.Key{Institution: name}, stands); binding {
+	overloaded := c.now-c.admission.lastEmpty[name] > c.cfg.AdmissionPolicy.OverloadAfter
+	if units, binding := c.usableUnits(admission.Key{Institution: name}, overloaded); binding {
 		usable = min(usable, units)
 	}
 	return admission.Capacity{
 		Slots:       usable,
-		Most:        most,
+		Most:        maxSlots,
 		Queued:      c.queuedWork(name),
-		WaitPercent: c.waitPercent(name),
+		WaitPercent: c.maxWaitPercent(name),
 		CPUMillis:   s.cpuMillis,
 		MemoryMiB:   s.memoryMiB,
 	}
 }
 
-// waitPercent is the part of its time that a job may be expected to wait.
+// maxWaitPercent returns the maximum expected wait, as a percentage of a job's time.
 //
-// A burst passes, and its jobs are done in time. Under lasting overload the
-// queue would stay as long as the longest wait permitted; then every job that
-// turns out longer than declared misses its time after it has used slots, and
-// less is completed than could be. So the wait is kept short from then on.
-func (c *Core) waitPercent(institution string) int {
-	if c.now-c.admission.lastIdle[institution] > c.cfg.AdmissionPolicy.OverloadAfter {
+// A burst is short, and its jobs finish in time. Under lasting overload the queue
+// would stay at the maximum wait; then every job that runs longer than declared
+// misses its deadline after it has used slots, and throughput drops. So the maximum
+// wait is short from then on.
+func (c *Core) maxWaitPercent(institution string) int {
+	if c.now-c.admission.lastEmpty[institution] > c.cfg.AdmissionPolicy.OverloadAfter {
 		return c.cfg.AdmissionPolicy.OverloadWaitPercent
 	}
 	return c.cfg.AdmissionPolicy.WaitPercent
 }
 
-// noteQueue notes when nothing waits.
-func (c *Core) noteQueue(institution string) {
+// recordEmptyQueue records the time if the institution has no waiting tasks.
+func (c *Core) recordEmptyQueue(institution string) {
 	if c.queue.Tasks(institution) == 0 {
-		c.admission.lastIdle[institution] = c.now
+		c.admission.lastEmpty[institution] = c.now
 	}
 }
--- a/core/dispatch/claimqueue.go
+++ b/core/dispatch/claimqueue.go
@@ -8,15 +8,15 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// claimQueue is the group commit of durable claims: one transaction is in
-// flight, the claims that arrive meanwhile share the next.
+// claimQueue implements group commit of durable claims: one transaction is in
+// flight, and the claims that arrive meanwhile share the next one.
 type claimQueue struct {
 	waiting  []*submission
 	inFlight []*submission
 	batch    uint64
-	// failures counts the writes without a reply since the last with one.
+	// failures counts the consecutive writes without a reply.
 	failures int
-	// notBefore is when the next write may begin.
+	// notBefore is the earliest start of the next write.
 	notBefore task.Time
 	// timer is set while a write waits for notBefore.
 	timer *timer
@@ -26,7 +26,7 @@
 	q.waiting = append(q.waiting, sub)
 }
 
-// take removes the next claims to write; those given up on are dropped.
+// take removes and returns the next claims to write; abandoned ones are dropped.
 func (q *claimQueue) take(limit int) []*submission {
 	var batch []*submission
 	n := 0
@@ -40,9 +40,9 @@
 	return batch
 }
 
-// writeClaims begins the next write. Writes are spaced by an interval, which
-// keeps all entry processes together within the table service's rate, and by a
-// back-off while it doesn't answer, so that an outage isn't met by a storm.
+// writeClaims begins the next write. An interval between writes keeps all entry
+// processes together within the rate limit of the table service. While the service
+// does not answer, a backoff keeps an outage from causing a storm of writes.
 func (c *Core) writeClaims() {
 	if c.claims.inFlight != nil || c.claims.timer != nil || len(c.claims.waiting) == 0 {
 		return
@@ -64,23 +64,23 @@
 	w := ClaimWrite{Batch: c.claims.batch}
 	for _, sub := range batch {
 		sub.written = true
-		w.Claims = append(w.Claims, Claim{sub.id, sub.digest, sub.number, uint32(sub.ttl / time.Second)})
+		w.Claims = append(w.Claims, Claim{sub.id, sub.digest, sub.number, uint32(sub.retention / time.Second)})
 	}
 	c.stats.ClaimWrites++
 	c.emit(w)
 }
 
-// claimInterval is the least time between two writes of this process. It grows
-// with the number of listed processes: at a fixed one, more entry VMs would
-// overload the table service by themselves, and every claim would time out.
+// claimInterval returns the minimum time between two writes of this process. It
+// grows with the number of listed processes: with a fixed interval, adding entry VMs
+// would overload the table service and every claim would time out.
 func (c *Core) claimInterval() time.Duration {
 	return max(c.cfg.ClaimInterval, time.Duration(len(c.view.List().Nodes))*c.cfg.ClusterClaimInterval)
 }
 
-// claimResult settles a group of claims. A write whose reply was lost may have
-// taken effect; it is written again, and then the rows that stand in the way
-// are this incarnation's own. A result for another write than the one in
-// flight is late or doubled, and dropped: it says nothing of these claims.
+// claimResult settles the claims of a write. A write whose reply was lost may have
+// taken effect; it is repeated, and the conflicting rows are then this incarnation's
+// own. A result that is not for the write in flight is late or a duplicate; it says
+// nothing about the claims in flight and is dropped.
 func (c *Core) claimResult(e ClaimResult) {
 	if e.Batch != c.claims.batch || c.claims.inFlight == nil {
 		c.stats.LateResults++
@@ -97,30 +97,30 @@
 	c.writeClaims()
 }
 
-// settleBatch gives the claims of a write their outcome. If rows stood in the
-// way nothing was written: the other claims go first into the next write.
+// settleBatch settles the claims of an answered write. If there were conflicts,
+// nothing was written: the other claims go to the front of the next write.
 func (c *Core) settleBatch(batch []*submission, conflicts []ClaimConflict) {
 	rows := make(map[task.ID]claim.Holder, len(conflicts))
 	for _, cf := range conflicts {
 		rows[cf.ID] = claim.Holder{Incarnation: cf.Holder, Digest: cf.Digest, Number: cf.Number}
 	}
-	var again []*submission
+	var unwritten []*submission
 	for _, sub := range batch {
-		h, stood := rows[sub.id]
+		h, exists := rows[sub.id]
 		switch {
-		case stood:
-			c.claimStood(sub, h)
+		case exists:
+			c.claimRowExists(sub, h)
 		case len(rows) > 0:
-			again = append(again, sub)
+			unwritten = append(unwritten, sub)
 		default:
-			c.claimed(sub)
+			c.claimWritten(sub)
 		}
 	}
-	c.claims.waiting = append(again, c.claims.waiting...)
+	c.claims.waiting = append(unwritten, c.claims.waiting...)
 }
 
-// claimsUnanswered puts the claims of a write without a reply first in line,
-// after a back-off.
+// claimsUnanswered puts the claims of a write without a reply at the front of the
+// queue, and delays the next write by a backoff.
 func (c *Core) claimsUnanswered(batch []*submission) {
 	c.claims.failures++
 	c.claims.waiting = append(batch, c.claims.waiting...)
--- a/core/dispatch/command.go
+++ b/core/dispatch/command.go
@@ -5,17 +5,17 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// Command is an output of the core, to be carried out by the node in order.
+// Command is an output of the core. The node executes commands in order.
 type Command interface{ command() }
 
-// Reply answers a caller's request, once.
+// Reply answers a caller's request. Each request gets exactly one.
 type Reply struct {
 	Request uint64
 	Answer  *pb.Answer
 }
 
-// StartTask sends a task to an upstream, once, without any retry below. The
-// node reports one StartResult: Lost if it can't tell what happened.
+// StartTask sends a task to an upstream once; the node does not retry it. The
+// node reports one StartResult, with verdict Lost if the outcome is unknown.
 type StartTask struct {
 	Start    task.StartID
 	Upstream string
@@ -23,24 +23,24 @@
 	Name    string
 	Service string
 	Payload []byte
-	// Deadline is on this process's clock.
+	// Deadline is on the clock of this process.
 	Deadline task.Time
 }
 
-// Settle asks an upstream, on a connection other than the one that fell
-// silent, what became of a start, and that it never run if it hasn't begun.
-// The node reports one StartResult.
+// Settle asks an upstream, on a connection other than the unresponsive one, for
+// the outcome of a start. A task that has not begun is marked so that it never
+// runs. The node reports one StartResult.
 type Settle struct {
 	Start    task.StartID
 	Upstream string
 	Name     string
-	// UpstreamRun is the run of the upstream known when the task was sent; an
-	// answer by another run proves nothing.
+	// UpstreamRun is the run of the upstream known when the task was sent. An
+	// answer from another run says nothing about the start.
 	UpstreamRun string
 }
 
-// StopTask tells an upstream that a task's result isn't wanted any more. No
-// result is reported for it beyond that of its start.
+// StopTask tells an upstream that the result of a task is no longer needed. It
+// produces no result of its own besides that of the start.
 type StopTask struct {
 	Start    task.StartID
 	Upstream string
@@ -53,13 +53,13 @@
 	Claims []Claim
 }
 
-// Claim is one claim row to insert.
+// Claim is a claim row to insert.
 type Claim struct {
 	ID     task.ID
 	Digest task.Digest
-	// Number tells the claims of this incarnation apart.
+	// Number distinguishes the claims of this incarnation.
 	Number uint64
-	// TTLSeconds is how long the row must be kept.
+	// TTLSeconds is how long the row must be retained.
 	TTLSeconds uint32
 }
 
@@ -77,18 +77,18 @@
 	Tasks   int
 	// Response is the time from arrival to the answer.
 	Response task.Time
-	// Ideal is the longest run time of its tasks; 0 if unknown.
+	// Ideal is the longest run time of the job's tasks; 0 if unknown.
 	Ideal task.Time
 }
 
-// SettingsInForce reports that a newer version is in force.
+// SettingsInForce reports that a newer settings version took effect.
 type SettingsInForce struct{ Settings *pb.Settings }
 
-// MembersInForce reports that a newer list of VMs is in force.
+// MembersInForce reports that a newer list of VMs took effect.
 type MembersInForce struct{ Members task.Members }
 
-// UpstreamHealth reports that an upstream gets less or more work than before
-// because of what its tasks came to, for logs.
+// UpstreamHealth reports that an upstream's share of the work changed because of
+// its task results, for logs.
 type UpstreamHealth struct {
 	Upstream string
 	// State is open, away, ejected, probing or returning.
@@ -96,7 +96,7 @@
 	Weight float64
 }
 
-// Drained reports that a planned stop has nothing left to do.
+// Drained reports that a planned stop is complete.
 type Drained struct{}
 
 func (Reply) command()           {}
--- a/core/dispatch/counters.go
+++ b/core/dispatch/counters.go
@@ -6,28 +6,28 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// bareStatus is the kind of a message that carries the status alone.
-const bareStatus = "status"
+// statusOnlyKind is the kind of a message that carries nothing but a status.
+const statusOnlyKind = "status"
 
-// Counters is what metrics read. Taking it costs the same however many
-// submissions are in progress.
+// Counters is the input of the metrics. Its cost does not depend on the number of
+// submissions in progress.
 type Counters struct {
 	Summary Dump
-	// Submissions and RunningStarts are present numbers.
+	// Submissions and RunningStarts are current numbers.
 	Submissions   int
 	RunningStarts int
 	Peers         int
-	// QueuedTasks counts the waiting tasks of each institution.
+	// QueuedTasks is the number of waiting tasks by institution.
 	QueuedTasks map[string]int
-	// Refusals counts jobs not taken on, by reason.
+	// Refusals is the number of refused jobs by reason.
 	Refusals map[string]uint64
 	// UpstreamsLimited is the number of upstreams not in full use.
 	UpstreamsLimited int
-	// PeerMessages counts the messages sent to peers by kind.
+	// PeerMessages is the number of messages sent to peers by kind.
 	PeerMessages map[string]uint64
 }
 
-// Counters describes the present numbers.
+// Counters returns the current counters.
 func (c *Core) Counters() Counters {
 	queued := make(map[string]int)
 	for _, inst := range c.settings.Current().GetInstitutions() {
@@ -45,19 +45,19 @@
 		RunningStarts:    len(c.starts),
 		Peers:            len(c.peers),
 		QueuedTasks:      queued,
-		PeerMessages:     maps.Clone(c.sentKinds),
+		PeerMessages:     maps.Clone(c.sentByKind),
 	}
 }
 
-// countPeerMessage counts a message by the name of its body in the schema.
+// countPeerMessage counts a message by the proto field name of its body.
 func (c *Core) countPeerMessage(m *pb.PeerMessage) {
-	if c.sentKinds == nil {
-		c.sentKinds = make(map[string]uint64)
+	if c.sentByKind == nil {
+		c.sentByKind = make(map[string]uint64)
 	}
 	r := m.ProtoReflect()
-	kind := bareStatus
+	kind := statusOnlyKind
 	if body := r.WhichOneof(r.Descriptor().Oneofs().ByName("body")); body != nil {
 		kind = string(body.Name())
 	}
-	c.sentKinds[kind]++
+	c.sentByKind[kind]++
 }
--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -1,11 +1,10 @@
-// Package dispatch is the state machine of one entry process. Events and
-// readings of the clock go in, commands come out; it does no input or output,
-// and the same events at the same times give the same commands.
+// Package dispatch is the state machine of one entry process. Events and clock
+// readings go in and commands come out. It performs no I/O and is
+// deterministic: the same events at the same times give the same commands.
 //
-// It joins the other core packages: who may start a submission's tasks
-// (claim), in which order they are served (queue), on which slots (slots), how
-// often they are tried again (retry), when the answer is whole (job) and which
-// settings are in force (settings).
+// It combines the other core packages: which process may start a submission's
+// tasks (claim), the order of service (queue), the slots (slots), retries
+// (retry), the assembly of results (job) and the settings in force (settings).
 package dispatch
 
 import (
@@ -23,50 +22,50 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// Config is what a core needs to know of its process.
+// Config configures the core of one entry process.
 type Config struct {
 	Self          task.Incarnation
 	FailureDomain string
-	// Seed feeds jitter; the same seed gives the same run.
+	// Seed seeds the random numbers for jitter; the same seed gives the same run.
 	Seed uint64
-	// IDValidity is how long issued ids stay usable.
+	// IDValidity is how long an issued id can be used.
 	IDValidity time.Duration
-	// MaxQueuedTasks bounds the tasks that wait, over all institutions.
+	// MaxQueuedTasks bounds the waiting tasks of all institutions together.
 	MaxQueuedTasks int
-	// MaxRetainedAnswerBytes bounds the answers kept for resubmissions, for each
+	// MaxRetainedAnswerBytes bounds the answers retained for resubmissions, per
 	// institution.
 	MaxRetainedAnswerBytes int
 	// MaxJobBytes bounds the results of one job.
 	MaxJobBytes int
-	// MaxClaimBatch bounds the claims of one transaction.
+	// MaxClaimBatch bounds the claims written in one transaction.
 	MaxClaimBatch int
-	// ClaimInterval is the least time between the beginnings of two writes of
-	// claims.
+	// ClaimInterval is the minimum time between the starts of two claim writes of
+	// this process.
 	ClaimInterval time.Duration
-	// ClusterClaimInterval is the least mean time between the writes of all listed
-	// processes together, which keeps their sum within what the table service
-	// carries, however many they are.
+	// ClusterClaimInterval is the minimum mean time between the claim writes of
+	// all listed processes together. It keeps their total rate within the capacity
+	// of the table service, however many processes there are.
 	ClusterClaimInterval time.Duration
-	// MaxWaitingClaims bounds the claims that wait to be written.
+	// MaxWaitingClaims bounds the claims waiting to be written.
 	MaxWaitingClaims int
-	// MaxHolders bounds the claim rows of others, and the unsettled claims,
-	// that are remembered.
+	// MaxHolders bounds the remembered claim rows of other processes, and
+	// separately the remembered unsettled claims.
 	MaxHolders int
-	// StatusInterval is how often a peer gets a status that says something new,
-	// IdleStatusInterval one that doesn't, if nothing else is sent to it.
+	// StatusInterval is how often a peer gets a status with changed contents if
+	// nothing else is sent to it, IdleStatusInterval an unchanged one.
 	StatusInterval     time.Duration
 	IdleStatusInterval time.Duration
-	// Lending sets how slots are lent between processes.
+	// Lending configures the lending of slots between processes.
 	Lending Lending
 
-	// Health is the limits of upstream health, AdmissionPolicy what admission is told.
+	// Health configures upstream health, AdmissionPolicy admission control.
 	Health          health.Config
 	AdmissionPolicy AdmissionPolicy
-	// Order sets the order of service.
+	// Order configures the order of service.
 	Order queue.Order
 }
 
-// DefaultConfig returns a configuration for an incarnation with usual limits.
+// DefaultConfig returns the default configuration for an incarnation.
 func DefaultConfig(self task.Incarnation, failureDomain string) Config {
 	return Config{
 		Self:                   self,
@@ -90,7 +89,7 @@
 	}
 }
 
-// Core is the state of one entry process. It isn't safe for concurrent use.
+// Core is the state of one entry process. It is not safe for concurrent use.
 type Core struct {
 	cfg      Config
 	now      task.Time
@@ -114,7 +113,7 @@
 	upstreams   map[string]*upstream
 	budgets     *retry.Budgets
 	health      *health.Tracker
-	requests    map[asker]*waiter
+	requests    map[requester]*waiter
 	answers     *claim.Answers
 
 	claims          claimQueue
@@ -129,17 +128,17 @@
 	forwarding forwarding
 	succession succession
 
-	// woke is when the process last woke from a pause, slept how long it was.
-	woke  task.Time
-	slept time.Duration
+	// resumedAt is when the last pause of the process ended, pauseLength its length.
+	resumedAt   task.Time
+	pauseLength time.Duration
 
 	draining bool
 	drained  bool
-	// closed is set when the handover begins: from then on nothing starts.
-	closed bool
-	stats  Stats
-	// sentKinds counts the messages sent to peers by kind.
-	sentKinds map[string]uint64
+	// admissionClosed is set when the handover begins; nothing starts after that.
+	admissionClosed bool
+	stats           Stats
+	// sentByKind counts the messages sent to peers by kind.
+	sentByKind map[string]uint64
 }
 
 // New returns the core of a process that has just started.
@@ -158,7 +157,7 @@
 		starts:      make(map[task.StartID]*start),
 		upstreams:   make(map[string]*upstream),
 		peers:       make(map[task.Incarnation]*peer),
-		requests:    make(map[asker]*waiter),
+		requests:    make(map[requester]*waiter),
 		answers:     claim.NewAnswers(cfg.MaxRetainedAnswerBytes),
 		holders:     claim.NewHolders(cfg.MaxHolders),
 
@@ -186,9 +185,10 @@
 	})
 }
 
-// Tick runs what is due at a time. Time never goes back.
+// Tick runs the timers that are due. The clock never goes back: an earlier now
+// counts as the latest time seen.
 func (c *Core) Tick(now task.Time) {
-	c.noticePause(now)
+	c.detectPause(now)
 	c.now = max(c.now, now)
 	c.runTimers()
 	c.place()
@@ -197,7 +197,7 @@
 
 // Step handles one event.
 func (c *Core) Step(now task.Time, e Event) {
-	c.noticePause(now)
+	c.detectPause(now)
 	c.now = max(c.now, now)
 	c.runTimers()
 	c.handle(e)
@@ -208,17 +208,17 @@
 func (c *Core) handle(e Event) {
 	switch e := e.(type) {
 	case Submit:
-		c.submit(asker{request: e.Request}, e.Institution, e.Submission, c.allowance(e.Institution, e.Submission))
+		c.submit(requester{request: e.Request}, e.Institution, e.Submission, c.allowedWait(e.Institution, e.Submission))
 	case Cancel:
-		c.cancel(asker{request: e.Request}, e.Institution, e.ID)
+		c.cancel(requester{request: e.Request}, e.Institution, e.ID)
 	case CallerGone:
-		c.callerGone(asker{request: e.Request})
+		c.callerGone(requester{request: e.Request})
 	case StartResult:
 		c.startResult(e.Start, e.Result)
 	case ClaimResult:
 		c.claimResult(e)
 	case MembersChanged:
-		c.membersRead(e.Members)
+		c.platformMembersRead(e.Members)
 	case MembersRead:
 		c.admission.quotas.MembersRead(c.now)
 	case SettingsRead:
@@ -234,7 +234,8 @@
 	}
 }
 
-// TakeCommands returns the commands since the last call. The slice is the caller's.
+// TakeCommands returns and clears the commands emitted since the last call. The
+// caller owns the slice.
 func (c *Core) TakeCommands() []Command {
 	out := c.commands
 	c.commands = nil
@@ -245,16 +246,16 @@
 	c.commands = append(c.commands, cmd)
 }
 
-// Ready says whether the process may be given new work: it has settings and
-// the list of VMs, and isn't stopping.
+// Ready reports whether the process can be given new work: it has settings and
+// the list of VMs, and is not draining.
 func (c *Core) Ready() bool {
 	return c.settings.Version() > 0 && c.view.Listed() && !c.draining
 }
 
-// IssueIDs hands out a block of ids held by this incarnation; nil while it
-// isn't ready.
+// IssueIDs issues a block of ids held by this incarnation, or returns nil if the
+// process is not ready.
 func (c *Core) IssueIDs(now task.Time, count uint32) *pb.IdBlock {
-	c.noticePause(now)
+	c.detectPause(now)
 	c.now = max(c.now, now)
 	if !c.Ready() {
 		return nil
--- a/core/dispatch/dump.go
+++ b/core/dispatch/dump.go
@@ -8,7 +8,7 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// Stats counts what this process did since its start.
+// Stats counts the actions of this process since its start.
 type Stats struct {
 	Starts            uint64 `json:"starts"`
 	NotStarted        uint64 `json:"not_started"`
@@ -33,8 +33,8 @@
 	return c.stats
 }
 
-// Dump is the state of the process for operators; times are in milliseconds
-// since the process started.
+// Dump is the state of the process for operators. Times are in milliseconds since the
+// start of the process.
 type Dump struct {
 	Incarnation         string           `json:"incarnation"`
 	FailureDomain       string           `json:"failure_domain"`
@@ -73,7 +73,7 @@
 	WaitsFor   string `json:"waits_for"`
 }
 
-// DumpStart is a task start that isn't settled.
+// DumpStart is a task start without a final result.
 type DumpStart struct {
 	Name     string `json:"name"`
 	Upstream string `json:"upstream"`
@@ -91,17 +91,17 @@
 	BorrowedSlots   int    `json:"borrowed_slots"`
 }
 
-// Dump describes the present state.
+// Dump returns the current state.
 func (c *Core) Dump() Dump {
 	d := c.summary()
 	d.Submissions = c.dumpSubmissions()
 	d.Starts = c.dumpStarts()
 	d.Peers = c.dumpPeers()
-	d.Constraints = c.dumpTerms()
+	d.Constraints = c.dumpConstraints()
 	return d
 }
 
-// summary is a dump without its lists.
+// summary returns a dump without its lists.
 func (c *Core) summary() Dump {
 	return Dump{
 		Incarnation:         c.cfg.Self.String(),
@@ -177,13 +177,13 @@
 	var list []DumpPeer
 	for _, p := range c.sortedPeers() {
 		st := c.peers[p]
-		list = append(list, DumpPeer{p.String(), st.failureDomain, st.status.GetSettingsVersion(), st.heard.Milliseconds(), st.status.GetStopping(), c.pool.Borrowed(p)})
+		list = append(list, DumpPeer{p.String(), st.failureDomain, st.status.GetSettingsVersion(), st.lastHeard.Milliseconds(), st.status.GetStopping(), c.pool.Borrowed(p)})
 	}
 	return list
 }
 
-// NodeVersions lists the settings version of this process, its peers and the
-// listed nodes that aren't connected.
+// NodeVersions returns the settings versions of this process, its peers and the
+// listed nodes that are not connected.
 func (c *Core) NodeVersions() []*pb.NodeVersion {
 	list := []*pb.NodeVersion{{
 		Incarnation:   c.cfg.Self.Proto(),
@@ -197,14 +197,14 @@
 			Incarnation:   p.Proto(),
 			FailureDomain: st.failureDomain,
 			Version:       st.status.GetSettingsVersion(),
-			AgeMs:         uint64((c.now - st.heard).Milliseconds()),
+			AgeMs:         uint64((c.now - st.lastHeard).Milliseconds()),
 			Connected:     true,
 		})
 	}
 	return append(list, c.absentVersions()...)
 }
 
-// Settings returns the settings in force, nil if none.
+// Settings returns the settings in force, or nil.
 func (c *Core) Settings() *pb.Settings {
 	return c.settings.Current()
 }
--- a/core/dispatch/dump_terms.go
+++ b/core/dispatch/dump_constraints.go
@@ -5,14 +5,14 @@
 	"sapphirepoint.example/sapphirepoint/core/health"
 )
 
-// DumpConstraints says which terms and upstreams keep tasks waiting.
+// DumpConstraints are the limits and upstreams that can keep tasks waiting.
 type DumpConstraints struct {
 	// Limits are the quotas and ceilings.
 	Limits []admission.Share `json:"limits"`
-	// Upstreams are those not in full use.
+	// Upstreams are the upstreams not in full use.
 	Upstreams []health.Status `json:"upstreams_not_in_full_use"`
 	Health    health.Stats    `json:"health"`
-	// Refusals counts jobs not taken on, by reason.
+	// Refusals is the number of refused jobs by reason.
 	Refusals     map[string]uint64          `json:"refusals"`
 	Institutions map[string]DumpInstitution `json:"institutions"`
 }
@@ -24,11 +24,11 @@
 	BusySlots     int     `json:"busy_slots"`
 	IdleSlots     int     `json:"idle_slots"`
 	RetriesLeft   float64 `json:"retries_left"`
-	// RunTimeFactors are, by service, run times observed over declared ones.
+	// RunTimeFactors are the ratios of observed to declared run time, by service.
 	RunTimeFactors map[string]float64 `json:"run_time_factors"`
 }
 
-func (c *Core) dumpTerms() DumpConstraints {
+func (c *Core) dumpConstraints() DumpConstraints {
 	d := DumpConstraints{
 		Limits:       c.admission.quotas.Dump(c.now),
 		Upstreams:    c.health.Dump(),
@@ -57,7 +57,7 @@
 	return d
 }
 
-// blockedBy says which limit keeps a submission's tasks waiting, if any.
+// blockedBy names the limit that keeps a submission's tasks waiting, if any.
 func (c *Core) blockedBy(sub *submission) string {
 	name, team := sub.id.Institution, sub.request.GetTeam()
 	switch {
--- a/core/dispatch/dump_test.go
+++ b/core/dispatch/dump_test.go
@@ -11,9 +11,9 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// A caller asks why its job isn't done. The dump is all that an operator has;
-// a wrong reason sends them to the wrong VM.
-func TestTheDumpSaysWhatEachJobWaitsFor(t *testing.T) {
+// Operators have only the dump to find out why a job is not done; a wrong reason directs
+// them to the wrong VM.
+func TestDumpNamesWhatEachJobWaitsFor(t *testing.T) {
 	two := &pb.Submission{Service: "labels", Team: "kitchens", Tasks: []*pb.Task{{}, {}}}
 	cases := []struct {
 		name, own string
--- a/core/dispatch/event.go
+++ b/core/dispatch/event.go
@@ -8,42 +8,44 @@
 // Event is an input to the core.
 type Event interface{ event() }
 
-// Submit is a caller's submission. Request is chosen by the node and comes
-// back in Reply.
+// Submit is a submission by a caller. Request is chosen by the node and repeated
+// in Reply.
 type Submit struct {
 	Request     uint64
 	Institution string
 	Submission  *pb.Submission
 }
 
-// Cancel is a caller's wish to end a submission.
+// Cancel is a caller's request to cancel a submission.
 type Cancel struct {
 	Request     uint64
 	Institution string
 	ID          *pb.SubmissionId
 }
 
-// CallerGone says that nobody waits for the reply to a request any more.
+// CallerGone reports that the caller of a request has stopped waiting for the
+// reply.
 type CallerGone struct{ Request uint64 }
 
-// StartResult is the news of one task start, from its own connection or from
-// a Settle.
+// StartResult is the result of one task start, from its own connection or from a
+// Settle.
 type StartResult struct {
 	Start  task.StartID
 	Result task.Result
 }
 
-// ClaimResult answers a ClaimWrite.
+// ClaimResult is the result of a ClaimWrite.
 type ClaimResult struct {
 	Batch uint64
-	// OK is false if the table service didn't answer; the write may or may not
+	// OK is false if the table service did not answer; the write may or may not
 	// have taken effect.
 	OK bool
-	// Conflicts are the rows that stood in the way; empty if all were written.
+	// Conflicts are the existing rows that prevented the write; empty if all claims
+	// were written.
 	Conflicts []ClaimConflict
 }
 
-// ClaimConflict is a claim row that exists.
+// ClaimConflict is an existing claim row.
 type ClaimConflict struct {
 	ID     task.ID
 	Holder task.Incarnation
@@ -52,22 +54,22 @@
 	Number uint64
 }
 
-// MembersChanged brings the platform's list.
+// MembersChanged carries a new version of the platform's list of VMs.
 type MembersChanged struct{ Members task.Members }
 
-// MembersRead says that the platform's list was read and hasn't changed.
+// MembersRead reports that the platform's list was read and is unchanged.
 type MembersRead struct{}
 
-// SettingsRead brings the settings row as read from the table service.
+// SettingsRead carries the settings row as read from the table service.
 type SettingsRead struct{ Settings *pb.Settings }
 
-// PeerUp says that a connection with a peer stands and messages flow.
+// PeerUp reports an established connection with a peer.
 type PeerUp struct {
 	Peer          task.Incarnation
 	FailureDomain string
 }
 
-// PeerDown says that the connection is lost; messages sent on it may be lost.
+// PeerDown reports a lost connection; messages sent on it may be lost.
 type PeerDown struct{ Peer task.Incarnation }
 
 // PeerMessage is a message from a connected peer.
@@ -76,7 +78,7 @@
 	Message *pb.PeerMessage
 }
 
-// Drain starts the planned stop.
+// Drain begins the planned stop.
 type Drain struct{}
 
 func (Submit) event()         {}
--- a/core/dispatch/fakes_test.go
+++ b/core/dispatch/fake_cluster_test.go
@@ -12,7 +12,7 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// Times of the fake network and of what a node does round the core.
+// Timing of the simulated network and nodes.
 const (
 	idleTimeout  = 2 * time.Second
 	storeTimeout = 2 * time.Second
@@ -24,27 +24,27 @@
 	responseMs   = 4000
 )
 
-// world is a deployment in virtual time: entries, a table service, runners and
-// the network between them.
+// world is a simulated deployment in virtual time: entry processes, a table service,
+// runners and the network between them.
 type world struct {
 	now     time.Duration
 	seq     uint64
-	agenda  timerHeap
+	events  timerHeap
 	rng     *rand.Rand
 	entries []*fakeEntry
 	links   map[[2]int]*fakeLink
 	store   *fakeStore
 	runners []*fakeRunner
-	truth   *truth
+	oracle  *oracle
 	faults  map[string]int
 	pauses  []fakePause
-	// replacedPaused is set once a paused entry was replaced by another run.
+	// replacedPaused is set once another run has replaced a paused entry.
 	replacedPaused bool
-	// recording keeps all inputs of the cores.
+	// recording makes the entries log all inputs of their cores.
 	recording bool
 }
 
-// newWorld starts entries in two failure domains and four runners.
+// newWorld starts entries in two failure domains, and four runners.
 func newWorld(seed uint64, entries int, recording bool, fail func(string, ...any)) *world {
 	w := &world{
 		rng:       rand.New(rand.NewPCG(seed, 1)),
@@ -54,7 +54,7 @@
 		recording: recording,
 	}
 	w.store = &fakeStore{w: w, rows: make(map[task.ID]ClaimConflict)}
-	w.truth = newTruth(w, fail)
+	w.oracle = newOracle(w, fail)
 	for i := range 4 {
 		r := &fakeRunner{w: w, name: fmt.Sprintf("runner-%d", i), domain: fmt.Sprintf("domain-%d", i%2), up: true}
 		r.restart()
@@ -69,54 +69,54 @@
 
 func (w *world) after(d time.Duration, f func()) {
 	w.seq++
-	heap.Push(&w.agenda, &timer{at: w.now + d, seq: w.seq, run: f})
+	heap.Push(&w.events, &timer{at: w.now + d, seq: w.seq, run: f})
 }
 
-// jitter is a latency about d.
+// jitter returns a random latency between d/2 and 3d/2.
 func (w *world) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(w.rng.Int64N(int64(d)))
 }
 
 func (w *world) chance(percent int) bool { return w.rng.IntN(100) < percent }
 
-// advance lets time pass.
+// advance runs all events due within d.
 func (w *world) advance(d time.Duration) {
 	end := w.now + d
-	for len(w.agenda) > 0 && w.agenda[0].at <= end {
-		t := heap.Pop(&w.agenda).(*timer)
+	for len(w.events) > 0 && w.events[0].at <= end {
+		t := heap.Pop(&w.events).(*timer)
 		w.now = max(w.now, t.at)
 		t.run()
 	}
 	w.now = end
 }
 
-// fakeEntry is one run of an entry process with the node round its core.
+// fakeEntry is one run of an entry process, including the node around its core.
 type fakeEntry struct {
-	w       *world
-	index   int
-	name    string
-	domain  string
-	run     uint64
-	born    time.Duration
-	core    *Core
-	alive   bool
-	paused  bool
-	drained bool
-	// backlog is what arrives, and what should leave, during a pause.
-	backlog []func()
-	tick    time.Duration
-	// inbox and results are kept to be delivered again.
-	inbox    []PeerMessage
-	results  []StartResult
-	claims   []ClaimResult
-	resumed  time.Duration
-	pausedAt time.Duration
-	log      []logged
+	w         *world
+	index     int
+	name      string
+	domain    string
+	run       uint64
+	startedAt time.Duration
+	core      *Core
+	alive     bool
+	paused    bool
+	drained   bool
+	// backlog holds the arriving and outgoing events deferred by a pause.
+	backlog  []func()
+	nextTick time.Duration
+	// inbox, results and claims are retained to be delivered again.
+	inbox     []PeerMessage
+	results   []StartResult
+	claims    []ClaimResult
+	resumedAt time.Duration
+	pausedAt  time.Duration
+	log       []logEntry
 }
 
-// logged is an input to a core and what came of it; issued numbers a block of
-// ids, and with neither event nor block it is a tick.
-type logged struct {
+// logEntry is an input to a core with the resulting commands. issued is the size of a
+// block of ids; with neither an event nor issued ids the input is a tick.
+type logEntry struct {
 	at       time.Duration
 	event    Event
 	issued   uint32
@@ -124,7 +124,7 @@
 }
 
 func (w *world) boot(index int) *fakeEntry {
-	e := &fakeEntry{w: w, index: index, name: fmt.Sprintf("entry-%d", index), domain: fmt.Sprintf("domain-%d", index%2), born: w.now, alive: true, resumed: w.now}
+	e := &fakeEntry{w: w, index: index, name: fmt.Sprintf("entry-%d", index), domain: fmt.Sprintf("domain-%d", index%2), startedAt: w.now, alive: true, resumedAt: w.now}
 	e.run = w.rng.Uint64()
 	cfg := DefaultConfig(task.Incarnation{Node: e.name, Run: e.run}, e.domain)
 	cfg.IDValidity = 30 * time.Second
@@ -146,14 +146,14 @@
 
 func (e *fakeEntry) self() task.Incarnation { return task.Incarnation{Node: e.name, Run: e.run} }
 
-func (e *fakeEntry) clock() task.Time { return e.w.now - e.born }
+func (e *fakeEntry) clock() task.Time { return e.w.now - e.startedAt }
 
-// do runs f at this entry after a delay; during a pause it waits.
-func (e *fakeEntry) do(d time.Duration, f func()) {
-	e.w.after(d, func() { e.enter(f) })
+// schedule runs f at this entry after a delay, or after its pause if it is paused.
+func (e *fakeEntry) schedule(d time.Duration, f func()) {
+	e.w.after(d, func() { e.runOrDefer(f) })
 }
 
-func (e *fakeEntry) enter(f func()) {
+func (e *fakeEntry) runOrDefer(f func()) {
 	switch {
 	case !e.alive:
 	case e.paused:
@@ -163,7 +163,7 @@
 	}
 }
 
-// trace prints what happens at entries, for a run that is played again.
+// trace prints events and commands that match -random.trace.
 func (w *world) trace(format string, args ...any) {
 	if *longTrace == "" {
 		return
@@ -173,17 +173,17 @@
 	}
 }
 
-func (e *fakeEntry) note(l logged) {
+func (e *fakeEntry) record(l logEntry) {
 	if !e.w.recording {
 		e.log = e.log[:0]
 	}
 	e.log = append(e.log, l)
 }
 
-// remember keeps the newest of what may be delivered again.
-func remember[V any](list []V, v V) []V {
-	const most = 100
-	if len(list) == most {
+// appendBounded appends to a list, dropping the oldest element when it is full.
+func appendBounded[V any](list []V, v V) []V {
+	const limit = 100
+	if len(list) == limit {
 		list = slices.Delete(list, 0, 1)
 	}
 	return append(list, v)
@@ -191,62 +191,62 @@
 
 func (e *fakeEntry) step(ev Event) {
 	e.w.trace("%s <- %T %v", e.self(), ev, ev)
-	e.note(logged{at: e.clock(), event: ev})
+	e.record(logEntry{at: e.clock(), event: ev})
 	e.core.Step(e.clock(), ev)
-	e.carryOut()
+	e.executeCommands()
 }
 
 func (e *fakeEntry) post(d time.Duration, ev Event) {
-	e.do(d, func() { e.step(ev) })
+	e.schedule(d, func() { e.step(ev) })
 }
 
-func (e *fakeEntry) carryOut() {
+func (e *fakeEntry) executeCommands() {
 	for _, cmd := range e.core.TakeCommands() {
 		last := &e.log[len(e.log)-1]
 		last.commands = append(last.commands, cmd)
-		e.carry(cmd)
+		e.execute(cmd)
 	}
 	at, ok := e.core.NextTimer()
-	if !ok || (e.tick > e.clock() && e.tick <= at) {
+	if !ok || (e.nextTick > e.clock() && e.nextTick <= at) {
 		return
 	}
-	e.tick = at
-	e.do(max(at-e.clock(), 0), func() {
-		e.note(logged{at: e.clock()})
+	e.nextTick = at
+	e.schedule(max(at-e.clock(), 0), func() {
+		e.record(logEntry{at: e.clock()})
 		e.core.Tick(e.clock())
-		e.carryOut()
+		e.executeCommands()
 	})
 }
 
-func (e *fakeEntry) carry(cmd Command) {
+func (e *fakeEntry) execute(cmd Command) {
 	e.w.trace("%s -> %T %v", e.self(), cmd, cmd)
 	w := e.w
 	switch cmd := cmd.(type) {
 	case Reply:
-		w.truth.answered(e, cmd)
+		w.oracle.answered(e, cmd)
 	case StartTask:
-		w.truth.started(e, cmd)
-		e.do(w.jitter(ms), func() { w.sendStart(e, cmd) })
+		w.oracle.started(e, cmd)
+		e.schedule(w.jitter(ms), func() { w.sendStart(e, cmd) })
 	case Settle:
-		e.do(w.jitter(ms), func() { w.sendSettle(e, cmd) })
+		e.schedule(w.jitter(ms), func() { w.sendSettle(e, cmd) })
 	case StopTask:
-		e.do(w.jitter(ms), func() {
+		e.schedule(w.jitter(ms), func() {
 			if r := w.runner(cmd.Upstream); r.up {
 				r.stop(cmd.Name)
 			}
 		})
 	case ClaimWrite:
-		e.do(w.jitter(ms), func() { w.store.write(e, cmd) })
+		e.schedule(w.jitter(ms), func() { w.store.write(e, cmd) })
 	case Send:
-		e.do(w.jitter(ms), func() { w.sendPeer(e, cmd) })
+		e.schedule(w.jitter(ms), func() { w.sendPeer(e, cmd) })
 	case Drained:
 		e.drained = true
-		w.truth.drained(e)
-		e.do(w.jitter(time.Second), func() { w.replace(e) })
+		w.oracle.drained(e)
+		e.schedule(w.jitter(time.Second), func() { w.replace(e) })
 	}
 }
 
-// replace ends a run and starts another under the same name.
+// replace crashes a run and later starts another under the same name.
 func (w *world) replace(e *fakeEntry) {
 	if w.entries[e.index] != e {
 		e.alive = false
@@ -262,13 +262,13 @@
 
 func (w *world) crash(e *fakeEntry) {
 	e.alive = false
-	w.truth.forget(e)
+	w.oracle.forget(e)
 	for other := range w.entries {
 		w.disconnect(e.index, other, w.jitter(100*ms))
 	}
 }
 
-// fakeLink is the path between two entries; generation grows with each connection.
+// fakeLink is the path between two entries; generation counts its connections.
 type fakeLink struct {
 	cut        bool
 	up         bool
@@ -312,7 +312,7 @@
 	ends[1].post(0, PeerUp{ends[0].self(), ends[0].domain})
 }
 
-// disconnect ends a connection; each end learns of it after a delay.
+// disconnect ends a connection; both ends are notified after a delay.
 func (w *world) disconnect(a, b int, delay time.Duration) {
 	if a == b {
 		return
@@ -327,8 +327,8 @@
 	w.after(delay, func() { w.connectLater(a, b) })
 }
 
-// sendPeer delivers in order; what is under way when a connection ends is lost
-// or, now and then, was already read and waits at the receiver.
+// sendPeer delivers messages in order. Messages in flight when the connection ends are
+// lost, except those already waiting at a paused receiver.
 func (w *world) sendPeer(e *fakeEntry, cmd Send) {
 	for other, to := range w.entries {
 		if to == nil || to.self() != cmd.Peer {
@@ -345,31 +345,31 @@
 			if l.cut || !l.up || l.generation != generation {
 				return
 			}
-			to.inbox = remember(to.inbox, m)
+			to.inbox = appendBounded(to.inbox, m)
 			to.post(0, m)
 		})
 	}
 }
 
-// fakePause is a pause that is over.
+// fakePause is a completed pause.
 type fakePause struct {
 	end    time.Duration
 	length time.Duration
 }
 
-// late is how late a message may be that was sent after a time: what a paused
-// entry is about to send or to read waits, until its connections are given up.
-func (w *world) late(since time.Duration) time.Duration {
-	var late time.Duration
+// maxLateness bounds the delay that pauses can add to a message sent at or after a
+// time: it waits at a paused entry until the entry's connections are closed.
+func (w *world) maxLateness(since time.Duration) time.Duration {
+	var maxLateness time.Duration
 	for _, p := range w.pauses {
 		if p.end > since {
-			late += min(p.length, idleTimeout)
+			maxLateness += min(p.length, idleTimeout)
 		}
 	}
-	return late
+	return maxLateness
 }
 
-// pause stops an entry; its peers give the connections up after a while.
+// pause stops an entry; its peers close their connections after the idle timeout.
 func (w *world) pause(e *fakeEntry) {
 	w.trace("%s pause", e.self())
 	e.paused = true
@@ -384,11 +384,11 @@
 	})
 }
 
-// resume hands a paused entry all that waited for it, in any order of kind.
+// resume runs the events deferred during a pause, sometimes in random order.
 func (w *world) resume(e *fakeEntry) {
 	w.trace("%s resume", e.self())
 	e.paused = false
-	e.resumed = w.now
+	e.resumedAt = w.now
 	w.pauses = append(w.pauses, fakePause{w.now, w.now - e.pausedAt})
 	backlog := e.backlog
 	e.backlog = nil
@@ -396,7 +396,7 @@
 		w.rng.Shuffle(len(backlog), func(i, j int) { backlog[i], backlog[j] = backlog[j], backlog[i] })
 	}
 	for _, f := range backlog {
-		e.enter(f)
+		e.runOrDefer(f)
 	}
 }
 
--- a/core/dispatch/fake_services_test.go
+++ b/core/dispatch/fake_services_test.go
@@ -9,17 +9,17 @@
 
 // fakeStore is the table service: conditional inserts, all or none.
 type fakeStore struct {
-	w     *world
-	rows  map[task.ID]ClaimConflict
-	mode  string
-	loses bool
+	w            *world
+	rows         map[task.ID]ClaimConflict
+	mode         string
+	losesReplies bool
 }
 
 func (s *fakeStore) write(e *fakeEntry, cmd ClaimWrite) {
 	w := s.w
 	reply := func(d time.Duration, r ClaimResult) {
-		e.do(d, func() {
-			e.claims = remember(e.claims, r)
+		e.schedule(d, func() {
+			e.claims = appendBounded(e.claims, r)
 			e.step(r)
 		})
 	}
@@ -29,7 +29,7 @@
 		reply(w.jitter(20*ms), lost)
 		return
 	case "slow":
-		// The write may take effect long after its client gave up.
+		// The write may take effect long after its client has timed out.
 		at := w.jitter(3 * time.Second)
 		w.after(at, func() {
 			r := s.commit(e, cmd)
@@ -44,7 +44,7 @@
 	}
 	w.after(w.jitter(5*ms), func() {
 		r := s.commit(e, cmd)
-		if s.loses && w.chance(50) {
+		if s.losesReplies && w.chance(50) {
 			w.faults["reply-lost"]++
 			r = lost
 		}
@@ -55,7 +55,7 @@
 func (s *fakeStore) commit(e *fakeEntry, cmd ClaimWrite) ClaimResult {
 	r := ClaimResult{Batch: cmd.Batch, OK: true}
 	for _, c := range cmd.Claims {
-		if row, stands := s.rows[c.ID]; stands {
+		if row, exists := s.rows[c.ID]; exists {
 			r.Conflicts = append(r.Conflicts, row)
 		}
 	}
@@ -69,7 +69,7 @@
 	return r
 }
 
-// fakeRunner is one upstream with the connections to it.
+// fakeRunner is one upstream and the connections to it.
 type fakeRunner struct {
 	w      *world
 	name   string
@@ -80,12 +80,12 @@
 	tasks  map[string]*fakeRun
 }
 
-// fakeRun is what one run of a runner knows of a task name.
+// fakeRun is the state of a task name in one run of a runner.
 type fakeRun struct {
 	started bool
 	done    bool
 	result  task.Result
-	told    []func(task.Result)
+	notify  []func(task.Result)
 }
 
 func (w *world) runner(name string) *fakeRunner {
@@ -104,12 +104,12 @@
 	r.tasks = make(map[string]*fakeRun)
 }
 
-// sendStart does what a node does with StartTask: one request, one result.
+// sendStart does what a node does for StartTask: one request, one result.
 func (w *world) sendStart(e *fakeEntry, cmd StartTask) {
 	result := once(func(r task.Result) {
-		e.do(w.jitter(ms), func() {
+		e.schedule(w.jitter(ms), func() {
 			ev := StartResult{cmd.Start, r}
-			e.results = remember(e.results, ev)
+			e.results = appendBounded(e.results, ev)
 			e.step(ev)
 		})
 	})
@@ -142,10 +142,10 @@
 }
 
 func once(f func(task.Result)) func(task.Result) {
-	told := false
+	called := false
 	return func(r task.Result) {
-		if !told {
-			told = true
+		if !called {
+			called = true
 			f(r)
 		}
 	}
@@ -157,8 +157,8 @@
 		result(task.Result{Verdict: task.NotStarted, Refused: true, UpstreamRun: r.runName()})
 		return
 	}
-	r.w.truth.ran(cmd)
-	t = &fakeRun{started: true, told: []func(task.Result){result}}
+	r.w.oracle.ran(cmd)
+	t = &fakeRun{started: true, notify: []func(task.Result){result}}
 	r.tasks[cmd.Name] = t
 	switch r.mode {
 	case "hang":
@@ -177,8 +177,8 @@
 	t.done = true
 	t.result = res
 	t.result.UpstreamRun = r.runName()
-	for _, told := range t.told {
-		told(t.result)
+	for _, notify := range t.notify {
+		notify(t.result)
 	}
 }
 
@@ -203,7 +203,7 @@
 	}
 }
 
-// sendSettle does what a node does with Settle.
+// sendSettle does what a node does for Settle.
 func (w *world) sendSettle(e *fakeEntry, cmd Settle) {
 	r := w.runner(cmd.Upstream)
 	res := task.Result{Verdict: task.Lost}
--- a/core/dispatch/forward.go
+++ b/core/dispatch/forward.go
@@ -9,57 +9,57 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// forwarding is the requests passed on to the holders of their claims, and those
-// that peers have passed on to here.
+// forwarding tracks the requests forwarded to the holders of their claims, and the
+// numbers of those received from peers.
 type forwarding struct {
-	forwards     map[uint64]*waiter
-	lastForward  uint64
-	forwardsSeen map[string]forwardSeen
+	forwards        map[uint64]*waiter
+	lastForward     uint64
+	highestReceived map[string]highestForward
 }
 
 func newForwarding() forwarding {
 	return forwarding{
-		forwards:     make(map[uint64]*waiter),
-		forwardsSeen: make(map[string]forwardSeen),
+		forwards:        make(map[uint64]*waiter),
+		highestReceived: make(map[string]highestForward),
 	}
 }
 
-// toHolder passes a request on to the incarnation that holds its claim, or to
-// the one that answers for it since its planned stop. A request that a peer
-// passed on goes no further: two processes that each take the other for the
-// holder would pass it back and forth.
-func (c *Core) toHolder(r *waiter, holder task.Incarnation) {
+// sendToHolder forwards a request to the incarnation that holds its claim, or to its
+// successor after a planned stop. A request forwarded by a peer is not forwarded
+// again: two processes that each take the other for the holder would forward it back
+// and forth.
+func (c *Core) sendToHolder(r *waiter, holder task.Incarnation) {
 	to := c.successorOf(holder)
 	switch {
 	case to == c.cfg.Self:
 		c.answerAdopted(r, holder)
 	case c.peers[to] == nil || !r.from.local():
-		c.holderOut(r, to)
+		c.holderUnreachable(r, to)
 	default:
 		c.forward(r, holder, to)
 	}
 }
 
-// holderOut answers at once for a holder that isn't connected; the caller is
-// told when to come back.
-func (c *Core) holderOut(r *waiter, holder task.Incarnation) {
+// holderUnreachable answers at once for a holder that is not connected; unless the
+// holder is gone for good, the answer carries a retry delay.
+func (c *Core) holderUnreachable(r *waiter, holder task.Incarnation) {
 	if c.holderGone(holder) {
-		c.reply(r, failed(r, pb.Reason_REASON_HOLDER_GONE, "the process that held the claim has ended"))
+		c.reply(r, failedAnswer(r, pb.Reason_REASON_HOLDER_GONE, "the process that held the claim has ended"))
 		return
 	}
-	c.reply(r, c.unsettled(r, pb.Reason_REASON_HOLDER_UNREACHABLE, "the process that holds the claim can't be reached"))
+	c.reply(r, c.retryableAnswer(r, pb.Reason_REASON_HOLDER_UNREACHABLE, "the process that holds the claim can't be reached"))
 }
 
-// forward sends a request to a connected peer. What is left of the caller's
-// time goes along, so that the deadline isn't extended on the way.
+// forward sends a request to a connected peer. The message carries the remaining time
+// of the caller, so forwarding does not extend the deadline.
 func (c *Core) forward(r *waiter, holder, to task.Incarnation) {
 	c.forwarding.lastForward++
 	r.forward = c.forwarding.lastForward
 	r.holder = to
 	c.forwarding.forwards[r.forward] = r
 	c.stats.Forwards++
-	left := max(uint32((r.deadline - c.now).Milliseconds()), 1)
-	if r.cancels() {
+	remaining := max(uint32((r.deadline - c.now).Milliseconds()), 1)
+	if r.isCancel() {
 		c.send(to, &pb.PeerMessage{Body: &pb.PeerMessage_ForwardCancel{ForwardCancel: &pb.ForwardCancel{
 			Request:     r.forward,
 			Institution: r.id.Institution,
@@ -71,102 +71,103 @@
 		Request:     r.forward,
 		Institution: r.id.Institution,
 		Submission:  r.submission,
-		RemainingMs: left,
+		RemainingMs: remaining,
 		Holder:      holder.Proto(),
 	}}})
 }
 
-// forwarded handles a request that a peer passed on.
-func (c *Core) forwarded(from task.Incarnation, f *pb.Forward) {
-	if c.forwardStale(from, f.GetRequest()) {
+// receiveForward handles a request forwarded by a peer.
+func (c *Core) receiveForward(from task.Incarnation, f *pb.Forward) {
+	if c.staleForward(from, f.GetRequest()) {
 		return
 	}
 	s := f.GetSubmission()
 	wait := msDuration(max(f.GetRemainingMs(), 1))
-	a := asker{from, f.GetRequest()}
+	a := requester{from, f.GetRequest()}
 	holder := task.IncarnationOf(f.GetHolder())
 	if holder == c.cfg.Self {
 		c.submit(a, f.GetInstitution(), s, wait)
 		return
 	}
-	// The row names another incarnation. This one may answer for it since its
-	// planned stop, but never takes its submission for a new one.
+	// The claim row names another incarnation. This process may be its successor
+	// after a planned stop, but must not treat the submission as a new one.
 	id := task.IDOf(f.GetInstitution(), s.GetId())
-	r := c.open(a, id, s, task.DigestOf(s), wait)
+	r := c.openRequest(a, id, s, task.DigestOf(s), wait)
 	if r == nil || c.answerKnown(r) {
 		return
 	}
-	if c.closed {
-		c.reply(r, c.unsettled(r, pb.Reason_REASON_NOT_SERVING, "the process is stopping"))
+	if c.admissionClosed {
+		c.reply(r, c.retryableAnswer(r, pb.Reason_REASON_NOT_SERVING, "the process is stopping"))
 		return
 	}
-	c.toHolder(r, holder)
+	c.sendToHolder(r, holder)
 }
 
-// forwardSeen is the last request that a run of a peer passed on.
-type forwardSeen struct {
+// highestForward is the highest request number received from a run of a peer.
+type highestForward struct {
 	run  uint64
 	last uint64
 }
 
-// forwardStale tells a request passed on twice, or late over a connection that
-// was replaced. A peer numbers its requests upwards, so what isn't above the
-// last one is old: its deadline, sent as the time left, would begin anew.
-func (c *Core) forwardStale(from task.Incarnation, request uint64) bool {
-	seen := c.forwarding.forwardsSeen[from.Node]
+// staleForward reports whether a forwarded request is a duplicate or arrived late over
+// a replaced connection; otherwise it records the number. A peer numbers its requests
+// in ascending order, so a number not above the highest is stale: its deadline, sent
+// as the remaining time, would begin again.
+func (c *Core) staleForward(from task.Incarnation, request uint64) bool {
+	seen := c.forwarding.highestReceived[from.Node]
 	if seen.run == from.Run && request <= seen.last {
 		c.stats.DuplicateRequests++
 		return true
 	}
-	c.forwarding.forwardsSeen[from.Node] = forwardSeen{from.Run, request}
+	c.forwarding.highestReceived[from.Node] = highestForward{from.Run, request}
 	return false
 }
 
-// noteDropped remembers a request that came after its connection was lost. Its
-// peer has answered it, so if it comes again it is old.
-func (c *Core) noteDropped(from task.Incarnation, m *pb.PeerMessage) {
+// recordDropped records the number of a request that arrived after its connection was
+// lost. Its peer has already answered it, so a later copy is stale.
+func (c *Core) recordDropped(from task.Incarnation, m *pb.PeerMessage) {
 	if f := m.GetForward(); f != nil {
-		c.forwardStale(from, f.GetRequest())
+		c.staleForward(from, f.GetRequest())
 	}
 	if f := m.GetForwardCancel(); f != nil {
-		c.forwardStale(from, f.GetRequest())
+		c.staleForward(from, f.GetRequest())
 	}
 }
 
-func (c *Core) forwardedCancel(from task.Incarnation, f *pb.ForwardCancel) {
-	if c.forwardStale(from, f.GetRequest()) {
+func (c *Core) receiveForwardCancel(from task.Incarnation, f *pb.ForwardCancel) {
+	if c.staleForward(from, f.GetRequest()) {
 		return
 	}
-	c.cancel(asker{from, f.GetRequest()}, f.GetInstitution(), f.GetId())
+	c.cancel(requester{from, f.GetRequest()}, f.GetInstitution(), f.GetId())
 }
 
-// forwardAnswer passes a holder's answer on. One that isn't for the request it
-// names is dropped: it would hand one kitchen another kitchen's label.
-func (c *Core) forwardAnswer(from task.Incarnation, fa *pb.ForwardAnswer) {
+// receiveForwardAnswer passes on the answer of a holder. An answer that does not match
+// the request that it names is dropped: a kitchen would get the label of another one.
+func (c *Core) receiveForwardAnswer(from task.Incarnation, fa *pb.ForwardAnswer) {
 	r := c.forwarding.forwards[fa.GetRequest()]
-	if r == nil || r.holder != from || !matches(r, fa.GetAnswer()) {
+	if r == nil || r.holder != from || !answerMatches(r, fa.GetAnswer()) {
 		c.stats.UnmatchedAnswers++
 		return
 	}
 	c.reply(r, fa.GetAnswer())
 }
 
-func matches(r *waiter, a *pb.Answer) bool {
+func answerMatches(r *waiter, a *pb.Answer) bool {
 	if task.IDOf(r.id.Institution, a.GetId()) != r.id {
 		return false
 	}
-	return r.cancels() || string(a.GetDigest()) == string(r.digest[:])
+	return r.isCancel() || string(a.GetDigest()) == string(r.digest[:])
 }
 
-// forwardsLost answers what waited for a peer whose connection is lost: at
-// once, because its state can't be known before it is reached again, and the
-// caller, told when to come back, reaches it by then or learns that it is gone.
-// Sent again over a later connection instead, a request would hold its caller
-// for as long as the cut lasts.
-func (c *Core) forwardsLost(p task.Incarnation) {
+// answerLostForwards answers the requests forwarded to a peer when its connection is
+// lost. It does so at once, because the state of the peer is unknown until it is
+// reachable again, and a caller that retries after the delay either reaches it or
+// learns that it is gone. Sending the requests again over a later connection would
+// block their callers for the duration of a network partition.
+func (c *Core) answerLostForwards(p task.Incarnation) {
 	for _, n := range slices.Sorted(maps.Keys(c.forwarding.forwards)) {
 		if r := c.forwarding.forwards[n]; r.holder == p {
-			c.holderOut(r, p)
+			c.holderUnreachable(r, p)
 		}
 	}
 }
--- a/core/dispatch/handover.go
+++ b/core/dispatch/handover.go
@@ -15,43 +15,43 @@
 	handoverAckTimeout = 2 * time.Second
 	// handoverLimit bounds the whole handover.
 	handoverLimit = 6 * time.Second
-	// handoverChunkBytes is about the size of one message.
+	// handoverChunkBytes is the approximate size of one message.
 	handoverChunkBytes = 256 << 10
 )
 
-// handover passes the finished answers of a process that stops as planned, and
-// the knowledge of which of its ids were never used, to one peer. It begins
-// when nothing is in progress any more and admission is closed for good, so
-// what is handed over is final: the peer answers from it, and starts nothing.
+// handover transfers the retained answers of a process that stops as planned, and
+// the record of which of its ids were never used, to one peer. It begins when nothing
+// is in progress and admission is closed for good, so the transferred state is final:
+// the peer answers from it and starts nothing.
 type handover struct {
 	to       task.Incarnation
 	messages []*pb.Handover
 	next     int
 	tried    map[task.Incarnation]bool
-	until    task.Time
+	deadline task.Time
 	timer    *timer
 	done     bool
 }
 
 // beginHandover closes admission for good and begins with the first peer.
 func (c *Core) beginHandover() {
-	c.closed = true
+	c.admissionClosed = true
 	h := &handover{
 		messages: c.handoverMessages(),
 		tried:    make(map[task.Incarnation]bool),
-		until:    c.now + handoverLimit,
+		deadline: c.now + handoverLimit,
 	}
 	c.succession.handover = h
-	c.handToNext()
+	c.handoverToNextPeer()
 }
 
-// handToNext begins anew with another peer; without one the stop goes on, and
-// the answers are lost to their callers, though nothing runs twice.
-func (c *Core) handToNext() {
+// handoverToNextPeer restarts the handover with another peer. Without one the stop
+// proceeds; the answers are then lost to their callers, but nothing runs twice.
+func (c *Core) handoverToNextPeer() {
 	h := c.succession.handover
 	c.cancelTimer(h.timer)
 	to, ok := c.handoverPeer()
-	if !ok || c.now >= h.until {
+	if !ok || c.now >= h.deadline {
 		h.done = true
 		return
 	}
@@ -61,8 +61,8 @@
 	c.sendHandover()
 }
 
-// handoverPeer picks a peer that isn't stopping, of the same failure domain if
-// there is one.
+// handoverPeer selects a peer that is not stopping, preferably in the same failure
+// domain.
 func (c *Core) handoverPeer() (task.Incarnation, bool) {
 	var best task.Incarnation
 	found := false
@@ -82,7 +82,7 @@
 	h := c.succession.handover
 	m := h.messages[h.next]
 	c.send(h.to, &pb.PeerMessage{Body: &pb.PeerMessage_Handover{Handover: m}})
-	h.timer = c.after(handoverAckTimeout, c.handToNext)
+	h.timer = c.after(handoverAckTimeout, c.handoverToNextPeer)
 }
 
 func (c *Core) handoverAcked(from task.Incarnation, ack *pb.HandoverAck) {
@@ -101,34 +101,34 @@
 
 func (c *Core) handoverPeerDown(p task.Incarnation) {
 	if h := c.succession.handover; h != nil && !h.done && h.to == p {
-		c.handToNext()
+		c.handoverToNextPeer()
 	}
 }
 
-// handoverMessages packs what is handed over; the last message names the
-// incarnations that the receiver is to answer for.
+// handoverMessages builds the handover messages; the last one names the incarnations
+// that the receiver adopts.
 func (c *Core) handoverMessages() []*pb.Handover {
 	current := &pb.Handover{Sequence: 1, From: c.cfg.Self.Proto()}
 	messages := []*pb.Handover{current}
 	bytes := 0
-	keep := c.now + c.cfg.IDValidity
+	retainUntil := c.now + c.cfg.IDValidity
 	for _, k := range c.answers.Kept() {
 		if bytes > handoverChunkBytes {
 			current = &pb.Handover{Sequence: current.GetSequence() + 1, From: c.cfg.Self.Proto()}
 			messages = append(messages, current)
 			bytes = 0
 		}
-		handed := &pb.HandedClaim{Institution: k.ID.Institution, Answer: k.Answer, KeepMs: c.keepMs(k.Until)}
+		handed := &pb.HandedClaim{Institution: k.ID.Institution, Answer: k.Answer, KeepMs: c.retentionMs(k.Until)}
 		current.Claims = append(current.Claims, handed)
 		bytes += proto.Size(handed)
-		keep = max(keep, k.Until)
+		retainUntil = max(retainUntil, k.Until)
 	}
 	current.Last = true
-	current.Holders = append(c.handedAdopted(), handedHolder(c.cfg.Self, c.issuer.Handed(c.now), c.keepMs(keep)))
+	current.Holders = append(c.handedAdopted(), handedHolder(c.cfg.Self, c.issuer.Handed(c.now), c.retentionMs(retainUntil)))
 	return messages
 }
 
-func (c *Core) keepMs(until task.Time) uint32 {
+func (c *Core) retentionMs(until task.Time) uint32 {
 	return uint32(max(until-c.now, 0).Milliseconds())
 }
 
--- a/core/dispatch/handover_test.go
+++ b/core/dispatch/handover_test.go
@@ -12,7 +12,7 @@
 )
 
 func (w *world) issue(e *fakeEntry) *pb.SubmissionId {
-	e.note(logged{at: e.clock(), issued: 1})
+	e.record(logEntry{at: e.clock(), issued: 1})
 	b := e.core.IssueIDs(e.clock(), 1)
 	if b == nil {
 		return nil
@@ -20,72 +20,70 @@
 	return &pb.SubmissionId{Kind: &pb.SubmissionId_Issued{Issued: &pb.IssuedId{Holder: b.GetHolder(), Number: b.GetFirst()}}}
 }
 
-// count asks for every job at an entry and counts the answers by outcome.
-func (w *world) count(e *fakeEntry, jobs []*fakeJob) map[pb.Outcome]int {
-	before := len(w.truth.words)
+// outcomesOf submits every job again at an entry and counts the answers by outcome.
+func (w *world) outcomesOf(e *fakeEntry, jobs []*fakeJob) map[pb.Outcome]int {
+	before := len(w.oracle.outcomeLog)
 	for _, j := range jobs {
-		w.truth.submit(e, j, proto.CloneOf(j.request))
+		w.oracle.submit(e, j, proto.CloneOf(j.request))
 		w.advance(10 * ms)
 	}
 	w.advance(500 * ms)
 	outcomes := make(map[pb.Outcome]int)
-	for _, o := range w.truth.words[before:] {
+	for _, o := range w.oracle.outcomeLog[before:] {
 		outcomes[o]++
 	}
 	return outcomes
 }
 
-// An entry VM is replaced in a rolling restart. Kitchens that lost the answer
-// to a finished label, or hold ids that they haven't used yet, ask through
-// other entry VMs. Without the handover they hear "failed, may have run" and
-// somebody has to look at the printer.
+// An entry VM is replaced in a rolling restart. Callers that lost the answer to a finished
+// job, or hold ids not used yet, ask through other entry VMs. Without the handover they
+// are told "failed, may have run" and must check the printer by hand.
 func TestPlannedStopHandsItsAnswersOver(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newWorld(1, 3, false, t.Fatalf)
 	var done, unused []*fakeJob
 	for range 3 {
-		done = append(done, w.truth.newJob(w.issue(w.entries[0]), "labels", 2), w.truth.newJob(ownKey(string(rune('a'+len(done)))), "settle", 1))
-		unused = append(unused, w.truth.newJob(w.issue(w.entries[0]), "labels", 1))
+		done = append(done, w.oracle.newJob(w.issue(w.entries[0]), "labels", 2), w.oracle.newJob(ownKey(string(rune('a'+len(done)))), "settle", 1))
+		unused = append(unused, w.oracle.newJob(w.issue(w.entries[0]), "labels", 1))
 	}
-	g.Expect(w.count(w.entries[0], done)).To(gomega.Equal(map[pb.Outcome]int{pb.Outcome_OUTCOME_COMPLETE: 6}))
-	// Two planned stops in a row: the second hands on what the first handed to
-	// it, and the third entry learns of both.
+	g.Expect(w.outcomesOf(w.entries[0], done)).To(gomega.Equal(map[pb.Outcome]int{pb.Outcome_OUTCOME_COMPLETE: 6}))
+	// There are two planned stops in a row: the second process hands on what it has
+	// adopted from the first, and the third learns of both.
 	for i := range 2 {
 		w.entries[i].post(0, Drain{})
 		w.advance(8 * time.Second)
 		for _, e := range w.entries {
-			g.Expect(w.count(e, done)).To(gomega.Equal(map[pb.Outcome]int{pb.Outcome_OUTCOME_COMPLETE: 6}))
-			g.Expect(w.count(e, unused)).To(gomega.Equal(map[pb.Outcome]int{pb.Outcome_OUTCOME_NOT_RUN: 3}))
+			g.Expect(w.outcomesOf(e, done)).To(gomega.Equal(map[pb.Outcome]int{pb.Outcome_OUTCOME_COMPLETE: 6}))
+			g.Expect(w.outcomesOf(e, unused)).To(gomega.Equal(map[pb.Outcome]int{pb.Outcome_OUTCOME_NOT_RUN: 3}))
 		}
 	}
 }
 
-// An entry VM is replaced while two others can't reach each other; the one that
-// took over its answers is on the far side. The near one knows the new run, and
-// mustn't take the old one for lost: its caller would order the labels anew.
+// An entry VM is replaced while two others are partitioned, and the one that adopted its
+// answers is unreachable. The other one knows the new run, but must not conclude that the
+// old one is gone: its caller would submit the job again.
 func TestHolderIsNotGoneWhileItsSuccessorMayBeCutOff(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newWorld(3, 3, false, t.Fatalf)
-	j := w.truth.newJob(w.issue(w.entries[0]), "labels", 1)
+	j := w.oracle.newJob(w.issue(w.entries[0]), "labels", 1)
 	jobs := []*fakeJob{j}
-	g.Expect(w.count(w.entries[0], jobs)).To(gomega.HaveKey(pb.Outcome_OUTCOME_COMPLETE))
+	g.Expect(w.outcomesOf(w.entries[0], jobs)).To(gomega.HaveKey(pb.Outcome_OUTCOME_COMPLETE))
 	l, _ := w.link(1, 2)
 	l.cut = true
 	w.disconnect(1, 2, idleTimeout)
 	w.entries[0].post(0, Drain{})
 	w.advance(8 * time.Second)
 	for range 5 {
-		g.Expect(w.count(w.entries[1], jobs)).To(gomega.HaveKey(pb.Outcome_OUTCOME_UNKNOWN))
+		g.Expect(w.outcomesOf(w.entries[1], jobs)).To(gomega.HaveKey(pb.Outcome_OUTCOME_UNKNOWN))
 	}
 	l.cut = false
 	w.advance(time.Second)
-	g.Expect(w.count(w.entries[1], jobs)).To(gomega.HaveKey(pb.Outcome_OUTCOME_COMPLETE))
+	g.Expect(w.outcomesOf(w.entries[1], jobs)).To(gomega.HaveKey(pb.Outcome_OUTCOME_COMPLETE))
 }
 
-// A buyer's client loses its answer and asks five times, through every entry
-// VM in turn, while the one that holds the claim is paused past every timeout,
-// woken, and at last killed. The settlement must be paid once, and no entry may
-// say that it was not.
+// A client loses its answer and resubmits five times, through every entry VM in turn,
+// while the holder of the claim is paused beyond every timeout, resumed and finally
+// killed. The settlement must be paid once, and no entry may answer that it was not run.
 func TestFiveResubmissionsWhileTheHolderIsPausedAndKilled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, id := range []func(w *world) *pb.SubmissionId{
@@ -93,9 +91,9 @@
 		func(w *world) *pb.SubmissionId { return ownKey("bid") },
 	} {
 		w := newWorld(2, 3, false, t.Fatalf)
-		j := w.truth.newJob(id(w), "labels", 3)
+		j := w.oracle.newJob(id(w), "labels", 3)
 		holder := w.entries[0]
-		w.truth.submit(holder, j, j.request)
+		w.oracle.submit(holder, j, j.request)
 		w.advance(30 * ms)
 		w.pause(holder)
 		for i := range 5 {
@@ -106,19 +104,19 @@
 			if i == 3 {
 				w.replace(holder)
 			}
-			w.truth.submit(w.entries[(i+1)%3], j, proto.CloneOf(j.request))
+			w.oracle.submit(w.entries[(i+1)%3], j, proto.CloneOf(j.request))
 		}
 		w.advance(10 * time.Second)
 		g.Expect(len(j.starts)).To(gomega.BeNumerically(">", 0))
-		g.Expect(w.truth.words).NotTo(gomega.ContainElement(pb.Outcome_OUTCOME_NOT_RUN))
-		g.Expect(len(w.truth.words)).To(gomega.BeNumerically(">=", 5))
+		g.Expect(w.oracle.outcomeLog).NotTo(gomega.ContainElement(pb.Outcome_OUTCOME_NOT_RUN))
+		g.Expect(len(w.oracle.outcomeLog)).To(gomega.BeNumerically(">=", 5))
 	}
 }
 
-// An entry VM stopped long ago, and the peer that answered for it has handed
-// over here since, when nothing of the first was worth keeping. A caller who
-// still asks for it must get an answer; the process stopped instead.
-func TestHolderWhoseKnowledgeHasExpired(t *testing.T) {
+// An entry VM stopped long ago. The peer that had adopted it has since handed over to this
+// process, when its record of the first holder had expired. A request for an id of the
+// first holder must still be answered; the process panicked instead.
+func TestExpiredAdoptedHolderIsAnswered(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := readyCore(func(*Config) {})
 	first, second := task.Incarnation{Node: "entry-1", Run: 1}, task.Incarnation{Node: "entry-2", Run: 2}
@@ -130,10 +128,10 @@
 	c.Step(ms, PeerMessage{second, &pb.PeerMessage{Body: &pb.PeerMessage_Handover{Handover: &pb.Handover{Sequence: 1, From: second.Proto(), Last: true, Holders: handed(second)}}}})
 	id := task.ID{Institution: inst, Holder: first, Number: 1}
 	c.Step(2*ms, Submit{1, inst, &pb.Submission{Id: id.Proto(), Service: "labels", Tasks: []*pb.Task{{}}}})
-	g.Expect(commands[Reply](c)[0].Answer.GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_FAILED))
+	g.Expect(takeCommandsOf[Reply](c)[0].Answer.GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_FAILED))
 }
 
-// BenchmarkHandover packs the answers of a process that stops; each message is
+// BenchmarkHandover builds the handover messages of a process that stops. Each message is
 // acknowledged before the next is sent.
 func BenchmarkHandover(b *testing.B) {
 	const n = 20_000
@@ -159,16 +157,16 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/n, "ns/answer")
 }
 
-// A caller asks again through the entry VM to which its answer is just being
-// handed over. The key's row names the stopped process, and the answer arrived
-// while the claim was being written: the caller must get it, not "failed".
+// A caller resubmits through the entry VM to which its answer is being handed over. The
+// claim row of the key names the stopped process, and the answer arrived while the claim
+// was being written. The caller must get that answer, not "failed".
 func TestAnswerHandedOverDuringAClaim(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := readyCore(func(*Config) {})
 	stopped := task.Incarnation{Node: "entry-2", Run: 2}
 	c.Step(ms, PeerUp{stopped, "domain-0"})
 	c.Step(ms, Submit{1, inst, settlement("k")})
-	w := commands[ClaimWrite](c)[0]
+	w := takeCommandsOf[ClaimWrite](c)[0]
 	done := answerFor(w.Claims[0].ID, w.Claims[0].Digest, pb.Outcome_OUTCOME_COMPLETE, 0, "")
 	c.Step(2*ms, PeerMessage{stopped, &pb.PeerMessage{Body: &pb.PeerMessage_Handover{Handover: &pb.Handover{
 		Sequence: 1, From: stopped.Proto(), Last: true,
@@ -176,5 +174,5 @@
 		Holders: []*pb.HandedHolder{{Holder: stopped.Proto(), KeepMs: 60_000}},
 	}}}})
 	c.Step(3*ms, ClaimResult{Batch: w.Batch, OK: true, Conflicts: []ClaimConflict{{w.Claims[0].ID, stopped, w.Claims[0].Digest, 7}}})
-	g.Expect(commands[Reply](c)[0].Answer).To(gomega.BeIdenticalTo(done))
+	g.Expect(takeCommandsOf[Reply](c)[0].Answer).To(gomega.BeIdenticalTo(done))
 }
--- a/core/dispatch/lending.go
+++ b/core/dispatch/lending.go
@@ -10,211 +10,214 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// Lending sets how slots are lent between entry processes.
+// Lending configures the lending of slots between entry processes.
 type Lending struct {
-	// Off keeps the process from borrowing.
+	// Off disables borrowing by this process.
 	Off bool
-	// LoanDuration is how long a loan stands on the lender's clock. The borrower
-	// starts tasks on it for half of that, so that they have ended by then.
+	// LoanDuration is how long a loan lasts on the lender's clock. The borrower
+	// starts tasks on it for half of that, so that they have ended when it expires.
 	LoanDuration time.Duration
-	// Limits works out the limits from an institution's tolerance.
+	// Limits derives the limits from an institution's tolerance.
 	Limits func(tolerance time.Duration) LendingLimits
 }
 
-// LendingLimits are the limits that trade response time for messages.
+// LendingLimits trade response time against messages.
 type LendingLimits struct {
-	// Tolerance is how long a task of a typical job may wait for an own slot.
-	// That of a longer job may wait longer in proportion.
+	// Tolerance is how long a task of a typical job may wait for an own slot. The
+	// tasks of longer jobs may wait longer in proportion.
 	Tolerance time.Duration
-	// Slack bounds how much longer a task may wait because it is declared
-	// shorter than the longest of its job.
+	// Slack bounds the additional wait of a task that is declared shorter than the
+	// longest of its job.
 	Slack time.Duration
-	// SurplusPercent is the part of a lender's other idle slots that is asked for
-	// beyond the need.
+	// SurplusPercent is the percentage of a lender's remaining idle slots that is
+	// requested beyond the need.
 	SurplusPercent int
-	// MinSpeculativeWait is the least expected wait for which peers are asked that
-	// aren't known to have idle slots.
+	// MinSpeculativeWait is the minimum expected wait at which slots are requested
+	// from peers that are not known to have idle ones.
 	MinSpeculativeWait time.Duration
-	// ReturnDelay is how long a borrowed slot has to be spare to go home.
+	// ReturnDelay is how long a borrowed slot must be unused before it is returned.
 	ReturnDelay time.Duration
-	// MinReturnBatch is the least number of slots that go home in a message of their
-	// own. Fewer wait for a message that is sent anyway.
+	// MinReturnBatch is the minimum number of slots returned in a separate message.
+	// Fewer wait for a message that is sent anyway.
 	MinReturnBatch int
 }
 
-// DefaultLending is what measured best; see docs/design/placement.md.
+// DefaultLending gave the best results; see docs/design/placement.md.
 var DefaultLending = Lending{LoanDuration: 60 * time.Second, Limits: LendingLimitsFor}
 
 const (
-	leastBlindWait   = 150 * time.Millisecond
-	leastReturnDelay = 15 * time.Millisecond
-	leastReturn      = 2
-	mostReturn       = 8
-	mostEvenPercent  = 60
-	// patience is how long an answer is awaited before another peer is asked.
-	patience = 20 * time.Millisecond
-	// leastStanding and mostStanding bound how long a request is served as
-	// slots come free; between them it is standPart of the borrower's wait.
-	leastStanding = 2 * time.Millisecond
-	mostStanding  = time.Second
-	standPart     = 4
-	// queueTrust is how long a peer that said that tasks wait isn't asked.
-	queueTrust = 400 * time.Millisecond
-	// lenderGrace is how long slots stay lent after the connection with their
-	// borrower is lost. Lent out again at once, they would meet tasks that the
-	// borrower started; kept for good, they would be lost.
-	lenderGrace = time.Second
-	// minPace keeps an empty account from dividing by zero.
-	minPace = time.Microsecond
-	// meanWeight is the part of the newest run time in the running mean: 1/32.
-	meanWeight = 32
+	baseSpeculativeWait = 150 * time.Millisecond
+	baseReturnDelay     = 15 * time.Millisecond
+	baseReturnBatch     = 2
+	maxReturnBatch      = 8
+	maxSurplusPercent   = 60
+	// grantTimeout is how long to wait for a grant before another peer is asked.
+	grantTimeout = 20 * time.Millisecond
+	// minRequestLifetime and maxRequestLifetime bound how long a request is served
+	// as slots become idle; within the bounds it is the borrower's expected wait
+	// divided by requestLifetimeDivisor.
+	minRequestLifetime     = 2 * time.Millisecond
+	maxRequestLifetime     = time.Second
+	requestLifetimeDivisor = 4
+	// queuedPeerBackoff is how long a peer that reported waiting tasks is not asked.
+	queuedPeerBackoff = 400 * time.Millisecond
+	// lostBorrowerGrace is how long slots stay lent after the connection with their
+	// borrower is lost. Reused at once, they could still be running tasks that the
+	// borrower started; never reclaimed, they would be lost.
+	lostBorrowerGrace = time.Second
+	// minSlotInterval avoids division by zero when no run times are known.
+	minSlotInterval = time.Microsecond
+	// runTimeMeanWindow is the inverse weight of a new run time in the running mean.
+	runTimeMeanWindow = 32
 )
 
-// LendingLimitsFor works out the limits from an institution's tolerance: none puts
-// response time first, 20 ms and more puts few messages first.
+// LendingLimitsFor derives the limits from an institution's tolerance: 0 minimises
+// response time, 20 ms and more minimises messages.
 func LendingLimitsFor(tolerance time.Duration) LendingLimits {
 	ms := int(tolerance.Milliseconds())
 	return LendingLimits{
 		Tolerance:          tolerance,
 		Slack:              3 * tolerance,
-		SurplusPercent:     min(3*ms, mostEvenPercent),
-		MinSpeculativeWait: leastBlindWait + 4*tolerance,
-		ReturnDelay:        leastReturnDelay + tolerance,
-		MinReturnBatch:     min(leastReturn+ms/4, mostReturn),
+		SurplusPercent:     min(3*ms, maxSurplusPercent),
+		MinSpeculativeWait: baseSpeculativeWait + 4*tolerance,
+		ReturnDelay:        baseReturnDelay + tolerance,
+		MinReturnBatch:     min(baseReturnBatch+ms/4, maxReturnBatch),
 	}
 }
 
-// lending is the account of loans given, and of requests for more.
+// lending is the state of slots lent to peers and of requests for slots.
 type lending struct {
 	lastLoan    uint64
 	lastRequest uint64
-	given       map[uint64]*loan
-	asked       map[counterpart]*request
-	standing    map[counterpart]*request
-	seen        map[task.Incarnation]*sight
+	granted     map[uint64]*loan
+	requested   map[requestKey]*slotRequest
+	received    map[requestKey]*slotRequest
+	reports     map[task.Incarnation]*slotReport
 	// mean is the running mean of the run times of an institution's tasks.
 	mean map[string]time.Duration
-	// spare is the number of borrowed slots, by institution, that may go home.
+	// spare is the number of borrowed slots that may be returned, by institution.
 	spare map[string]int
-	// quiet is until when asking is known to be of no use.
-	quiet task.Time
-	// looking is set while a timer stands to look at the waiting tasks again.
-	looking bool
-	// returning is set while a timer stands to send spare slots home.
-	returning bool
+	// quietUntil is the time until which no peer is worth asking.
+	quietUntil task.Time
+	// recheckPending is set while a timer to re-examine the waiting tasks is set.
+	recheckPending bool
+	// returnPending is set while a timer to return spare slots is set.
+	returnPending bool
 }
 
-// counterpart is a peer in the matter of one institution.
-type counterpart struct {
+// requestKey identifies the slot requests between this process and a peer for one
+// institution.
+type requestKey struct {
 	peer        task.Incarnation
 	institution string
 }
 
-// loan is slots that a peer has the use of.
+// loan is a set of slots lent to a peer.
 type loan struct {
-	to    task.Incarnation
-	slots []task.Slot
+	borrower task.Incarnation
+	slots    []task.Slot
 }
 
-// request is a request for slots, as the borrower or the lender keeps it.
-type request struct {
+// slotRequest is a request for slots, sent or received.
+type slotRequest struct {
 	id    uint64
 	count int
-	// at is when it was sent or came.
+	// at is when it was sent or received.
 	at task.Time
 	// wait is the borrower's expected wait.
 	wait time.Duration
 }
 
-// stands is how long a request is served. A short queue is soon gone, and slots
-// granted after that would go home unused.
-func (r *request) stands() time.Duration {
-	return min(max(r.wait/standPart, leastStanding), mostStanding)
+// lifetime is how long a request is served. A short queue empties quickly, and slots
+// granted after that would be returned unused.
+func (r *slotRequest) lifetime() time.Duration {
+	return min(max(r.wait/requestLifetimeDivisor, minRequestLifetime), maxRequestLifetime)
 }
 
-// sight is what a peer last said of its slots.
-type sight struct {
-	// idle are its idle slots, by institution, less what was asked for since.
+// slotReport is what the last status of a peer reported about its slots.
+type slotReport struct {
+	// idle are its idle slots by institution, minus those requested since.
 	idle map[string]int
-	// queued says that it had tasks waiting.
+	// queued reports whether it had waiting tasks.
 	queued bool
 	at     task.Time
 }
 
 func newLending() lending {
 	return lending{
-		given:    make(map[uint64]*loan),
-		asked:    make(map[counterpart]*request),
-		standing: make(map[counterpart]*request),
-		seen:     make(map[task.Incarnation]*sight),
-		mean:     make(map[string]time.Duration),
-		spare:    make(map[string]int),
+		granted:   make(map[uint64]*loan),
+		requested: make(map[requestKey]*slotRequest),
+		received:  make(map[requestKey]*slotRequest),
+		reports:   make(map[task.Incarnation]*slotReport),
+		mean:      make(map[string]time.Duration),
+		spare:     make(map[string]int),
 	}
 }
 
-// observe takes the run time of a task into the institution's mean.
-func (c *Core) observe(institution string, took time.Duration) {
+// recordRunTime adds the run time of a task to the institution's running mean.
+func (c *Core) recordRunTime(institution string, took time.Duration) {
 	old := c.lending.mean[institution]
 	if old == 0 {
 		old = took
 	}
-	c.lending.mean[institution] = old + (took-old)/meanWeight
+	c.lending.mean[institution] = old + (took-old)/runTimeMeanWindow
 }
 
-func (c *Core) meanRun(institution string) time.Duration {
+func (c *Core) meanRunTime(institution string) time.Duration {
 	if mean := c.lending.mean[institution]; mean > 0 {
 		return mean
 	}
 	return queue.DefaultWork
 }
 
-// pace is the expected time between two slots of an institution coming free.
-func (c *Core) pace(institution string) time.Duration {
+// slotInterval is the expected time between two slots of an institution becoming
+// idle.
+func (c *Core) slotInterval(institution string) time.Duration {
 	held := max(1, c.pool.Held(institution))
-	return max(c.meanRun(institution)/time.Duration(held), minPace)
+	return max(c.meanRunTime(institution)/time.Duration(held), minSlotInterval)
 }
 
-// expectedWait is that of a task that joins the end of the queue.
+// expectedWait is the expected wait of a task at the end of the queue.
 func (c *Core) expectedWait(institution string) time.Duration {
-	return time.Duration(c.queue.Tasks(institution)) * c.pace(institution)
+	return time.Duration(c.queue.Tasks(institution)) * c.slotInterval(institution)
 }
 
-// borrowRequested notes a request, to be served as slots are idle.
+// borrowRequested records a request, to be served as slots become idle.
 func (c *Core) borrowRequested(from task.Incarnation, r *pb.BorrowRequest) {
-	k := counterpart{from, r.GetInstitution()}
-	s := &request{
+	k := requestKey{from, r.GetInstitution()}
+	s := &slotRequest{
 		id:    r.GetRequest(),
 		count: int(r.GetCount()),
 		at:    c.now,
 		wait:  time.Duration(r.GetWaitMs()) * time.Millisecond,
 	}
-	c.lending.standing[k] = s
-	c.after(s.stands(), func() { forgetRequest(c.lending.standing, k, s) })
+	c.lending.received[k] = s
+	c.after(s.lifetime(), func() { removeRequest(c.lending.received, k, s) })
 }
 
-// forgetRequest drops a request unless a newer one has taken its place.
-func forgetRequest(m map[counterpart]*request, k counterpart, r *request) {
+// removeRequest removes a request unless a newer one has replaced it.
+func removeRequest(m map[requestKey]*slotRequest, k requestKey, r *slotRequest) {
 	if m[k] == r {
 		delete(m, k)
 	}
 }
 
-// lendIdle grants idle slots to the peers that asked, the one with the longest
-// wait first.
-func (c *Core) lendIdle(institution string) {
-	for len(c.lending.standing) > 0 && c.pool.Idle(institution) > 0 && !c.draining {
-		k, ok := c.neediest(institution)
+// lendIdleSlots grants idle slots to the peers that requested some, in the order of
+// their expected waits, longest first.
+func (c *Core) lendIdleSlots(institution string) {
+	for len(c.lending.received) > 0 && c.pool.Idle(institution) > 0 && !c.draining {
+		k, ok := c.longestWaiting(institution)
 		if !ok || !c.grant(k) {
 			return
 		}
 	}
 }
 
-// neediest finds the standing request with the longest expected wait.
-func (c *Core) neediest(institution string) (counterpart, bool) {
-	var best counterpart
-	var top *request
-	for k, r := range c.lending.standing {
+// longestWaiting finds the received request with the longest expected wait.
+func (c *Core) longestWaiting(institution string) (requestKey, bool) {
+	var best requestKey
+	var top *slotRequest
+	for k, r := range c.lending.received {
 		if k.institution != institution {
 			continue
 		}
@@ -225,21 +228,21 @@
 	return best, top != nil
 }
 
-// grant gives slots on a standing request: those borrowed from the peer before
-// own ones. It reports false if there were none to give.
-func (c *Core) grant(k counterpart) bool {
-	r := c.lending.standing[k]
-	back := c.pool.GiveBackIdle(k.peer, r.count)
+// grant grants slots for a received request: first those borrowed from that peer,
+// then own ones. It reports false if there are none.
+func (c *Core) grant(k requestKey) bool {
+	r := c.lending.received[k]
+	givenBack := c.pool.GiveBackIdle(k.peer, r.count)
 	c.lending.lastLoan++
 	id := c.lending.lastLoan
-	l := &loan{to: k.peer, slots: c.pool.Lend(k.institution, r.count-back, k.peer, id)}
-	given := back + len(l.slots)
-	if given == 0 {
+	l := &loan{borrower: k.peer, slots: c.pool.Lend(k.institution, r.count-givenBack, k.peer, id)}
+	granted := givenBack + len(l.slots)
+	if granted == 0 {
 		return false
 	}
-	r.count -= given
+	r.count -= granted
 	if r.count == 0 {
-		delete(c.lending.standing, k)
+		delete(c.lending.received, k)
 	}
 	grant := &pb.LendGrant{Request: r.id, Loan: id, ValidMs: uint32(c.cfg.Lending.LoanDuration.Milliseconds())}
 	for _, s := range l.slots {
@@ -248,20 +251,20 @@
 	c.send(k.peer, &pb.PeerMessage{Body: &pb.PeerMessage_LendGrant{LendGrant: grant}})
 	if len(l.slots) > 0 {
 		c.stats.Lent += uint64(len(l.slots))
-		c.lending.given[id] = l
+		c.lending.granted[id] = l
 		c.after(c.cfg.Lending.LoanDuration, func() { c.endLoan(id) })
 	}
 	return true
 }
 
-// endLoan takes back what is left of a loan. Without it the slots of a
-// borrower that died or forgot them would stay out of use for good.
+// endLoan reclaims the remaining slots of a loan. Without it the slots of a borrower
+// that crashed or forgot them would never be used again.
 func (c *Core) endLoan(id uint64) {
-	l := c.lending.given[id]
+	l := c.lending.granted[id]
 	if l == nil {
 		return
 	}
-	delete(c.lending.given, id)
+	delete(c.lending.granted, id)
 	for _, s := range l.slots {
 		if c.pool.TakeBack(s, id) {
 			c.stats.Reclaims++
@@ -269,8 +272,8 @@
 	}
 }
 
-// returned takes slots back that rode on a message, and counts them.
-func (c *Core) returned(list []*pb.LendReturn) int {
+// reclaimReturned takes back the slots returned in a message, and counts them.
+func (c *Core) reclaimReturned(list []*pb.LendReturn) int {
 	n := 0
 	for _, r := range list {
 		for _, s := range r.GetSlots() {
@@ -282,9 +285,9 @@
 	return n
 }
 
-// addIdle tells a peer of the idle slots that it could have: own ones and those
-// borrowed from it.
-func (c *Core) addIdle(to task.Incarnation, st *pb.PeerStatus) {
+// addIdleSlots adds to a status the idle slots that the peer could have: own ones and
+// those borrowed from it.
+func (c *Core) addIdleSlots(to task.Incarnation, st *pb.PeerStatus) {
 	if c.draining {
 		return
 	}
@@ -301,16 +304,16 @@
 	}
 }
 
-// lendingPeerDown ends the dealings with a peer that can't be reached.
+// lendingPeerDown ends requests and loans with a peer that is unreachable.
 func (c *Core) lendingPeerDown(p task.Incarnation) {
-	delete(c.lending.seen, p)
-	other := func(k counterpart, _ *request) bool { return k.peer == p }
-	maps.DeleteFunc(c.lending.asked, other)
-	maps.DeleteFunc(c.lending.standing, other)
+	delete(c.lending.reports, p)
+	other := func(k requestKey, _ *slotRequest) bool { return k.peer == p }
+	maps.DeleteFunc(c.lending.requested, other)
+	maps.DeleteFunc(c.lending.received, other)
 	c.pool.LenderGone(p)
-	for _, id := range slices.Sorted(maps.Keys(c.lending.given)) {
-		if c.lending.given[id].to == p {
-			c.after(lenderGrace, func() { c.endLoan(id) })
+	for _, id := range slices.Sorted(maps.Keys(c.lending.granted)) {
+		if c.lending.granted[id].borrower == p {
+			c.after(lostBorrowerGrace, func() { c.endLoan(id) })
 		}
 	}
 }
--- a/core/dispatch/members.go
+++ b/core/dispatch/members.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// membersInterval is how often absences are looked at.
+	// membersInterval is how often the set of live members is re-evaluated.
 	membersInterval = 500 * time.Millisecond
-	// pullInterval bounds how often one peer is asked for settings or the list.
-	// The version rides on every message; without the bound each message that
-	// arrives before the answer would ask for the whole again.
+	// pullInterval is the minimum time between two pulls of settings or of the list
+	// from one peer. Every message carries the versions; without the limit each
+	// message received before the reply would cause another pull.
 	pullInterval = 500 * time.Millisecond
 )
 
-// pull remembers when a peer was asked for something whole.
+// pull records when a peer was last asked for settings or for the list.
 type pull struct {
 	asked bool
 	at    task.Time
 }
 
-// due says whether to ask now, and notes it.
+// due reports whether to pull now, and if so records it.
 func (p *pull) due(now task.Time) bool {
 	if p.asked && now-p.at < pullInterval {
 		return false
@@ -44,44 +44,43 @@
 	c.emit(SettingsInForce{s})
 }
 
-// membersRead takes the list as this process read it from the platform. Only
-// that counts for quotas: a list that a peer passes on says nothing of how old
-// the peer's own reading is.
-func (c *Core) membersRead(m task.Members) {
+// platformMembersRead takes the list as read from the platform by this process. Only
+// such a list counts for quotas: one that a peer passes on does not tell how long ago
+// the peer read it.
+func (c *Core) platformMembersRead(m task.Members) {
 	c.admission.quotas.SetMembers(c.now, m)
-	c.membersChanged(m)
+	c.offerMembers(m)
 }
 
-// membersChanged takes a list from the platform or a peer if it is newer.
-func (c *Core) membersChanged(m task.Members) {
+// offerMembers puts a list from the platform or a peer in force if it is newer.
+func (c *Core) offerMembers(m task.Members) {
 	if !c.view.Offer(c.now, m) {
 		return
 	}
-	c.forgetAbsent(m)
+	c.dropUnlisted(m)
 	c.emit(MembersInForce{m})
 	c.refreshMembers()
-	c.upstreamsListed(m)
+	c.setUpstreams(m)
 }
 
-// refreshMembers divides the slots anew if the members to be reckoned with
-// have changed.
+// refreshMembers redistributes the slots if the set of live members has changed.
 func (c *Core) refreshMembers() {
 	live, changed := c.view.Live(c.now)
 	if !changed || !c.view.Listed() {
 		return
 	}
 	c.pool.SetMembers(live)
-	c.reweigh()
+	c.applyWeights()
 }
 
-// upstreamLeaving stops new work to an upstream that said itself that it
-// leaves; the list may say so only seconds later.
+// upstreamLeaving stops new work to an upstream that announced its own stop; the list
+// may show it only seconds later.
 func (c *Core) upstreamLeaving(name string) {
 	c.view.UpstreamLeaving(c.now, name)
 	c.refreshMembers()
 }
 
-// pullNewer asks a peer for what it has in a newer version.
+// pullNewer asks a peer for settings or a list with a newer version.
 func (c *Core) pullNewer(from task.Incarnation, p *peer, st *pb.PeerStatus) {
 	if st.GetSettingsVersion() > c.settings.Version() && p.settingsPull.due(c.now) {
 		c.send(from, &pb.PeerMessage{Body: &pb.PeerMessage_SettingsPull{SettingsPull: &pb.SettingsPull{}}})
@@ -91,23 +90,23 @@
 	}
 }
 
-// absence is what was last known of a node that isn't connected.
+// absence is the last known state of a node that is not connected.
 type absence struct {
 	incarnation task.Incarnation
 	version     uint64
 	heard       task.Time
 }
 
-// noteAbsence keeps what an operator wants to know of a node that is cut off:
-// which settings it had, and when.
-func (c *Core) noteAbsence(p task.Incarnation) {
-	if last := c.peers[p]; last != nil {
-		c.absent[p.Node] = absence{p, last.status.GetSettingsVersion(), last.heard}
+// recordAbsence records for operators which settings a disconnected node had, and
+// when.
+func (c *Core) recordAbsence(p task.Incarnation) {
+	if lostPeer := c.peers[p]; lostPeer != nil {
+		c.absent[p.Node] = absence{p, lostPeer.status.GetSettingsVersion(), lostPeer.lastHeard}
 	}
 }
 
-// absentVersions lists the nodes on the list that aren't connected, with the
-// settings version that they had when they were last heard; 0 if never.
+// absentVersions returns the listed nodes that are not connected, each with its
+// settings version when it was last heard from; 0 if never.
 func (c *Core) absentVersions() []*pb.NodeVersion {
 	connected := make(map[string]bool, len(c.peers))
 	for p := range c.peers {
@@ -129,8 +128,8 @@
 	return list
 }
 
-// forgetAbsent drops what is known of nodes that aren't listed any more.
-func (c *Core) forgetAbsent(m task.Members) {
+// dropUnlisted drops the state of absent nodes that are no longer listed.
+func (c *Core) dropUnlisted(m task.Members) {
 	listed := make(map[string]bool, len(m.Nodes))
 	for _, n := range m.Nodes {
 		listed[n.Name] = true
--- a/core/dispatch/ownkey_test.go
+++ b/core/dispatch/ownkey_test.go
@@ -33,7 +33,7 @@
 	return &pb.Submission{Id: ownKey(key), Service: "settle", Tasks: []*pb.Task{{Payload: []byte("pay")}}}
 }
 
-func commands[C Command](c *Core) []C {
+func takeCommandsOf[C Command](c *Core) []C {
 	var list []C
 	for _, cmd := range c.TakeCommands() {
 		if cmd, ok := cmd.(C); ok {
@@ -43,24 +43,24 @@
 	return list
 }
 
-// A settlement was paid and answered, and the answer has been pushed out by
-// newer ones. The caller, who lost the answer, asks again; the reply of the
-// table service to the new claim is lost, and the second attempt finds the row
-// of the first claim. Taken for the claim's own, the settlement is paid twice.
+// A settlement was paid and answered, and newer answers have displaced its answer. The
+// caller, who lost the answer, submits again. The reply of the table service to the new
+// claim is lost, and its second write finds the row of the first claim. If that row were
+// taken for the new claim's own, the settlement would be paid twice.
 func TestRowOfForgottenClaimStartsNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := readyCore(func(cfg *Config) { cfg.MaxRetainedAnswerBytes = 1 })
 	c.Step(1*ms, Submit{1, inst, settlement("k")})
-	w := commands[ClaimWrite](c)[0]
+	w := takeCommandsOf[ClaimWrite](c)[0]
 	row := ClaimConflict{w.Claims[0].ID, self, w.Claims[0].Digest, w.Claims[0].Number}
 	c.Step(2*ms, ClaimResult{Batch: w.Batch, OK: true})
-	c.Step(3*ms, StartResult{commands[StartTask](c)[0].Start, task.Result{Verdict: task.Finished}})
-	g.Expect(commands[Reply](c)[0].Answer.GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_COMPLETE))
+	c.Step(3*ms, StartResult{takeCommandsOf[StartTask](c)[0].Start, task.Result{Verdict: task.Finished}})
+	g.Expect(takeCommandsOf[Reply](c)[0].Answer.GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_COMPLETE))
 
 	c.Step(time.Second, Submit{2, inst, settlement("k")})
-	c.Step(time.Second, ClaimResult{Batch: commands[ClaimWrite](c)[0].Batch})
+	c.Step(time.Second, ClaimResult{Batch: takeCommandsOf[ClaimWrite](c)[0].Batch})
 	c.Tick(1100 * ms)
-	c.Step(1100*ms, ClaimResult{Batch: commands[ClaimWrite](c)[0].Batch, OK: true, Conflicts: []ClaimConflict{row}})
+	c.Step(1100*ms, ClaimResult{Batch: takeCommandsOf[ClaimWrite](c)[0].Batch, OK: true, Conflicts: []ClaimConflict{row}})
 
 	all := c.TakeCommands()
 	g.Expect(all).NotTo(gomega.ContainElement(gomega.BeAssignableToTypeOf(StartTask{})))
@@ -68,51 +68,51 @@
 	g.Expect(all[0].(Reply).Answer.GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_FAILED))
 }
 
-// A buyer cancels a bid while its claim is being written, and the store is so
-// slow that the answer is "unknown". When the client asks again by itself, the
-// bid must not be placed after all.
+// A buyer cancels a bid while its claim is being written, and the store is so slow that
+// the answer is "unknown". When the client automatically submits again, the bid must not
+// be placed.
 func TestCancelledWhileClaimingNeverRuns(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := readyCore(func(*Config) {})
 	c.Step(1*ms, Submit{1, inst, settlement("k")})
-	w := commands[ClaimWrite](c)[0]
+	w := takeCommandsOf[ClaimWrite](c)[0]
 	c.Step(2*ms, Cancel{2, inst, ownKey("k")})
 	c.Tick(5 * time.Second)
-	g.Expect(commands[Reply](c)).To(gomega.HaveLen(2))
+	g.Expect(takeCommandsOf[Reply](c)).To(gomega.HaveLen(2))
 
 	c.Step(6*time.Second, Submit{3, inst, settlement("k")})
 	c.Step(6*time.Second, ClaimResult{Batch: w.Batch})
 	c.Tick(7 * time.Second)
-	c.Step(7*time.Second, ClaimResult{Batch: commands[ClaimWrite](c)[0].Batch, OK: true})
+	c.Step(7*time.Second, ClaimResult{Batch: takeCommandsOf[ClaimWrite](c)[0].Batch, OK: true})
 	all := c.TakeCommands()
 	g.Expect(all).NotTo(gomega.ContainElement(gomega.BeAssignableToTypeOf(StartTask{})))
 	g.Expect(all[len(all)-1].(Reply).Answer.GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_NOT_RUN))
 }
 
-// The table service is down for ten seconds while buyers keep pressing. Each
-// press that began a write at once would meet the service, as it comes back,
-// with a storm that brings it down again.
-func TestOutageIsNotMetByAStormOfWrites(t *testing.T) {
+// The table service is down for ten seconds while buyers keep submitting. If each
+// submission began a write at once, the storm of writes would overload the service again
+// when it comes back.
+func TestClaimWritesBackOffDuringOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := readyCore(func(*Config) {})
 	writes := 0
 	for i := range 10_000 {
 		now := time.Duration(i+1) * ms
 		c.Step(now, Submit{uint64(i), inst, settlement(fmt.Sprint("k", i))})
-		for _, w := range commands[ClaimWrite](c) {
+		for _, w := range takeCommandsOf[ClaimWrite](c) {
 			writes++
 			c.Step(now, ClaimResult{Batch: w.Batch})
 		}
 	}
-	// The back-off ends at half a second, less its jitter.
+	// The backoff grows to half a second, less its jitter.
 	g.Expect(writes).To(gomega.BeNumerically("<", 60))
 	c.Tick(20 * time.Second)
-	g.Expect(c.sizes()["requests"]).To(gomega.BeZero())
+	g.Expect(c.stateSizes()["requests"]).To(gomega.BeZero())
 }
 
-// The service has grown from seven entry VMs to a hundred, and all take
-// settlements at once. Were each to write as often as before, the table service
-// would fall behind and every settlement would end without an answer.
+// The service has grown from seven entry VMs to a hundred, and all take settlements at
+// once. If each wrote as often as before, the table service would fall behind and no
+// settlement would be answered in time.
 func TestClaimWritesOfAllProcessesStayWithinTheBudget(t *testing.T) {
 	const nodes, writesPerSecond = 100, 250
 	g := gomega.NewWithT(t)
@@ -141,16 +141,16 @@
 	g.Expect(writes * nodes).To(gomega.BeNumerically("<=", 10*writesPerSecond+nodes))
 }
 
-// An entry VM begins its planned stop while the claim of a buyer's bid is being
-// written. The bid was accepted, so it is placed and answered before the stop.
+// An entry VM begins its planned stop while the claim of a bid is being written. The bid
+// was accepted, so it must be placed and answered before the stop.
 func TestPlannedStopServesAClaimUnderWay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := readyCore(func(*Config) {})
 	c.Step(1*ms, Submit{1, inst, settlement("k")})
-	w := commands[ClaimWrite](c)[0]
+	w := takeCommandsOf[ClaimWrite](c)[0]
 	c.Step(2*ms, Drain{})
 	c.Step(3*ms, ClaimResult{Batch: w.Batch, OK: true})
-	c.Step(4*ms, StartResult{commands[StartTask](c)[0].Start, task.Result{Verdict: task.Finished}})
+	c.Step(4*ms, StartResult{takeCommandsOf[StartTask](c)[0].Start, task.Result{Verdict: task.Finished}})
 	all := c.TakeCommands()
 	g.Expect(all[len(all)-2].(Reply).Answer.GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_COMPLETE))
 	g.Expect(all[len(all)-1]).To(gomega.Equal(Drained{}))
--- a/core/dispatch/pause.go
+++ b/core/dispatch/pause.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// pauseNoticed is how late the next status must be for the process to have
-	// been paused, rather than busy.
-	pauseNoticed = 700 * time.Millisecond
-	// wakeSpan is how long after a pause what arrives may have been under way
-	// since before.
-	wakeSpan = time.Second
+	// pauseThreshold is how much later than the status interval the clock must
+	// have advanced to count as a pause of the process rather than high load.
+	pauseThreshold = 700 * time.Millisecond
+	// resumeWindow is how long after a pause arriving requests may have been
+	// sent before or during it.
+	resumeWindow = time.Second
 )
 
-// noticePause compares the clock with the time by which a timer should have
-// run.
+// detectPause detects pauses of the process: the status timer should have called it
+// within the status interval.
 //
-// A process that wakes finds requests in its buffers whose callers gave up
-// long ago. Counted from their reading, their time would begin anew: a bid
-// would be placed a minute after it was answered with a timeout. So for a
-// while after a pause its length is taken off the time of what arrives.
-func (c *Core) noticePause(now task.Time) {
-	if gap := now - c.now; gap > c.cfg.StatusInterval+pauseNoticed {
-		c.woke = now
-		c.slept = gap
+// After a pause the process reads requests from its buffers whose callers may have
+// timed out long ago. If their time allowance began when they are read, a bid could
+// be placed a minute after its caller was answered with a timeout. So for a while
+// after a pause its length is deducted from the time of arriving requests.
+func (c *Core) detectPause(now task.Time) {
+	if gap := now - c.now; gap > c.cfg.StatusInterval+pauseThreshold {
+		c.resumedAt = now
+		c.pauseLength = gap
 	}
 }
 
-// lateBy is how long ago a request that arrives now may have been sent.
-func (c *Core) lateBy() time.Duration {
-	if c.slept > 0 && c.now < c.woke+wakeSpan {
-		return c.slept
+// maxRequestAge is how long ago a request that arrives now may have been sent.
+func (c *Core) maxRequestAge() time.Duration {
+	if c.pauseLength > 0 && c.now < c.resumedAt+resumeWindow {
+		return c.pauseLength
 	}
 	return 0
 }
--- a/core/dispatch/peers.go
+++ b/core/dispatch/peers.go
@@ -13,11 +13,11 @@
 type peer struct {
 	failureDomain string
 	status        *pb.PeerStatus
-	heard         task.Time
-	sent          task.Time
+	lastHeard     task.Time
+	lastSent      task.Time
 	settingsPull  pull
 	membersPull   pull
-	told          told
+	announced     announced
 }
 
 func compareIncarnations(a, b task.Incarnation) int {
@@ -50,8 +50,8 @@
 }
 
 func (c *Core) peerUp(e PeerUp) {
-	c.peers[e.Peer] = &peer{failureDomain: e.FailureDomain, heard: c.now}
-	c.noteRun(e.Peer)
+	c.peers[e.Peer] = &peer{failureDomain: e.FailureDomain, lastHeard: c.now}
+	c.recordRun(e.Peer)
 	c.view.PeerUp(c.now, e.Peer)
 	c.refreshMembers()
 	c.admission.quotas.PeerUp(e.Peer)
@@ -59,16 +59,16 @@
 	c.send(e.Peer, &pb.PeerMessage{})
 }
 
-// peerDown answers what waited for the peer: at once, because its state can't
-// be known before it is reached again.
+// peerDown handles a lost connection. Requests that wait for the peer are answered at
+// once, because its state is unknown until it is reachable again.
 func (c *Core) peerDown(p task.Incarnation) {
-	c.noteAbsence(p)
+	c.recordAbsence(p)
 	delete(c.peers, p)
 	c.view.PeerDown(c.now, p)
 	c.refreshMembers()
-	c.termsPeerDown(p)
-	c.forwardsLost(p)
-	c.askerPeerDown(p)
+	c.dropSharedState(p)
+	c.answerLostForwards(p)
+	c.dropPeerRequests(p)
 	c.handoverPeerDown(p)
 	c.lendingPeerDown(p)
 }
@@ -76,29 +76,29 @@
 func (c *Core) peerMessage(from task.Incarnation, m *pb.PeerMessage) {
 	p := c.peers[from]
 	if p == nil {
-		c.noteDropped(from, m)
+		c.recordDropped(from, m)
 		return
 	}
-	p.heard = c.now
-	c.peerStatus(from, p, m.GetStatus())
-	back := c.returned(m.GetReturns())
+	p.lastHeard = c.now
+	c.receiveStatus(from, p, m.GetStatus())
+	returned := c.reclaimReturned(m.GetReturns())
 	switch b := m.GetBody().(type) {
 	case *pb.PeerMessage_Forward:
-		c.forwarded(from, b.Forward)
+		c.receiveForward(from, b.Forward)
 	case *pb.PeerMessage_ForwardAnswer:
-		c.forwardAnswer(from, b.ForwardAnswer)
+		c.receiveForwardAnswer(from, b.ForwardAnswer)
 	case *pb.PeerMessage_ForwardCancel:
-		c.forwardedCancel(from, b.ForwardCancel)
+		c.receiveForwardCancel(from, b.ForwardCancel)
 	case *pb.PeerMessage_Handover:
 		c.adopt(from, b.Handover)
 	case *pb.PeerMessage_HandoverAck:
 		c.handoverAcked(from, b.HandoverAck)
 	case *pb.PeerMessage_HandoverNotice:
-		c.noticeSuccessor(from, b.HandoverNotice)
+		c.recordSuccessor(from, b.HandoverNotice)
 	case *pb.PeerMessage_BorrowRequest:
 		c.borrowRequested(from, b.BorrowRequest)
 	case *pb.PeerMessage_LendGrant:
-		c.granted(from, b.LendGrant, back)
+		c.receiveGrant(from, b.LendGrant, returned)
 	case *pb.PeerMessage_SettingsPull:
 		c.sendSettings(from)
 	case *pb.PeerMessage_Settings:
@@ -106,39 +106,39 @@
 	case *pb.PeerMessage_MembersPull:
 		c.sendMembers(from)
 	case *pb.PeerMessage_Members:
-		c.membersChanged(membership.FromProto(b.Members))
+		c.offerMembers(membership.FromProto(b.Members))
 	}
 }
 
-func (c *Core) peerStatus(from task.Incarnation, p *peer, st *pb.PeerStatus) {
+func (c *Core) receiveStatus(from task.Incarnation, p *peer, st *pb.PeerStatus) {
 	if st == nil || st.GetSequence() <= p.status.GetSequence() {
 		return
 	}
 	p.status = st
-	c.seeIdle(from, st)
+	c.recordIdle(from, st)
 	c.view.PeerStopping(from, st.GetStopping() && st.GetQueuedTasks() == 0)
 	c.refreshMembers()
 	c.pullNewer(from, p, st)
-	c.seeTerms(from, st)
+	c.receiveSharedState(from, st)
 }
 
-// send sends a message with this process's status riding on it.
+// send sends a message, which also carries the status of this process.
 func (c *Core) send(to task.Incarnation, m *pb.PeerMessage) {
 	p := c.peers[to]
 	if p == nil {
 		return
 	}
-	p.sent = c.now
+	p.lastSent = c.now
 	c.addReturns(to, m)
-	m.Status = c.status(to)
-	c.addTerms(to, m.Status)
-	p.told = toldBy(m.Status)
+	m.Status = c.buildStatus(to)
+	c.addSharedState(to, m.Status)
+	p.announced = announcedIn(m.Status)
 	c.stats.PeerMessages++
 	c.countPeerMessage(m)
 	c.emit(Send{to, m})
 }
 
-func (c *Core) status(to task.Incarnation) *pb.PeerStatus {
+func (c *Core) buildStatus(to task.Incarnation) *pb.PeerStatus {
 	c.statusSeq++
 	st := &pb.PeerStatus{
 		Sequence:        c.statusSeq,
@@ -146,14 +146,14 @@
 		MembersVersion:  c.view.Version(),
 		Stopping:        c.draining,
 	}
-	c.addIdle(to, st)
+	c.addIdleSlots(to, st)
 	return st
 }
 
-// sendStatus tells peers that have heard nothing for an interval.
+// sendStatus sends a status to each peer that has got no message for an interval.
 func (c *Core) sendStatus() {
 	for _, p := range c.sortedPeers() {
-		if c.now-c.peers[p].sent >= c.statusDue(p) {
+		if c.now-c.peers[p].lastSent >= c.statusIntervalFor(p) {
 			c.send(p, &pb.PeerMessage{})
 		}
 	}
--- a/core/dispatch/place.go
+++ b/core/dispatch/place.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	// refusedHold is how long a slot rests after an upstream in service refused
-	// a start on it: another process is using it.
-	refusedHold = 100 * time.Millisecond
-	// unknownHold is how long a slot rests whose task may still be running.
-	unknownHold = 2 * time.Second
+	// refusedSlotCooldown is how long a slot stays unused after a start on it was
+	// refused by a working upstream: another process is using the slot.
+	refusedSlotCooldown = 100 * time.Millisecond
+	// unknownSlotCooldown is how long a slot whose task may still be running stays
+	// unused.
+	unknownSlotCooldown = 2 * time.Second
 )
 
 // start is one start of one task.
@@ -27,15 +28,15 @@
 	sent    task.Time
 	attempt int
 	settles int
-	// run is the upstream's run known when the task was sent.
+	// run is the run of the upstream known when the task was sent.
 	run string
-	// hold is how long the slot rests when the start is settled.
-	hold  time.Duration
-	terms terms
+	// slotCooldown is how long the slot stays unused after the start is closed.
+	slotCooldown time.Duration
+	taskInfo     taskInfo
 }
 
-// place starts waiting tasks while there are idle slots, and borrows slots for
-// those that would wait too long.
+// place starts waiting tasks on idle slots, and borrows slots for tasks that would
+// wait too long.
 func (c *Core) place() {
 	c.pool.Open(c.now)
 	for _, inst := range c.settings.Current().GetInstitutions() {
@@ -45,15 +46,15 @@
 
 func (c *Core) placeFor(inst *pb.Institution) {
 	name := inst.GetName()
-	c.noteQueue(name)
+	c.recordEmptyQueue(name)
 	for c.pool.Idle(name) > 0 {
 		ref, ok := c.nextTask(name)
 		if !ok {
-			c.lendIdle(name)
-			c.returnLater(inst)
+			c.lendIdleSlots(name)
+			c.scheduleReturn(inst)
 			return
 		}
-		if c.giveUpHopeless(ref) {
+		if c.giveUpInfeasible(ref) {
 			continue
 		}
 		slot, _ := c.pool.Acquire(name)
@@ -64,14 +65,14 @@
 	}
 }
 
-// release frees the slot of a settled start, at once or after its rest.
+// release frees the slot of a closed start, at once or after its cooldown.
 func (c *Core) release(s *start) {
-	if s.hold == 0 {
+	if s.slotCooldown == 0 {
 		c.pool.Release(s.slot)
 		return
 	}
-	c.pool.ReleaseAt(s.slot, c.now+s.hold)
-	c.after(s.hold, func() { c.pool.Open(c.now) })
+	c.pool.ReleaseAt(s.slot, c.now+s.slotCooldown)
+	c.after(s.slotCooldown, func() { c.pool.Open(c.now) })
 }
 
 func taskName(id task.ID, index int) string {
@@ -84,7 +85,7 @@
 
 func (c *Core) startTask(ref queue.Ref, slot task.Slot) {
 	sub := c.jobs[ref.Job]
-	c.mustHold(sub)
+	c.assertMayStart(sub)
 	if sub.taskPrefix == "" {
 		sub.taskPrefix = taskPrefix(sub.id)
 	}
@@ -105,7 +106,7 @@
 	c.starts[s.id] = s
 	sub.running[s.id] = s
 	c.stats.Starts++
-	c.noteStart(s)
+	c.recordStart(s)
 	c.emit(StartTask{
 		Start:    s.id,
 		Upstream: slot.Upstream,
--- a/core/dispatch/random_test.go
+++ b/core/dispatch/random_test.go
@@ -21,8 +21,8 @@
 )
 
 // The long run: go test ./core/dispatch -run TestRandomLong -random.for=10m
-// -random.steps=20000 -timeout 0. One run is played again by -random.seed with
-// the seed that it printed and -random.for=0; -random.trace shows what happens.
+// -random.steps=20000 -timeout 0. To repeat one run, pass its printed seed with
+// -random.seed and set -random.for=0; -random.trace prints its events.
 var (
 	longFor   = flag.Duration("random.for", 0, "how long TestRandomLong runs")
 	longSteps = flag.Int("random.steps", 2000, "steps of each run of TestRandomLong")
@@ -38,27 +38,27 @@
 	}
 }
 
-// play runs a world through commands and faults in any order.
-type play struct {
+// scenario drives a world through random actions and faults.
+type scenario struct {
 	*world
-	t       *rapid.T
-	all     []*fakeEntry
-	steps   int
-	version uint64
+	t             *rapid.T
+	pausedEntries []*fakeEntry
+	steps         int
+	version       uint64
 }
 
-func newPlay(t *rapid.T, recording bool, fail func(string, ...any)) *play {
+func newScenario(t *rapid.T, recording bool, fail func(string, ...any)) *scenario {
 	entries := rapid.IntRange(3, 5).Draw(t, "entries")
 	w := newWorld(rapid.Uint64().Draw(t, "seed"), entries, recording, fail)
-	return &play{world: w, t: t, version: 1}
+	return &scenario{world: w, t: t, version: 1}
 }
 
-func (p *play) index(n int, label string) int { return rapid.IntRange(0, n-1).Draw(p.t, label) }
+func (p *scenario) index(n int, label string) int { return rapid.IntRange(0, n-1).Draw(p.t, label) }
 
-func (p *play) entry() *fakeEntry { return p.entries[p.index(len(p.entries), "entry")] }
+func (p *scenario) entry() *fakeEntry { return p.entries[p.index(len(p.entries), "entry")] }
 
-func (p *play) job() *fakeJob {
-	jobs := p.truth.jobs
+func (p *scenario) job() *fakeJob {
+	jobs := p.oracle.jobs
 	reach := rapid.SampledFrom([]int{6, 6, 6, 80}).Draw(p.t, "reach")
 	for _, back := range []int{p.index(reach, "back"), 0} {
 		if n := len(jobs) - 1 - back; n >= 0 && p.now-jobs[n].first < (windowS-10)*time.Second {
@@ -68,49 +68,49 @@
 	return nil
 }
 
-// action is one step; it reports false if it didn't apply.
+// action is a step of a scenario; run reports false if it was not applicable.
 type action struct {
 	name   string
 	weight int
-	run    func(p *play) bool
+	run    func(p *scenario) bool
 }
 
 var actions = []action{
-	{"submit-issued", 6, (*play).submitIssued},
-	{"submit-own-key", 6, (*play).submitOwnKey},
-	{"resubmit", 8, func(p *play) bool { return p.resubmit(p.entry()) }},
-	{"resubmit-everywhere", 2, func(p *play) bool {
+	{"submit-issued", 6, (*scenario).submitIssued},
+	{"submit-own-key", 6, (*scenario).submitOwnKey},
+	{"resubmit", 8, func(p *scenario) bool { return p.resubmit(p.entry()) }},
+	{"resubmit-everywhere", 2, func(p *scenario) bool {
 		ok := false
 		for _, e := range p.entries {
 			ok = p.resubmit(e) || ok
 		}
 		return ok
 	}},
-	{"resubmit-other-payload", 2, (*play).submitConflict},
-	{"cancel", 3, (*play).cancel},
-	{"caller-gone", 2, (*play).callerGone},
-	{"crash", 1, (*play).crashOne},
-	{"pause", 2, (*play).pauseOne},
-	{"resume", 4, (*play).resumeOne},
-	{"replace-paused", 1, (*play).replacePaused},
-	{"drain", 1, (*play).drainOne},
-	{"cut", 2, (*play).cut},
-	{"heal", 4, (*play).heal},
-	{"reconnect", 2, func(p *play) bool {
+	{"resubmit-other-payload", 2, (*scenario).submitConflict},
+	{"cancel", 3, (*scenario).cancel},
+	{"caller-gone", 2, (*scenario).callerGone},
+	{"crash", 1, (*scenario).crashOne},
+	{"pause", 2, (*scenario).pauseOne},
+	{"resume", 4, (*scenario).resumeOne},
+	{"replace-paused", 1, (*scenario).replacePaused},
+	{"drain", 1, (*scenario).drainOne},
+	{"cut", 2, (*scenario).cut},
+	{"heal", 4, (*scenario).heal},
+	{"reconnect", 2, func(p *scenario) bool {
 		p.disconnect(p.index(len(p.entries), "a"), p.index(len(p.entries), "b"), p.jitter(100*ms))
 		return true
 	}},
-	{"store-mode", 3, (*play).storeMode},
-	{"runner-mode", 4, (*play).runnerMode},
-	{"runner-restart", 1, func(p *play) bool { p.runners[p.index(4, "runner")].restart(); return true }},
-	{"stale-peer-message", 3, (*play).stalePeerMessage},
-	{"stale-result", 3, (*play).staleResult},
-	{"settings", 1, (*play).changeSettings},
-	{"members", 2, (*play).changeMembers},
-	{"wait", 6, func(p *play) bool { p.advance(p.jitter(2 * time.Second)); return true }},
+	{"store-mode", 3, (*scenario).storeMode},
+	{"runner-mode", 4, (*scenario).runnerMode},
+	{"runner-restart", 1, func(p *scenario) bool { p.runners[p.index(4, "runner")].restart(); return true }},
+	{"stale-peer-message", 3, (*scenario).stalePeerMessage},
+	{"stale-result", 3, (*scenario).staleResult},
+	{"settings", 1, (*scenario).changeSettings},
+	{"members", 2, (*scenario).changeMembers},
+	{"wait", 6, func(p *scenario) bool { p.advance(p.jitter(2 * time.Second)); return true }},
 }
 
-func names() []string {
+func weightedNames() []string {
 	var list []string
 	for _, a := range actions {
 		for range a.weight {
@@ -120,9 +120,9 @@
 	return list
 }
 
-var weighted = names()
+var weighted = weightedNames()
 
-func (p *play) step() {
+func (p *scenario) step() {
 	name := rapid.SampledFrom(weighted).Draw(p.t, "action")
 	i := slices.IndexFunc(actions, func(a action) bool { return a.name == name })
 	if actions[i].run(p) {
@@ -130,10 +130,10 @@
 	}
 	p.steps++
 	p.advance(time.Duration(p.index(60, "pass")) * ms)
-	p.truth.overdue()
+	p.oracle.checkOverdue()
 }
 
-func (p *play) submitIssued() bool {
+func (p *scenario) submitIssued() bool {
 	e := p.entry()
 	if !e.alive || e.paused {
 		return false
@@ -142,62 +142,62 @@
 	if wire == nil {
 		return false
 	}
-	j := p.truth.newJob(wire, "labels", 1+p.index(5, "tasks"))
+	j := p.oracle.newJob(wire, "labels", 1+p.index(5, "tasks"))
 	if p.chance(60) {
-		p.truth.submit(e, j, j.request)
+		p.oracle.submit(e, j, j.request)
 		return true
 	}
 	return p.resubmit(p.entry())
 }
 
-func (p *play) submitOwnKey() bool {
-	wire := &pb.SubmissionId{Kind: &pb.SubmissionId_OwnKey{OwnKey: fmt.Sprintf("key-%d", len(p.truth.jobs))}}
+func (p *scenario) submitOwnKey() bool {
+	wire := &pb.SubmissionId{Kind: &pb.SubmissionId_OwnKey{OwnKey: fmt.Sprintf("key-%d", len(p.oracle.jobs))}}
 	service := rapid.SampledFrom([]string{"labels", "settle"}).Draw(p.t, "service")
-	p.truth.newJob(wire, service, 1+p.index(5, "tasks"))
+	p.oracle.newJob(wire, service, 1+p.index(5, "tasks"))
 	return p.resubmit(p.entry())
 }
 
-func (p *play) resubmit(e *fakeEntry) bool {
+func (p *scenario) resubmit(e *fakeEntry) bool {
 	j := p.job()
 	if j == nil || !e.alive {
 		return false
 	}
 	s := proto.CloneOf(j.request)
 	s.TimeoutMs = uint32(p.index(4, "timeout")) * 1500
-	p.truth.submit(e, j, s)
+	p.oracle.submit(e, j, s)
 	return true
 }
 
-func (p *play) submitConflict() bool {
+func (p *scenario) submitConflict() bool {
 	e, j := p.entry(), p.job()
 	if j == nil || !e.alive {
 		return false
 	}
 	s := proto.CloneOf(j.request)
 	s.Tasks[0].Payload = []byte("revision")
-	p.truth.submit(e, j, s)
+	p.oracle.submit(e, j, s)
 	return true
 }
 
-func (p *play) cancel() bool {
+func (p *scenario) cancel() bool {
 	e, j := p.entry(), p.job()
 	if j == nil || !e.alive {
 		return false
 	}
-	p.truth.cancel(e, j)
+	p.oracle.cancel(e, j)
 	return true
 }
 
-func (p *play) callerGone() bool {
-	open := slices.Sorted(maps.Keys(p.truth.open))
+func (p *scenario) callerGone() bool {
+	open := slices.Sorted(maps.Keys(p.oracle.open))
 	if len(open) == 0 {
 		return false
 	}
-	p.truth.callerGone(p.truth.open[open[p.index(len(open), "request")]])
+	p.oracle.callerGone(p.oracle.open[open[p.index(len(open), "request")]])
 	return true
 }
 
-func (p *play) crashOne() bool {
+func (p *scenario) crashOne() bool {
 	e := p.entry()
 	if !e.alive {
 		return false
@@ -206,20 +206,20 @@
 	return true
 }
 
-func (p *play) pauseOne() bool {
+func (p *scenario) pauseOne() bool {
 	e := p.entry()
 	if !e.alive || e.paused || e.drained {
 		return false
 	}
 	p.pause(e)
-	p.all = append(p.all, e)
+	p.pausedEntries = append(p.pausedEntries, e)
 	return true
 }
 
-func (p *play) resumeOne() bool {
-	for i, e := range p.all {
+func (p *scenario) resumeOne() bool {
+	for i, e := range p.pausedEntries {
 		if e.alive && e.paused {
-			p.all = slices.Delete(p.all, i, i+1)
+			p.pausedEntries = slices.Delete(p.pausedEntries, i, i+1)
 			p.resume(e)
 			return true
 		}
@@ -227,9 +227,9 @@
 	return false
 }
 
-// replacePaused starts a new run under the name of one that is only paused.
-func (p *play) replacePaused() bool {
-	for _, e := range p.all {
+// replacePaused starts a new run under the name of a paused one.
+func (p *scenario) replacePaused() bool {
+	for _, e := range p.pausedEntries {
 		if e.alive && e.paused && p.entries[e.index] == e && p.now-e.pausedAt > 2*idleTimeout {
 			p.replacedPaused = true
 			p.boot(e.index)
@@ -239,7 +239,7 @@
 	return false
 }
 
-func (p *play) drainOne() bool {
+func (p *scenario) drainOne() bool {
 	e := p.entry()
 	if !e.alive {
 		return false
@@ -248,7 +248,7 @@
 	return true
 }
 
-func (p *play) cut() bool {
+func (p *scenario) cut() bool {
 	a := p.index(len(p.entries), "a")
 	b := (a + 1 + p.index(len(p.entries)-1, "b")) % len(p.entries)
 	l, _ := p.link(a, b)
@@ -257,41 +257,42 @@
 	return true
 }
 
-func (p *play) heal() bool {
+func (p *scenario) heal() bool {
 	for _, l := range p.links {
 		l.cut = false
 	}
 	return true
 }
 
-func (p *play) storeMode() bool {
+func (p *scenario) storeMode() bool {
 	p.store.mode = rapid.SampledFrom([]string{"", "", "down", "slow"}).Draw(p.t, "mode")
-	p.store.loses = rapid.Bool().Draw(p.t, "loses")
+	p.store.losesReplies = rapid.Bool().Draw(p.t, "loses")
 	return true
 }
 
-func (p *play) runnerMode() bool {
+func (p *scenario) runnerMode() bool {
 	r := p.runners[p.index(4, "runner")]
 	r.mode = rapid.SampledFrom([]string{"", "", "lossy", "lossy", "refuse", "hang", "fail"}).Draw(p.t, "mode")
 	r.up = p.index(5, "up") > 0
 	return true
 }
 
-func (p *play) stalePeerMessage() bool {
+func (p *scenario) stalePeerMessage() bool {
 	e := p.entry()
 	if len(e.inbox) == 0 {
 		return false
 	}
 	m := e.inbox[p.index(len(e.inbox), "message")]
 	if p.chance(30) {
-		m = crossed(e, m)
+		m = misaddressed(e, m)
 	}
 	e.post(p.jitter(100*ms), m)
 	return true
 }
 
-// crossed makes an answer name another request that waits.
-func crossed(e *fakeEntry, m PeerMessage) PeerMessage {
+// misaddressed changes the request number of an answer to that of another waiting
+// request.
+func misaddressed(e *fakeEntry, m PeerMessage) PeerMessage {
 	open := slices.Sorted(maps.Keys(e.core.forwarding.forwards))
 	if m.Message.GetForwardAnswer() == nil || len(open) == 0 {
 		return m
@@ -301,7 +302,7 @@
 	return PeerMessage{m.Peer, other}
 }
 
-func (p *play) staleResult() bool {
+func (p *scenario) staleResult() bool {
 	e := p.entry()
 	if len(e.claims) > 0 {
 		e.post(p.jitter(100*ms), e.claims[p.index(len(e.claims), "claim")])
@@ -312,8 +313,8 @@
 	return len(e.claims)+len(e.results) > 0
 }
 
-// changeSettings declares a service anew or drops it at one entry.
-func (p *play) changeSettings() bool {
+// changeSettings redeclares the services at one entry, or drops one of them.
+func (p *scenario) changeSettings() bool {
 	p.version++
 	s := declared()
 	s.Version = p.version
@@ -325,8 +326,8 @@
 	return true
 }
 
-// changeMembers gives one entry a list on which VMs leave or are missing.
-func (p *play) changeMembers() bool {
+// changeMembers gives one entry a list in which some VMs are leaving or missing.
+func (p *scenario) changeMembers() bool {
 	m := p.members()
 	m.Version = p.version
 	p.version++
@@ -338,17 +339,17 @@
 	return true
 }
 
-// finish ends all faults and checks that nothing is left behind.
-func (p *play) finish() {
+// finish ends all faults and checks that no state is leaked.
+func (p *scenario) finish() {
 	p.heal()
-	p.store.mode, p.store.loses = "", false
+	p.store.mode, p.store.losesReplies = "", false
 	for _, r := range p.runners {
 		r.mode, r.up = "", true
 	}
 	for p.resumeOne() {
 	}
 	p.advance(time.Duration(responseMs)*ms + time.Second)
-	p.truth.overdue()
+	p.oracle.checkOverdue()
 	p.advance((windowS + 60) * time.Second)
 	for _, e := range p.entries {
 		if e.alive {
@@ -357,17 +358,17 @@
 	}
 }
 
-func (p *play) checkEmpty(e *fakeEntry) {
-	for what, n := range e.core.sizes() {
+func (p *scenario) checkEmpty(e *fakeEntry) {
+	for what, n := range e.core.stateSizes() {
 		if n > 0 {
-			p.truth.fail("%s still keeps %d %s", e.self(), n, what)
+			p.oracle.fail("%s still has %d %s", e.self(), n, what)
 		}
 	}
 }
 
 func TestRandom(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		p := newPlay(rt, false, rt.Fatalf)
+		p := newScenario(rt, false, rt.Fatalf)
 		for range 200 {
 			p.step()
 		}
@@ -375,11 +376,10 @@
 	})
 }
 
-// An operator plays a recorded run again to see why a label was late. If the
-// core read a clock, or a map in its own order, the second run would differ and
-// show nothing.
+// Operators replay recorded runs to explain late labels. A replay gives the same
+// commands only if the core neither reads a clock nor depends on map order.
 func TestSameEventsGiveSameCommands(t *testing.T) {
-	p, broken := playSeed(7, 400, true)
+	p, broken := runSeed(7, 400, true)
 	if broken != nil {
 		t.Fatal(broken)
 	}
@@ -409,7 +409,7 @@
 	return b.String()
 }
 
-// TestRandomLong plays runs on all cores for a given time.
+// TestRandomLong runs random scenarios on all CPUs for a given time.
 func TestRandomLong(t *testing.T) {
 	if *longFor == 0 && *longSeed == 0 {
 		t.Skip("the long run is asked for by -random.for or -random.seed")
@@ -425,14 +425,14 @@
 		wg.Go(func() {
 			for !t.Failed() {
 				seed := int(next.Add(1) - 1)
-				p, broken := playSeed(seed, *longSteps, false)
+				p, broken := runSeed(seed, *longSteps, false)
 				mu.Lock()
 				runs++
 				steps += p.steps
 				for name, n := range p.faults {
 					faults[name] += n
 				}
-				for name, n := range p.truth.outcomes {
+				for name, n := range p.oracle.outcomes {
 					faults["answer "+name] += n
 				}
 				mu.Unlock()
@@ -452,8 +452,8 @@
 	}
 }
 
-// playSeed plays one run; broken is the promise or invariant that failed.
-func playSeed(seed, steps int, recording bool) (p *play, broken any) {
+// runSeed runs one scenario; broken is the violated guarantee or invariant, if any.
+func runSeed(seed, steps int, recording bool) (p *scenario, broken any) {
 	rapid.Custom(func(rt *rapid.T) (done bool) {
 		defer func() {
 			broken = recover()
@@ -461,7 +461,7 @@
 				broken = fmt.Sprintf("%v\n%s", err, debug.Stack())
 			}
 		}()
-		p = newPlay(rt, recording, func(format string, args ...any) { panic(fmt.Sprintf(format, args...)) })
+		p = newScenario(rt, recording, func(format string, args ...any) { panic(fmt.Sprintf(format, args...)) })
 		for range steps {
 			p.step()
 		}
--- a/core/dispatch/results.go
+++ b/core/dispatch/results.go
@@ -11,12 +11,12 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// maxSettles is how often an upstream is asked about a lost start before its
-// slot is given up.
+// maxSettles is how often an upstream is asked about a lost start before the start
+// is given up as unknown.
 const maxSettles = 10
 
-// startResult handles the news of a start. News of a start that is settled is
-// late or doubled, and dropped.
+// startResult handles the result of a start. Results of closed starts are late or
+// duplicates, and are dropped.
 func (c *Core) startResult(id task.StartID, r task.Result) {
 	s := c.starts[id]
 	if s == nil {
@@ -29,42 +29,42 @@
 	if r.Leaving {
 		c.upstreamLeaving(s.slot.Upstream)
 	}
-	c.noteResult(s, r)
+	c.recordResult(s, r)
 	switch r.Verdict {
 	case task.Finished:
-		c.finished(s, r)
+		c.taskFinished(s, r)
 	case task.Failed:
-		c.settled(s)
+		c.closeStart(s)
 		c.taskFailed(s, pb.Reason_REASON_TASK_FAILED, r.Detail)
 	case task.NotStarted:
-		c.notStarted(s, r)
+		c.taskNotStarted(s, r)
 	case task.Running, task.Lost:
-		c.settleLater(s)
+		c.scheduleSettle(s)
 	case task.Unknown:
-		s.hold = unknownHold
-		c.settled(s)
+		s.slotCooldown = unknownSlotCooldown
+		c.closeStart(s)
 		c.taskFailed(s, pb.Reason_REASON_TASK_UNKNOWN, r.Detail)
 	}
 }
 
-// settled ends the account of a start and frees its slot.
-func (c *Core) settled(s *start) {
+// closeStart removes a start with a final result and frees its slot.
+func (c *Core) closeStart(s *start) {
 	delete(c.starts, s.id)
 	delete(s.sub.running, s.id)
-	c.noteEnd(s)
+	c.recordEnd(s)
 	c.release(s)
 }
 
-func (c *Core) finished(s *start, r task.Result) {
-	c.settled(s)
-	c.observe(s.sub.id.Institution, c.now-s.sent)
+func (c *Core) taskFinished(s *start, r task.Result) {
+	c.closeStart(s)
+	c.recordRunTime(s.sub.id.Institution, c.now-s.sent)
 	sub := s.sub
 	if sub.phase != held {
 		c.stats.LateResults++
 		return
 	}
 	sub.assembly.Finish(s.index, s.id, r.Output)
-	sub.longest = max(sub.longest, c.now-s.sent)
+	sub.longestRun = max(sub.longestRun, c.now-s.sent)
 	if sub.assembly.Bytes() > c.cfg.MaxJobBytes {
 		c.giveUp(sub, pb.Reason_REASON_TOO_LARGE, fmt.Sprintf("the results are larger than %d bytes", c.cfg.MaxJobBytes))
 		return
@@ -85,12 +85,12 @@
 	c.giveUp(s.sub, reason, fmt.Sprintf("task %d: %s", s.index, detail))
 }
 
-// notStarted makes a task startable again, after a back-off.
-func (c *Core) notStarted(s *start, r task.Result) {
+// taskNotStarted makes a task startable again after a backoff.
+func (c *Core) taskNotStarted(s *start, r task.Result) {
 	if r.Refused {
-		s.hold = refusedHold
+		s.slotCooldown = refusedSlotCooldown
 	}
-	c.settled(s)
+	c.closeStart(s)
 	c.stats.NotStarted++
 	sub := s.sub
 	if sub.phase != held {
@@ -100,18 +100,18 @@
 		panic("dispatch: not-started verdict on a task that isn't started: " + s.name)
 	}
 	sub.attempts[s.index]++
-	c.retryLater(s)
+	c.scheduleRetry(s)
 }
 
-// settleLater asks the upstream what became of a start whose connection fell
-// silent. The task may be running, so nobody may start it again before the
-// upstream says that it never will.
-func (c *Core) settleLater(s *start) {
+// scheduleSettle asks the upstream for the outcome of a start whose connection
+// stopped responding. The task may be running, so it must not be started again
+// until the upstream confirms that it never will run.
+func (c *Core) scheduleSettle(s *start) {
 	s.settles++
 	c.stats.Settles++
 	if s.settles > maxSettles {
-		s.hold = unknownHold
-		c.settled(s)
+		s.slotCooldown = unknownSlotCooldown
+		c.closeStart(s)
 		c.taskFailed(s, pb.Reason_REASON_TASK_UNKNOWN, "the upstream can't be asked")
 		return
 	}
@@ -126,8 +126,8 @@
 	})
 }
 
-// stopRunning tells upstreams that the results of an ended job aren't wanted:
-// one message a running task.
+// stopRunning tells upstreams that the results of an ended job are not needed, with
+// one message per running task.
 func (c *Core) stopRunning(sub *submission) {
 	ids := slices.Sorted(maps.Keys(sub.running))
 	for _, id := range ids {
--- a/core/dispatch/sizes_test.go
+++ b/core/dispatch/sizes_test.go
@@ -1,6 +1,6 @@
 package dispatch
 
-func (c *Core) sizes() map[string]int {
+func (c *Core) stateSizes() map[string]int {
 	return map[string]int{
 		"submissions": len(c.submissions),
 		"jobs":        len(c.jobs),
@@ -16,9 +16,9 @@
 		"claims":      len(c.claims.waiting) + len(c.claims.inFlight),
 		"queued jobs": c.queue.Jobs(),
 		"id blocks":   c.issuer.Blocks(),
-		"loans":       len(c.lending.given),
-		"loans asked": len(c.lending.asked),
-		"asked":       len(c.succession.asked),
+		"loans":       len(c.lending.granted),
+		"loans asked": len(c.lending.requested),
+		"asked":       len(c.succession.requested),
 		"timers":      len(c.timers) / 10,
 	}
 }
--- a/core/dispatch/stop.go
+++ b/core/dispatch/stop.go
@@ -7,23 +7,23 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// drain begins the planned stop: no new work is taken, peers are told, and
-// what is in progress is finished.
+// drain begins the planned stop: it stops taking new work, notifies the peers and
+// lets the work in progress finish.
 func (c *Core) drain() {
 	if c.draining {
 		return
 	}
 	c.draining = true
 	for _, p := range c.sortedPeers() {
-		c.peers[p].sent = 0
+		c.peers[p].lastSent = 0
 	}
 	c.sendStatus()
-	c.endHeldBack()
+	c.endSuspended()
 }
 
-// endHeldBack ends the jobs that nobody waits for and of which nothing has
-// started; otherwise the stop would wait for their deadlines.
-func (c *Core) endHeldBack() {
+// endSuspended ends the jobs without waiters of which nothing has started; otherwise
+// the stop would wait for their deadlines.
+func (c *Core) endSuspended() {
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		if sub := c.jobs[id]; len(sub.waiters) == 0 && !sub.assembly.MayHaveRun() {
 			c.giveUp(sub, pb.Reason_REASON_NOT_SERVING, "the process is stopping")
@@ -31,8 +31,8 @@
 	}
 }
 
-// checkDrained goes on with a planned stop as soon as nothing is in progress:
-// the answers are handed over, then the stop is reported, once.
+// checkDrained continues a planned stop once nothing is in progress: it hands the
+// retained answers over, then reports the end of the stop, once.
 func (c *Core) checkDrained() {
 	if !c.draining || c.drained || c.busy() {
 		return
@@ -47,8 +47,7 @@
 	c.emit(Drained{})
 }
 
-// busy says whether anybody waits for an answer, anything runs or any write is
-// under way.
+// busy reports whether any request, job, start or claim write is in progress.
 func (c *Core) busy() bool {
 	return len(c.requests)+len(c.jobs)+len(c.submissions)+len(c.starts) > 0 || c.claims.inFlight != nil
 }
--- a/core/dispatch/submission.go
+++ b/core/dispatch/submission.go
@@ -17,77 +17,77 @@
 type phase uint8
 
 const (
-	// claiming: the durable claim isn't settled; nothing may start.
+	// claiming: the durable claim is not settled yet; nothing may start.
 	claiming phase = iota + 1
 	// held: this incarnation holds the claim and the job is in progress.
 	held
-	// ended: the final answer stands.
+	// ended: the final answer is fixed.
 	ended
 )
 
-// submission is a job that isn't ended: its claim is being settled, or it is
-// held here.
+// submission is a job that has not ended: its claim is being settled, or this
+// incarnation holds it.
 type submission struct {
-	// taskPrefix begins the names of its tasks; empty until one starts.
+	// taskPrefix is the common prefix of its task names; empty until a task starts.
 	taskPrefix string
 	id         task.ID
 	digest     task.Digest
 	phase      phase
 	request    *pb.Submission
 	service    *pb.Service
-	// waiters are the requests that its end will answer.
+	// waiters are the requests answered when the job ends.
 	waiters []*waiter
 	arrived task.Time
-	// deadline is set once, from the first request, and never extended.
+	// deadline is set by the first request and never extended.
 	deadline task.Time
 	timer    *timer
 	job      queue.JobID
 	assembly *job.Assembly
-	// ttl is how long the answer is kept.
-	ttl     time.Duration
-	longest task.Time
-	// written is set once a write of the claim was begun, here or before it was
-	// given up on.
+	// retention is how long the answer is retained.
+	retention  time.Duration
+	longestRun task.Time
+	// written is set once a write of the claim has begun, by this submission or by
+	// an earlier one for the same id whose claim was abandoned.
 	written bool
-	// number is that of the claim's row.
+	// number is the Claim.Number of its claim row.
 	number uint64
-	// cancelled is set when a caller cancelled before the claim was settled.
+	// cancelled is set if a caller cancelled before the claim was settled.
 	cancelled bool
-	// claimed is set when the claim stands in this incarnation's name.
+	// claimed is set once the claim is held by this incarnation.
 	claimed bool
-	// running are the starts that aren't settled.
+	// running are the starts without a final result.
 	running map[task.StartID]*start
-	// attempts counts for each task the starts known never to have run.
+	// attempts counts, for each task, the starts that are known not to have run it.
 	attempts []int
 }
 
-// submit takes a submission from a caller, or one that a peer passed on.
-func (c *Core) submit(from asker, institution string, s *pb.Submission, wait time.Duration) {
+// submit handles a submission from a caller or forwarded by a peer.
+func (c *Core) submit(from requester, institution string, s *pb.Submission, wait time.Duration) {
 	id := task.IDOf(institution, s.GetId())
 	digest := task.DigestOf(s)
-	r := c.open(from, id, s, digest, wait)
+	r := c.openRequest(from, id, s, digest, wait)
 	if r == nil || c.answerKnown(r) {
 		return
 	}
 	here := !id.Issued() || id.Holder == c.cfg.Self
 	switch {
-	case c.closed || c.draining && !here:
-		c.reply(r, c.unsettled(r, pb.Reason_REASON_NOT_SERVING, "the process is stopping"))
+	case c.admissionClosed || c.draining && !here:
+		c.reply(r, c.retryableAnswer(r, pb.Reason_REASON_NOT_SERVING, "the process is stopping"))
 	case !here:
-		c.toHolder(r, id.Holder)
+		c.sendToHolder(r, id.Holder)
 	case id.Issued():
-		c.takeIssued(r)
+		c.submitIssued(r)
 	default:
-		c.takeOwnKey(r)
+		c.submitOwnKey(r)
 	}
 }
 
-// answerKnown answers a request for a submission that ended here, or joins it
-// to one in progress.
+// answerKnown answers a request for a submission that has ended here, or attaches
+// it to one in progress. It reports false if the submission is unknown.
 func (c *Core) answerKnown(r *waiter) bool {
 	if a := c.answers.Get(r.id); a != nil {
 		c.stats.Resubmissions++
-		c.replyKept(r, a)
+		c.replyRetained(r, a)
 		return true
 	}
 	sub := c.submissions[r.id]
@@ -95,55 +95,55 @@
 		return false
 	}
 	c.stats.Resubmissions++
-	if c.conflicts(r, sub.digest) {
+	if c.rejectConflict(r, sub.digest) {
 		return true
 	}
 	c.attach(r, sub)
-	c.holdBack(sub)
+	c.updateSuspension(sub)
 	return true
 }
 
-func (c *Core) replyKept(r *waiter, a *pb.Answer) {
+func (c *Core) replyRetained(r *waiter, a *pb.Answer) {
 	var digest task.Digest
 	copy(digest[:], a.GetDigest())
-	if !c.conflicts(r, digest) {
+	if !c.rejectConflict(r, digest) {
 		c.reply(r, a)
 	}
 }
 
-// conflicts rejects a request whose payload differs from that of the id's
-// first use: a recipe sheet's new revision under the old id. Joined, its caller
-// would print the label of the old one. A submission that was cancelled before
-// its payload was seen conflicts with none.
-func (c *Core) conflicts(r *waiter, digest task.Digest) bool {
-	if r.cancels() || digest == (task.Digest{}) || r.digest == digest {
+// rejectConflict rejects a request whose payload differs from that of the first use
+// of the id, for instance a new revision of a recipe sheet under the old id.
+// Without the check its caller would get the result for the old payload. A
+// submission that was cancelled before its payload was known conflicts with none.
+func (c *Core) rejectConflict(r *waiter, digest task.Digest) bool {
+	if r.isCancel() || digest == (task.Digest{}) || r.digest == digest {
 		return false
 	}
 	c.stats.Conflicts++
-	c.reply(r, rejected(r, pb.Reason_REASON_CONFLICT, "the id was used with another payload"))
+	c.reply(r, rejectedAnswer(r, pb.Reason_REASON_CONFLICT, "the id was used with another payload"))
 	return true
 }
 
-func (s *submission) removeWaiting(r *waiter) {
+func (s *submission) removeWaiter(r *waiter) {
 	if i := slices.Index(s.waiters, r); i >= 0 {
 		s.waiters = slices.Delete(s.waiters, i, i+1)
 	}
 }
 
-// allowance is the time that a request may take.
-func (c *Core) allowance(institution string, s *pb.Submission) time.Duration {
+// allowedWait is the time allowed for a request.
+func (c *Core) allowedWait(institution string, s *pb.Submission) time.Duration {
 	inst := c.settings.Institution(institution)
 	if inst == nil {
-		return undeclaredWait
+		return undeclaredTimeout
 	}
-	return allowed(inst, s)
+	return responseLimit(inst, s)
 }
 
 func msDuration(ms uint32) time.Duration {
 	return time.Duration(ms) * time.Millisecond
 }
 
-func allowed(inst *pb.Institution, s *pb.Submission) time.Duration {
+func responseLimit(inst *pb.Institution, s *pb.Submission) time.Duration {
 	limit := inst.GetResponseTimeMs()
 	if t := s.GetTimeoutMs(); t > 0 {
 		limit = min(limit, t)
@@ -151,7 +151,8 @@
 	return msDuration(limit)
 }
 
-// check finds the declarations a submission refers to, or says what is wrong.
+// check finds the declarations that a submission refers to, or describes the first
+// problem.
 func (c *Core) check(institution string, s *pb.Submission) (*pb.Institution, *pb.Service, string) {
 	inst := c.settings.Institution(institution)
 	if inst == nil {
@@ -164,7 +165,7 @@
 	if s.GetTeam() != "" && settings.Team(inst, s.GetTeam()) == nil {
 		return nil, nil, fmt.Sprintf("team %q isn't declared", s.GetTeam())
 	}
-	if allowed := service.GetTeams(); len(allowed) > 0 && !slices.Contains(allowed, s.GetTeam()) {
+	if allowedTeams := service.GetTeams(); len(allowedTeams) > 0 && !slices.Contains(allowedTeams, s.GetTeam()) {
 		return nil, nil, fmt.Sprintf("team %q may not submit to %q", s.GetTeam(), service.GetName())
 	}
 	if n := len(s.GetTasks()); n == 0 || n > int(service.GetMaxTasks()) {
@@ -181,22 +182,22 @@
 	return inst, service, ""
 }
 
-// newSubmission checks a request and makes its submission; nil if it was
-// rejected.
+// newSubmission validates a request and creates its submission, or rejects the
+// request and returns nil.
 func (c *Core) newSubmission(r *waiter) *submission {
 	inst, service, problem := c.check(r.id.Institution, r.submission)
 	if problem != "" {
-		c.reply(r, rejected(r, pb.Reason_REASON_INVALID, problem))
+		c.reply(r, rejectedAnswer(r, pb.Reason_REASON_INVALID, problem))
 		return nil
 	}
 	sub := &submission{
-		id:       r.id,
-		digest:   r.digest,
-		request:  r.submission,
-		service:  service,
-		arrived:  c.now,
-		deadline: r.deadline,
-		ttl:      time.Duration(inst.GetResubmitWindowS()) * time.Second,
+		id:        r.id,
+		digest:    r.digest,
+		request:   r.submission,
+		service:   service,
+		arrived:   c.now,
+		deadline:  r.deadline,
+		retention: time.Duration(inst.GetResubmitWindowS()) * time.Second,
 	}
 	if !c.admitKey(r, sub) {
 		return nil
@@ -204,9 +205,9 @@
 	return sub
 }
 
-// takeIssued takes a submission under an id that this incarnation issued.
-func (c *Core) takeIssued(r *waiter) {
-	if !c.idFresh(r) {
+// submitIssued handles a submission under an id that this incarnation issued.
+func (c *Core) submitIssued(r *waiter) {
+	if !c.requireFreshID(r) {
 		return
 	}
 	sub := c.newSubmission(r)
@@ -214,27 +215,27 @@
 		return
 	}
 	c.issuer.Use(c.now, r.id.Number)
-	sub.ttl = c.cfg.IDValidity
+	sub.retention = c.cfg.IDValidity
 	c.submissions[sub.id] = sub
 	c.attach(r, sub)
-	c.hold(sub)
+	c.beginJob(sub)
 }
 
-// idFresh answers a request whose number can't be used any more.
-func (c *Core) idFresh(r *waiter) bool {
+// requireFreshID rejects a request whose id cannot be used.
+func (c *Core) requireFreshID(r *waiter) bool {
 	switch c.issuer.State(c.now, r.id.Number) {
 	case claim.Fresh:
 		return true
 	case claim.Unissued:
-		c.reply(r, rejected(r, pb.Reason_REASON_INVALID, "the id was never issued"))
+		c.reply(r, rejectedAnswer(r, pb.Reason_REASON_INVALID, "the id was never issued"))
 	default:
-		c.reply(r, failed(r, pb.Reason_REASON_ID_EXPIRED, "the id is used or expired and its answer isn't kept"))
+		c.reply(r, failedAnswer(r, pb.Reason_REASON_ID_EXPIRED, "the id is used or expired and its answer isn't kept"))
 	}
 	return false
 }
 
-// hold begins the job of a submission whose claim this incarnation holds.
-func (c *Core) hold(sub *submission) {
+// beginJob starts the job of a submission whose claim this incarnation holds.
+func (c *Core) beginJob(sub *submission) {
 	sub.phase = held
 	sub.claimed = true
 	n := len(sub.request.GetTasks())
@@ -249,16 +250,16 @@
 	sub.job = c.lastJob
 	c.jobs[sub.job] = sub
 	c.queue.Add(c.queueJob(sub))
-	c.noteWaiting(sub, n)
+	c.countWaiting(sub, n)
 	sub.timer = c.after(sub.deadline-c.now, func() { c.deadlinePassed(sub) })
-	c.holdBack(sub)
+	c.updateSuspension(sub)
 }
 
 func (c *Core) queueJob(sub *submission) queue.Job {
 	tasks := sub.request.GetTasks()
 	work := make([]task.Time, len(tasks))
 	for i := range tasks {
-		work[i] = c.expected(sub, i)
+		work[i] = c.expectedRunTime(sub, i)
 	}
 	return queue.Job{
 		ID:          sub.job,
@@ -278,10 +279,10 @@
 	c.giveUp(sub, pb.Reason_REASON_DEADLINE, "the deadline passed")
 }
 
-// giveUp ends a job with the truth about whether it may have run.
+// giveUp ends a job that cannot complete; the answer says whether it may have run.
 func (c *Core) giveUp(sub *submission, reason pb.Reason, detail string) {
 	if !sub.assembly.MayHaveRun() {
-		c.end(sub, c.notRun(sub, reason, detail))
+		c.end(sub, c.notRunAnswer(sub, reason, detail))
 		return
 	}
 	a := answer(sub, pb.Outcome_OUTCOME_FAILED, reason, detail)
@@ -289,8 +290,8 @@
 	c.end(sub, a)
 }
 
-// end gives the final answer: the job is sealed, its.waiters tasks are
-// dropped, its running ones are told to stop and everybody who waits is told.
+// end gives the final answer: it seals the job, drops its waiting tasks, tells the
+// upstreams of its running tasks to stop and replies to all waiters.
 func (c *Core) end(sub *submission, a *pb.Answer) {
 	if sub.phase == ended {
 		panic("dispatch: second end of " + sub.id.String())
@@ -305,33 +306,33 @@
 	tasks := len(sub.request.GetTasks())
 	if sub.job != 0 {
 		c.queue.Remove(sub.job)
-		c.noteWaiting(sub, -sub.assembly.Waiting())
+		c.countWaiting(sub, -sub.assembly.Waiting())
 		delete(c.jobs, sub.job)
 		c.stopRunning(sub)
 	}
 	c.cancelTimer(sub.timer)
 	delete(c.submissions, sub.id)
-	c.answers.Put(sub.id, a, c.now+sub.ttl)
-	c.emit(JobEnded{sub.id, a.GetOutcome(), a.GetReason(), tasks, c.now - sub.arrived, sub.longest})
+	c.answers.Put(sub.id, a, c.now+sub.retention)
+	c.emit(JobEnded{sub.id, a.GetOutcome(), a.GetReason(), tasks, c.now - sub.arrived, sub.longestRun})
 	c.replyAll(sub, a)
 	sub.request = nil
 	sub.assembly = nil
 }
 
-// expire forgets what is past its time.
+// expire drops expired state.
 func (c *Core) expire() {
 	c.issuer.Expire(c.now)
 	c.answers.Expire(c.now)
 	c.holders.Expire(c.now)
 	c.unsettledClaims.Expire(c.now)
 	c.expireAdopted()
-	c.expireAsked()
+	c.expireRequested()
 }
 
-// mustHold is checked at each start of a task. A start without the claim would
-// be the second start that claims exist to prevent, and one past the deadline
-// works for a caller who was told that the job is over.
-func (c *Core) mustHold(sub *submission) {
+// assertMayStart panics if a task must not start. A start without a claim could be
+// the second start that claims prevent; one past the deadline runs for a caller who
+// has already been told that the job is over.
+func (c *Core) assertMayStart(sub *submission) {
 	switch {
 	case sub.phase != held || !sub.claimed:
 		panic("dispatch: start without a claim for " + sub.id.String())
@@ -339,7 +340,7 @@
 		panic("dispatch: start under another's id " + sub.id.String())
 	case c.now >= sub.deadline:
 		panic("dispatch: start past the deadline of " + sub.id.String())
-	case c.closed:
+	case c.admissionClosed:
 		panic("dispatch: start after the handover of " + sub.id.String())
 	}
 }
--- a/core/dispatch/submission_fuzz_test.go
+++ b/core/dispatch/submission_fuzz_test.go
@@ -25,9 +25,9 @@
 	}}}
 }
 
-// FuzzSubmission sends whatever decodes as a submission. The request must be
-// answered exactly once, about the id asked for, and a complete answer is
-// impossible, since there are no upstreams.
+// FuzzSubmission submits any bytes that decode as a submission. The request must be
+// answered exactly once and with its own id. It must not be complete, because there are no
+// upstreams.
 func FuzzSubmission(f *testing.F) {
 	issued := &pb.SubmissionId{Kind: &pb.SubmissionId_Issued{Issued: &pb.IssuedId{Holder: fuzzSelf.Proto(), Number: 1}}}
 	elsewhere := &pb.SubmissionId{Kind: &pb.SubmissionId_Issued{Issued: &pb.IssuedId{Holder: &pb.Incarnation{Node: "m"}, Number: 9}}}
@@ -51,7 +51,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		s := &pb.Submission{}
 		if proto.Unmarshal(raw, s) != nil || !task.IDOf("hollowell", s.GetId()).Valid() {
-			return // turned away before it reaches the core
+			return // rejected before it reaches the core
 		}
 		replies := submitAlone(s)
 		if len(replies) != 1 {
@@ -67,8 +67,8 @@
 	})
 }
 
-// submitAlone submits to a core without upstreams, peers or a table service
-// and lets more than any contracted time pass.
+// submitAlone submits to a core without upstreams, peers or a table service, and advances
+// the clock beyond every response time.
 func submitAlone(s *pb.Submission) []dispatch.Reply {
 	c := dispatch.New(dispatch.DefaultConfig(fuzzSelf, "d"))
 	c.Step(0, dispatch.SettingsRead{Settings: fuzzSettings()})
