--- a/core/dispatch/timers.go
+++ b/core/dispatch/timers.go
@@ -6,12 +6,12 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// timer runs an action at a time.
+// timer runs a function at a given time.
 type timer struct {
 	at  task.Time
 	seq uint64
 	run func()
-	// index is the place in the heap, -1 when it isn't there.
+	// index is the position in the heap, -1 after removal.
 	index int
 }
 
@@ -43,7 +43,7 @@
 	return last
 }
 
-// after sets a timer.
+// after schedules run after a delay.
 func (c *Core) after(delay task.Time, run func()) *timer {
 	c.timerSeq++
 	t := &timer{at: c.now + delay, seq: c.timerSeq, run: run}
@@ -51,8 +51,8 @@
 	return t
 }
 
-// cancelTimer removes a timer that hasn't run. Without it the timers of
-// answered requests would hold their memory until the deadline.
+// cancelTimer removes a timer that has not run. Without it the timers of answered
+// requests would hold memory until their deadlines.
 func (c *Core) cancelTimer(t *timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&c.timers, t.index)
@@ -66,7 +66,7 @@
 	}
 }
 
-// NextTimer is the time at which Tick should be called next.
+// NextTimer returns the time of the next Tick call; false if no timer is set.
 func (c *Core) NextTimer() (task.Time, bool) {
 	if len(c.timers) == 0 {
 		return 0, false
--- a/core/dispatch/upstreams.go
+++ b/core/dispatch/upstreams.go
@@ -9,119 +9,120 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// overdue is how many times its expected run time a task must have been out
-// before an upstream that gave no result is blamed for it.
-const overdue = 4
+// overdueFactor is the multiple of its expected run time after which a failed task
+// that was told to stop still counts against its upstream.
+const overdueFactor = 4
 
-// upstream is what this process knows of one upstream.
+// upstream is the state of one upstream.
 type upstream struct {
 	run string
 }
 
-// terms is what a start needs to remember of its task after the job's end.
-type terms struct {
+// taskInfo is the part of a task that its start needs after the end of the job.
+type taskInfo struct {
 	service string
 	team    string
-	// declared and expected are the task's run time.
+	// declared and expected are the declared and the corrected run time.
 	declared, expected time.Duration
 }
 
-// noteStart takes account of a start that is about to be sent.
-func (c *Core) noteStart(s *start) {
+// recordStart accounts for a start that is about to be sent.
+func (c *Core) recordStart(s *start) {
 	request := s.sub.request
 	declared := declaredRun(s.sub, s.index)
 	institution := s.sub.id.Institution
-	s.terms = terms{
+	s.taskInfo = taskInfo{
 		service:  request.GetService(),
 		team:     request.GetTeam(),
 		declared: declared,
 		expected: c.admission.estimate.Expect(institution, request.GetService(), declared),
 	}
 	c.admission.inUse[institution]++
-	c.noteWaiting(s.sub, -1)
-	c.admission.quotas.Started(institution, s.terms.team)
+	c.countWaiting(s.sub, -1)
+	c.admission.quotas.Started(institution, s.taskInfo.team)
 	if s.attempt == 0 {
 		c.budgets.Started(institution, s.slot.Upstream)
 	}
 }
 
-// noteEnd takes account of a start that is settled.
-func (c *Core) noteEnd(s *start) {
+// recordEnd accounts for a closed start.
+func (c *Core) recordEnd(s *start) {
 	institution := s.sub.id.Institution
 	c.admission.inUse[institution]--
-	c.admission.quotas.Ended(institution, s.terms.team)
+	c.admission.quotas.Ended(institution, s.taskInfo.team)
 }
 
-// noteResult tells the health of upstreams and the estimate of run times what
-// came of a start.
-func (c *Core) noteResult(s *start, r task.Result) {
+// recordResult passes the result of a start to the upstream health and the run time
+// estimate.
+func (c *Core) recordResult(s *start, r task.Result) {
 	took := c.now - s.sent
-	o, telling := outcomeOf(s, r, took)
-	if !telling {
+	o, conclusive := outcomeOf(s, r, took)
+	if !conclusive {
 		return
 	}
 	slowness := 0.0
 	if o == health.Succeeded {
-		c.admission.estimate.Observe(s.sub.id.Institution, s.terms.service, s.terms.declared, took)
-		slowness = float64(took) / float64(max(s.terms.expected, time.Millisecond))
+		c.admission.estimate.Observe(s.sub.id.Institution, s.taskInfo.service, s.taskInfo.declared, took)
+		slowness = float64(took) / float64(max(s.taskInfo.expected, time.Millisecond))
 	}
 	c.health.Observe(c.now, health.Result{
 		Upstream: s.slot.Upstream,
-		Service:  s.terms.service,
+		Service:  s.taskInfo.service,
 		Outcome:  o,
 		Sent:     s.sent,
 		Slowness: slowness,
 	})
-	c.reweigh()
+	c.applyWeights()
 }
 
-// outcomeOf says what a result tells of its upstream, if anything. A task that
-// was told to stop fails for that reason, unless it was long overdue.
+// outcomeOf derives the health outcome of an upstream from a result; false if the
+// result says nothing about the upstream. A task of an ended job was told to stop
+// and fails for that reason, so its failure counts only if it was long overdue.
 func outcomeOf(s *start, r task.Result, took time.Duration) (health.Outcome, bool) {
-	wanted := s.sub.phase == held
+	jobOpen := s.sub.phase == held
 	switch r.Verdict {
 	case task.Finished:
 		return health.Succeeded, true
 	case task.Failed, task.Unknown:
-		return health.TaskFailed, wanted || took > overdue*s.terms.expected
+		return health.TaskFailed, jobOpen || took > overdueFactor*s.taskInfo.expected
 	case task.NotStarted:
 		if r.Refused {
-			return health.Refused, wanted
+			return health.Refused, jobOpen
 		}
-		return health.Unreachable, wanted
+		return health.Unreachable, jobOpen
 	case task.Lost:
 		return health.Unreachable, true
 	}
 	return 0, false
 }
 
-// reweigh passes changed weights on to the slots.
-func (c *Core) reweigh() {
+// applyWeights passes changed upstream weights on to the slot pool.
+func (c *Core) applyWeights() {
 	for _, change := range c.health.TakeChanges() {
 		c.pool.SetWeight(change.Upstream, change.Weight)
 		if change.NewState {
 			c.emit(UpstreamHealth{change.Upstream, change.State, change.Weight})
 		}
 		if change.Weight == 0 {
-			c.after(change.Until-c.now, c.healthDue)
+			c.after(change.Until-c.now, c.tickHealth)
 		}
 	}
 }
 
-func (c *Core) healthDue() {
+func (c *Core) tickHealth() {
 	c.health.Tick(c.now)
-	c.reweigh()
+	c.applyWeights()
 }
 
-// retryLater makes a task startable again that never ran, after a back-off and
-// within the budgets. A retry that would come too late isn't waited for.
-func (c *Core) retryLater(s *start) {
+// scheduleRetry makes a task that never ran startable again, after a backoff and
+// within the retry budgets. If the retry would be too late, the job ends at once.
+func (c *Core) scheduleRetry(s *start) {
 	sub := s.sub
-	c.noteWaiting(sub, 1)
+	c.countWaiting(sub, 1)
 	r := c.budgets.Next(c.now, sub.deadline, sub.id.Institution, s.slot.Upstream, s.attempt)
 	if r.UpstreamSpent {
 		c.health.Close(c.now, s.slot.Upstream)
-		c.reweigh()
+		c.applyWeights()
 	}
 	if !r.OK {
 		c.giveUp(sub, pb.Reason_REASON_OVERLOADED, "upstreams refuse it and it can't be tried again in its time")
@@ -131,8 +132,8 @@
 	c.after(r.Delay, func() { c.queue.Requeue(ref) })
 }
 
-// upstreamsListed takes the upstreams to be reckoned with.
-func (c *Core) upstreamsListed(m task.Members) {
+// setUpstreams takes the upstreams of a new list.
+func (c *Core) setUpstreams(m task.Members) {
 	for _, u := range m.Upstreams {
 		if c.upstreams[u.Name] == nil {
 			c.upstreams[u.Name] = &upstream{}
@@ -140,26 +141,27 @@
 	}
 	c.health.SetMembers(m.Upstreams)
 	c.budgets.SetMembers(m.Upstreams)
-	c.admission.workers = sizesOf(m.Upstreams)
-	c.reweigh()
+	c.admission.totals = totalsOf(m.Upstreams)
+	c.applyWeights()
 }
 
-// addTerms lets what peers need to know of quotas and upstreams ride on a
-// status.
-func (c *Core) addTerms(to task.Incarnation, st *pb.PeerStatus) {
+// addSharedState adds the quota state and the ejected upstreams to the status for a
+// peer.
+func (c *Core) addSharedState(to task.Incarnation, st *pb.PeerStatus) {
 	st.Quotas = c.admission.quotas.Status(c.now, to)
 	st.Ejected = c.health.Ejected()
 }
 
-// seeTerms takes what a peer's status says of quotas and upstreams.
-func (c *Core) seeTerms(from task.Incarnation, st *pb.PeerStatus) {
+// receiveSharedState takes the quota state and the ejected upstreams from the status
+// of a peer.
+func (c *Core) receiveSharedState(from task.Incarnation, st *pb.PeerStatus) {
 	c.admission.quotas.Receive(c.now, from, st.GetQuotas())
 	if !c.cfg.Health.Alone {
 		c.health.Reported(from.Node, st.GetEjected())
 	}
 }
 
-func (c *Core) termsPeerDown(p task.Incarnation) {
+func (c *Core) dropSharedState(p task.Incarnation) {
 	c.admission.quotas.PeerDown(p)
 	c.health.Reported(p.Node, nil)
 }
