--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -249,7 +249,7 @@
 // Ready reports whether the process can be given new work: it has settings and
 // the list of VMs, and is not draining.
 func (c *Core) Ready() bool {
-	return c.settings.Version() > 0 && c.view.Listed() && !c.draining
+	return c.settings.Version() > 0 && c.view.HasList() && !c.draining
 }
 
 // IssueIDs issues a block of ids held by this incarnation, or returns nil if the
--- a/core/dispatch/members.go
+++ b/core/dispatch/members.go
@@ -54,7 +54,7 @@
 
 // offerMembers puts a list from the platform or a peer in force if it is newer.
 func (c *Core) offerMembers(m task.Members) {
-	if !c.view.Offer(c.now, m) {
+	if !c.view.ApplyList(c.now, m) {
 		return
 	}
 	c.dropUnlisted(m)
@@ -66,7 +66,7 @@
 // refreshMembers redistributes the slots if the set of live members has changed.
 func (c *Core) refreshMembers() {
 	live, changed := c.view.Live(c.now)
-	if !changed || !c.view.Listed() {
+	if !changed || !c.view.HasList() {
 		return
 	}
 	c.pool.SetMembers(live)
@@ -144,7 +144,7 @@
 }
 
 func (c *Core) sendMembers(to task.Incarnation) {
-	if c.view.Listed() {
+	if c.view.HasList() {
 		c.send(to, &pb.PeerMessage{Body: &pb.PeerMessage_Members{Members: membership.ToProto(c.view.List())}})
 	}
 }
--- a/core/fleet/peers.go
+++ b/core/fleet/peers.go
@@ -13,11 +13,11 @@
 func (n *Node) PeerUp(now Time, id leader.ID) {
 	n.checkPause(now)
 	n.linked[id] = true
-	n.view.Heard(now, id, nil)
+	n.view.RecordContact(now, id, nil)
 	n.heartbeat(now, id)
 	for _, s := range n.own {
-		s.schedule.EntryReset(now, schedule.EntryID(id))
-		s.schedule.EntryBack(now, schedule.EntryID(id))
+		s.schedule.EntryDisconnected(now, schedule.EntryID(id))
+		s.schedule.EntryReachable(now, schedule.EntryID(id))
 	}
 	delete(n.lost, schedule.EntryID(id).VM())
 	delete(n.listSent, id)
@@ -31,11 +31,11 @@
 	delete(n.linked, id)
 	if !ended {
 		for _, s := range n.own {
-			s.schedule.EntryReset(now, schedule.EntryID(id))
+			s.schedule.EntryDisconnected(now, schedule.EntryID(id))
 		}
 		return
 	}
-	n.view.Ended(id)
+	n.view.RemovePeer(id)
 	n.peerLost(now, id, true)
 	n.follow(now)
 }
@@ -66,7 +66,7 @@
 		delete(n.linked, id)
 		n.emit(Disconnect{Peer: id})
 		for _, s := range n.own {
-			s.schedule.EntryReset(now, schedule.EntryID(id))
+			s.schedule.EntryDisconnected(now, schedule.EntryID(id))
 		}
 	}
 }
@@ -84,19 +84,19 @@
 func (n *Node) Receive(now Time, from leader.ID, m Message) {
 	n.checkPause(now)
 	for _, s := range n.own {
-		s.schedule.Heard(now, schedule.EntryID(from))
+		s.schedule.EntryAlive(now, schedule.EntryID(from))
 	}
 	if h, ok := m.(Heartbeat); ok {
 		n.heard(now, from, h)
 		return
 	}
-	n.view.Heard(now, from, nil)
+	n.view.RecordContact(now, from, nil)
 	switch m := m.(type) {
 	case HandIn:
 		n.handedIn(now, from, m.HandIn)
 	case Verdict:
 		m.From = from
-		n.gateway.Decide(now, m.Verdict)
+		n.gateway.HandleVerdict(now, m.Verdict)
 	case DropJob:
 		n.dropJob(now, from, m)
 	case JobQuery:
@@ -108,19 +108,19 @@
 	case JobTaken:
 		n.taken(now, m)
 	case Declaration:
-		n.Declared(now, m.Declaration, string(from))
+		n.ApplyDeclaration(now, m.Declaration, string(from))
 	case Progress:
 		if s := n.ownShard(m.Shard); s != nil {
-			s.schedule.Learn(now, m.Progress)
+			s.schedule.ApplyProgress(now, m.Progress)
 		}
 	case Layout:
-		n.Layout(now, m.Layout)
+		n.ApplyLayout(now, m.Layout)
 	case RunnerList:
 		if m.Handover {
 			n.suspect(now, m.Runners)
 			return
 		}
-		if n.LaidOut() && !n.inCell(from) {
+		if n.LayoutKnown() && !n.inCell(from) {
 			return
 		}
 		n.noteLapsed(now, m)
@@ -130,27 +130,27 @@
 
 func (n *Node) heard(now Time, from leader.ID, h Heartbeat) {
 	before := n.view.Report(from)
-	n.view.Heard(now, from, &h.Report)
+	n.view.RecordContact(now, from, &h.Report)
 	if before.Number == 0 {
 		n.noteUnheard(now)
 	}
-	if h.Report.Shards == 0 && n.LaidOut() {
+	if h.Report.Shards == 0 && n.LayoutKnown() {
 		n.emit(Send{To: from, Message: Layout{n.layout}})
 	}
 	n.learnStored(now, h.StoredJobs)
 	for _, s := range n.own {
-		s.schedule.SeeTerm(h.Report.Term)
+		s.schedule.ObserveTerm(h.Report.Term)
 	}
 	if d := n.table.Current(); d != nil && h.DeclarationVersion < d.Version {
 		n.emit(Send{To: from, Message: Declaration{d}})
 	}
 	n.updateRunners(from, h)
-	n.hearDoubt(now, h.Doubt)
-	n.Evacuated(now, h.Evacuations, string(from))
+	n.hearDoubt(now, h.UncertainFor)
+	n.ApplyEvacuations(now, h.Evacuations, string(from))
 	n.pending[from] = h.Pending
 	for _, s := range n.shards {
 		if h.Report.Leader(s.index) == from {
-			n.gateway.SetWait(s.index, h.Wait)
+			n.gateway.SetExpectedWait(s.index, h.BacklogTime)
 		}
 	}
 	if now-n.sent[from] >= leader.HeartbeatInterval/2 {
@@ -172,12 +172,12 @@
 		}
 		if before.Leader(s.index) == from {
 			// It led on the other side of a cut, and has yielded.
-			s.schedule.Reclaim(now)
+			s.schedule.TakeOverRunners(now)
 			continue
 		}
 		// It may have led for a moment without this process hearing of it, as
 		// two processes that start at the same time do.
-		s.schedule.Retake(now)
+		s.schedule.ReacquireRunners(now)
 	}
 }
 
@@ -206,7 +206,7 @@
 func (n *Node) heartbeat(now Time, to leader.ID) {
 	n.sent[to] = now
 	h := Heartbeat{
-		Report:             n.view.Own(now, n.choices()),
+		Report:             n.view.OwnReport(now, n.choices()),
 		DeclarationVersion: n.table.Version(),
 		RunnersRevision:    n.runners.Revision,
 		RunnersStale:       n.stale,
@@ -217,9 +217,9 @@
 		h.RunnersDigest = n.digest
 	}
 	h.Report.Term = n.term()
-	h.Doubt = max(0, n.doubtUntil-now)
+	h.UncertainFor = max(0, n.doubtUntil-now)
 	if n.Leads() {
-		h.Pending, h.Wait = n.ownPending(), n.wait
+		h.Pending, h.BacklogTime = n.ownPending(), n.wait
 	}
 	n.emit(Send{To: to, Message: h})
 }
--- a/entry/process.go
+++ b/entry/process.go
@@ -158,7 +158,7 @@
 			p.publish()
 		}
 		p.carryOut(ctx)
-		if p.node.Done(p.clock.now()) {
+		if p.node.StopComplete(p.clock.now()) {
 			p.node.GiveUp(p.clock.now())
 			p.carryOut(ctx)
 			return
@@ -233,17 +233,17 @@
 // publish shows others what the node knows.
 func (p *Process) publish() {
 	p.ready.Store(p.node.Serves())
-	p.laidOut.Store(p.node.LaidOut())
+	p.laidOut.Store(p.node.LayoutKnown())
 	now := p.clock.now()
-	p.readOften.Store(p.node.ReadOften())
-	p.toldRunners.Store(p.node.ToldRunners())
+	p.readOften.Store(p.node.ShouldPollRunners())
+	p.toldRunners.Store(p.node.ReceivesRunnerList())
 	p.leads.Store(p.node.Leads())
 	if now-p.pendingAt >= pendingInterval {
 		p.pendingAt = now
 		pending := p.node.Pending()
 		p.pending.Store(&pending)
 	}
-	if p.declared.Load().Version() != p.node.Version() {
+	if p.declared.Load().Version() != p.node.ConfigVersion() {
 		first := p.declared.Load().Current() == nil
 		table := p.node.Table()
 		p.declared.Store(&table)
@@ -271,12 +271,12 @@
 // Stopping reports whether a planned stop has begun.
 func (p *Process) Stopping() bool { return p.stopping.Load() }
 
-// Declared is the configuration in force; empty before the first.
-func (p *Process) Declared() *routing.Table { return p.declared.Load() }
+// Configuration is the configuration in force; empty before the first.
+func (p *Process) Configuration() *routing.Table { return p.declared.Load() }
 
-// AwaitDeclared is the configuration in force; it waits a while for the first.
-func (p *Process) AwaitDeclared(ctx context.Context) *routing.Table {
-	if table := p.Declared(); table.Current() != nil {
+// AwaitConfiguration is the configuration in force; it waits a while for the first.
+func (p *Process) AwaitConfiguration(ctx context.Context) *routing.Table {
+	if table := p.Configuration(); table.Current() != nil {
 		return table
 	}
 	ctx, cancel := context.WithTimeout(ctx, configurationWait)
@@ -285,7 +285,7 @@
 	case <-p.configured:
 	case <-ctx.Done():
 	}
-	return p.Declared()
+	return p.Configuration()
 }
 
 // Pending is the number of jobs of a queue of which no task has started.
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -243,7 +243,7 @@
 		Able:               h.Report.Able,
 		Stopping:           h.Report.Stopping,
 		Demotions:          h.Report.Demotions,
-		Strains:            h.Report.Strains,
+		Strains:            h.Report.Starvations,
 		StoreTrouble:       h.Report.StoreTrouble,
 		StoreReached:       h.Report.StoreReached,
 		StoreLost:          h.Report.StoreLost,
@@ -257,8 +257,8 @@
 		StoredJobs:         uint32(h.StoredJobs),
 		Standby:            h.Report.Standby,
 		Cell:               h.Report.Cell,
-		WaitMs:             uint32(h.Wait.Milliseconds()),
-		DoubtMs:            uint32(h.Doubt.Milliseconds()),
+		WaitMs:             uint32(h.BacklogTime.Milliseconds()),
+		DoubtMs:            uint32(h.UncertainFor.Milliseconds()),
 		EvacuationsVersion: h.Evacuations.Version,
 		Evacuated:          h.Evacuations.Domains,
 	}
@@ -279,13 +279,13 @@
 func heartbeatOf(m *pb.Heartbeat) fleet.Heartbeat {
 	h := fleet.Heartbeat{
 		Report: leader.Report{
-			Number:    m.GetNumber(),
-			Able:      m.GetAble(),
-			Standby:   m.GetStandby(),
-			Cell:      m.GetCell(),
-			Stopping:  m.GetStopping(),
-			Demotions: m.GetDemotions(),
-			Strains:   m.GetStrains(),
+			Number:      m.GetNumber(),
+			Able:        m.GetAble(),
+			Standby:     m.GetStandby(),
+			Cell:        m.GetCell(),
+			Stopping:    m.GetStopping(),
+			Demotions:   m.GetDemotions(),
+			Starvations: m.GetStrains(),
 
 			StoreTrouble: m.GetStoreTrouble(),
 			StoreReached: m.GetStoreReached(),
@@ -301,8 +301,8 @@
 		RunnersStale:       m.GetRunnersStale(),
 		StoredJobs:         fleet.StoredJobs(min(m.GetStoredJobs(), uint32(fleet.HasStoredJobs))),
 		Pending:            make(map[string]int, len(m.GetPending())),
-		Wait:               milliseconds(int64(m.GetWaitMs())),
-		Doubt:              milliseconds(int64(m.GetDoubtMs())),
+		BacklogTime:        milliseconds(int64(m.GetWaitMs())),
+		UncertainFor:       milliseconds(int64(m.GetDoubtMs())),
 		Evacuations:        routing.Evacuations{Version: m.GetEvacuationsVersion(), Domains: m.GetEvacuated()},
 	}
 	h.Report.Follows = followsOf(m)
@@ -450,7 +450,7 @@
 }
 
 func progressMessage(p fleet.Progress) *pb.FleetMessage {
-	m := &pb.Progress{Shard: uint32(p.Shard), Epoch: p.Epoch, UnknownMs: p.Unknown.Milliseconds()}
+	m := &pb.Progress{Shard: uint32(p.Shard), Epoch: p.Epoch, UnknownMs: p.PriorRunsTTL.Milliseconds()}
 	for _, t := range p.Done {
 		m.Done = append(m.Done, t.String())
 	}
@@ -463,7 +463,7 @@
 // progressOf leaves out names that can't be read: their tasks may run again.
 func progressOf(m *pb.Progress) fleet.Progress {
 	p := fleet.Progress{Shard: int(m.GetShard())}
-	p.Epoch, p.Unknown = m.GetEpoch(), milliseconds(m.GetUnknownMs())
+	p.Epoch, p.PriorRunsTTL = m.GetEpoch(), milliseconds(m.GetUnknownMs())
 	for _, name := range m.GetDone() {
 		if t, err := workload.ParseTaskName(name); err == nil {
 			p.Done = append(p.Done, t)
