--- a/core/dispatch/adopt.go
+++ b/core/dispatch/adopt.go
@@ -71,8 +71,8 @@
 		c.replyRetained(r, retained)
 		return
 	}
-	// The record of the holder may have expired here before the notice that names
-	// this process as its successor.
+	// The record of the holder may have expired here before the notice of its
+	// successor, which has since handed over to this process.
 	a := c.succession.adopted[holder]
 	if a != nil && r.id.Issued() && a.issuer.State(c.now, r.id.Number) == claim.Fresh {
 		result := answerFor(r.id, r.digest, pb.Outcome_OUTCOME_NOT_RUN, pb.Reason_REASON_HOLDER_GONE, "the process that issued the id stopped before it was used")
--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -103,7 +103,8 @@
 	queue    *queue.Queue
 	pool     *slots.Pool
 	view     *membership.View
-	absent   map[string]absence
+	// absent holds the last known state of disconnected nodes, by name.
+	absent map[string]absence
 
 	submissions map[task.ID]*submission
 	jobs        map[queue.JobID]*submission
@@ -116,9 +117,12 @@
 	requests    map[requester]*waiter
 	answers     *claim.Answers
 
-	claims          claimQueue
-	lastClaim       uint64
-	holders         *claim.Holders
+	claims    claimQueue
+	lastClaim uint64
+	// holders caches the claim rows of other processes.
+	holders *claim.Holders
+	// unsettledClaims are the abandoned claims that may have been written or that were
+	// cancelled.
 	unsettledClaims *claim.UnsettledSet
 
 	peers      map[task.Incarnation]*peer
--- a/core/dispatch/forward.go
+++ b/core/dispatch/forward.go
@@ -83,16 +83,16 @@
 	}
 	s := f.GetSubmission()
 	wait := msDuration(max(f.GetRemainingMs(), 1))
-	a := requester{from, f.GetRequest()}
+	req := requester{from, f.GetRequest()}
 	holder := task.IncarnationOf(f.GetHolder())
 	if holder == c.cfg.Self {
-		c.submit(a, f.GetInstitution(), s, wait)
+		c.submit(req, f.GetInstitution(), s, wait)
 		return
 	}
 	// The claim row names another incarnation. This process may be its successor
 	// after a planned stop, but must not treat the submission as a new one.
 	id := task.IDOf(f.GetInstitution(), s.GetId())
-	r := c.openRequest(a, id, s, task.DigestOf(s), wait)
+	r := c.openRequest(req, id, s, task.DigestOf(s), wait)
 	if r == nil || c.answerKnown(r) {
 		return
 	}
--- a/core/dispatch/lending.go
+++ b/core/dispatch/lending.go
@@ -89,10 +89,14 @@
 type lending struct {
 	lastLoan    uint64
 	lastRequest uint64
-	granted     map[uint64]*loan
-	requested   map[requestKey]*slotRequest
-	received    map[requestKey]*slotRequest
-	reports     map[task.Incarnation]*slotReport
+	// granted are the loans to peers, by number.
+	granted map[uint64]*loan
+	// requested are the requests sent to peers, received those from peers that can
+	// still be served.
+	requested map[requestKey]*slotRequest
+	received  map[requestKey]*slotRequest
+	// reports are the latest slot reports of peers.
+	reports map[task.Incarnation]*slotReport
 	// mean is the running mean of the run times of an institution's tasks.
 	mean map[string]time.Duration
 	// spare is the number of borrowed slots that may be returned, by institution.
--- a/core/dispatch/request.go
+++ b/core/dispatch/request.go
@@ -21,8 +21,8 @@
 	request uint64
 }
 
-func (a requester) local() bool {
-	return a.peer == task.Incarnation{}
+func (r requester) local() bool {
+	return r.peer == task.Incarnation{}
 }
 
 // waiter is a request waiting for its reply. It gets exactly one, no later than its
