--- a/core/gateway/gateway.go
+++ b/core/gateway/gateway.go
@@ -1,11 +1,11 @@
-// Package gateway holds the jobs that an entry process answers for. It hands
-// each to the scheduler in charge, again to the next one if that is lost, and
-// answers the caller once.
+// Package gateway holds the jobs that an entry process accepted from callers until they are
+// answered. It hands each job in to the scheduler of its shard, hands it over to the next
+// scheduler if that one is lost, and answers the caller once.
 //
-// In a deployment with cells a job that its scheduler has no room for, or that
-// has no scheduler in its cell, goes to another shard of the cell or to one of
-// another cell. What an earlier scheduler may have started of it must be over by
-// then: the runners of another shard can't tell.
+// In a deployment with cells, a job whose scheduler has no room, or whose cell has no
+// scheduler, goes to another shard of the cell or to one of another cell. By then, all runs
+// that an earlier scheduler may have started must have ended, since the runners of another
+// shard don't know of them.
 package gateway
 
 import (
@@ -23,43 +23,46 @@
 type Time = task.Time
 
 const (
-	// unknownLife is how long after a scheduler was last heard a run that it
-	// started may be alive where the next scheduler can't see it: until it
-	// misses this entry VM, stops the runs, and if runners don't answer lets
-	// their leases end.
-	unknownLife = 1300 * time.Millisecond
-	// leaderWait is how long a job waits for a scheduler at a start or a
-	// change of leader, which take less.
-	leaderWait = 300 * time.Millisecond
-	// retryNoLeader is when a caller may come back if nobody schedules.
-	retryNoLeader = time.Second
-	// answerSlack is how long after the caller's patience has ended the
-	// scheduler's own answer is waited for.
-	answerSlack = 50 * time.Millisecond
+	// orphanRunLifetime is how long after the last contact with a scheduler a run that it
+	// started may be alive unknown to the next scheduler: the lost scheduler must first miss
+	// this entry VM, then it stops the runs, and if runners don't answer their leases expire.
+	orphanRunLifetime = 1300 * time.Millisecond
+	// noLeaderTimeout is how long a job waits for a scheduler at a start or a change of
+	// leader, which take less.
+	noLeaderTimeout = 300 * time.Millisecond
+	// noLeaderRetryAfter is the delay after which a caller may retry if there is no scheduler.
+	noLeaderRetryAfter = time.Second
+	// answerGrace is how long after the caller's timeout the gateway still waits for the
+	// scheduler's own answer.
+	answerGrace = 50 * time.Millisecond
 )
 
 // Command is an output of the gateway.
 type Command interface{ command() }
 
-// HandIn hands a job to a scheduler.
+// HandIn submits a job to a scheduler.
 type HandIn struct {
 	At Time
 	To leader.ID
-	// Shard is that which gets the job, Home the one that it had first, and Wait how
-	// long a new job waits in Shard by the last word.
+	// Shard gets the job, Home is the shard that it belongs to, and Wait is the expected
+	// wait of a new job in Shard as last reported.
 	Shard, Home int
 	Wait        time.Duration
 	Job         *workload.Job
-	Due         time.Duration
-	Patience    time.Duration
-	Handed      int
-	Unknown     time.Duration
+	// Due is the time left to the job's latency objective, and Patience to the caller's
+	// timeout.
+	Due      time.Duration
+	Patience time.Duration
+	// Handed counts the schedulers that had the job before, and Unknown is how long runs
+	// that they started may still be alive.
+	Handed  int
+	Unknown time.Duration
 	// Domain is the failure domain of the entry VM.
 	Domain string
 }
 
-// Drop tells a scheduler that a job isn't its own any more: its caller has
-// left, or another scheduler gets it.
+// Drop tells a scheduler to drop a job: its caller has left or was answered, or, with
+// HandedOver, another scheduler gets it.
 type Drop struct {
 	At         Time
 	To         leader.ID
@@ -75,8 +78,8 @@
 	Outcome    workload.Outcome
 	RetryAfter time.Duration
 	Reason     string
-	// Scheduler gave the word, Handed counts the schedulers before it, and
-	// Took is the time in this process.
+	// Scheduler decided the outcome, Handed counts the schedulers before it, and Elapsed is
+	// the time from the job's arrival in this process.
 	Scheduler leader.ID
 	Handed    int
 	Elapsed   time.Duration
@@ -86,94 +89,95 @@
 func (Drop) command()   {}
 func (Reply) command()  {}
 
-// Verdict is a scheduler's word on a job.
+// Verdict is a scheduler's decision on a job.
 type Verdict struct {
 	From       leader.ID
 	Job        workload.JobID
 	Outcome    workload.Outcome
 	RetryAfter time.Duration
 	Reason     string
-	// NoRoom: the scheduler has started nothing of the job for want of room, and
-	// another one may have some.
+	// NoRoom: the scheduler has started nothing of the job for lack of room, and
+	// another scheduler may have some.
 	NoRoom bool
 }
 
-// FallbackShards are those that an entry process hands jobs to.
+// FallbackShards are the shards that an entry process hands jobs in to, home shards included.
 type FallbackShards struct {
-	// SameCell are the shards of its own cell, and OtherCells those of other cells.
+	// SameCell are the shards of its own cell, OtherCells those of other cells.
 	SameCell, OtherCells []int
 }
 
-type inHand struct {
+// inFlightJob is a job that waits for an answer.
+type inFlightJob struct {
 	job *workload.Job
-	// shard is that of the job, and home the one that it had first.
+	// shard has the job now, and home is the shard that it belongs to.
 	shard, home int
-	// refused are the shards that had no room for it. doubtful: one of them
-	// couldn't tell whether anything had run of an earlier copy.
-	refused  []int
-	doubtful bool
-	arrived  Time
-	due      Time
-	deadline Time
-	requests []uint64
-	// scheduler has the job; "" if none has. handed counts the ones before.
+	// refusedBy are the shards that had no room for it. mayHaveRun: one of them couldn't
+	// rule out that a run of an earlier copy was started.
+	refusedBy  []int
+	mayHaveRun bool
+	arrived    Time
+	due        Time
+	deadline   Time
+	requests   []uint64
+	// scheduler has the job; "" if none has. handed counts the schedulers before it.
 	scheduler leader.ID
 	handed    int
-	// unknownUntil is when runs of earlier schedulers are surely over.
-	unknownUntil Time
+	// uncertainUntil is when all runs of earlier schedulers have ended.
+	uncertainUntil Time
 }
 
-// Gateway is the state. It isn't safe for concurrent use.
+// Gateway holds the jobs in flight. It isn't safe for concurrent use.
 type Gateway struct {
-	now     Time
-	choices map[int]leader.Choice
-	jobs    map[workload.JobID]*inHand
-	byReq   map[uint64]workload.JobID
-	domain  string
-	// others are set if jobs may go to another shard than their home.
-	others FallbackShards
-	// waits is how long a new job would wait in a shard, by the last word.
-	waits map[int]time.Duration
-	out   []Command
+	now       Time
+	choices   map[int]leader.Choice
+	jobs      map[workload.JobID]*inFlightJob
+	byRequest map[uint64]workload.JobID
+	domain    string
+	// fallback is set if jobs may go to shards other than their home.
+	fallback FallbackShards
+	// expectedWaits is how long a new job would wait in a shard, as last reported.
+	expectedWaits map[int]time.Duration
+	out           []Command
 }
 
 // New returns a gateway without jobs.
 func New() *Gateway {
 	return &Gateway{
-		choices: make(map[int]leader.Choice),
-		jobs:    make(map[workload.JobID]*inHand),
-		byReq:   make(map[uint64]workload.JobID),
-		waits:   make(map[int]time.Duration),
+		choices:       make(map[int]leader.Choice),
+		jobs:          make(map[workload.JobID]*inFlightJob),
+		byRequest:     make(map[uint64]workload.JobID),
+		expectedWaits: make(map[int]time.Duration),
 	}
 }
 
-// SetFallbackShards says to which shards jobs may go but their home.
-func (g *Gateway) SetFallbackShards(s FallbackShards) { g.others = s }
+// SetFallbackShards sets the shards to which jobs may go if their home can't take them.
+func (g *Gateway) SetFallbackShards(s FallbackShards) { g.fallback = s }
 
-// SetExpectedWait notes how long a new job would wait in a shard.
-func (g *Gateway) SetExpectedWait(shard int, d time.Duration) { g.waits[shard] = d }
+// SetExpectedWait records how long a new job would wait in a shard.
+func (g *Gateway) SetExpectedWait(shard int, d time.Duration) { g.expectedWaits[shard] = d }
 
-// ExpectedWait is how long a new job would wait in a shard, by the last word; 0 if there was
-// none.
-func (g *Gateway) ExpectedWait(shard int) time.Duration { return g.waits[shard] }
+// ExpectedWait is how long a new job would wait in a shard, as last reported; 0 if it hasn't
+// been.
+func (g *Gateway) ExpectedWait(shard int) time.Duration { return g.expectedWaits[shard] }
 
-// HasReachableScheduler reports whether a new job finds a scheduler: that of its home, or any
-// that takes jobs of other shards.
+// HasReachableScheduler reports whether a new job finds a scheduler: whether one of the fallback
+// shards, which include its home, has a reachable leader.
 func (g *Gateway) HasReachableScheduler() bool {
-	for _, s := range append(slices.Clone(g.others.SameCell), g.others.OtherCells...) {
-		if g.led(s) {
+	for _, s := range append(slices.Clone(g.fallback.SameCell), g.fallback.OtherCells...) {
+		if g.hasReachableLeader(s) {
 			return true
 		}
 	}
 	return false
 }
 
-func (g *Gateway) led(shard int) bool {
+func (g *Gateway) hasReachableLeader(shard int) bool {
 	c := g.choices[shard]
 	return c.Leader != "" && c.Reachable
 }
 
-// SetDomain says in which failure domain the process is.
+// SetDomain sets the failure domain of the process.
 func (g *Gateway) SetDomain(domain string) { g.domain = domain }
 
 // Ready returns the commands since the last call.
@@ -186,234 +190,234 @@
 // InFlight is the number of jobs that wait for an answer.
 func (g *Gateway) InFlight() int { return len(g.jobs) }
 
-// Submit takes a caller's request for a job of a shard. A second one with the
-// same id gets the same answer.
+// Submit takes a caller's request for a job of a shard. A second request with the same job ID
+// gets the same answer.
 func (g *Gateway) Submit(now Time, request uint64, shard int, job *workload.Job, patience time.Duration) {
 	g.now = now
-	if h := g.jobs[job.ID]; h != nil {
-		h.requests = append(h.requests, request)
-		h.deadline = max(h.deadline, now+patience)
-		g.byReq[request] = job.ID
+	if j := g.jobs[job.ID]; j != nil {
+		j.requests = append(j.requests, request)
+		j.deadline = max(j.deadline, now+patience)
+		g.byRequest[request] = job.ID
 		return
 	}
-	h := &inHand{job: job, shard: shard, home: shard, arrived: now, due: now + job.Objective, deadline: now + patience, requests: []uint64{request}}
-	g.jobs[job.ID] = h
-	g.byReq[request] = job.ID
-	g.handIn(h)
-	if c := g.choices[shard]; h.scheduler == "" && c.Leader != "" && !c.Reachable {
-		g.giveUp(h, "the scheduler can't be reached")
+	j := &inFlightJob{job: job, shard: shard, home: shard, arrived: now, due: now + job.Objective, deadline: now + patience, requests: []uint64{request}}
+	g.jobs[job.ID] = j
+	g.byRequest[request] = job.ID
+	g.handIn(j)
+	if c := g.choices[shard]; j.scheduler == "" && c.Leader != "" && !c.Reachable {
+		g.giveUp(j, "the scheduler can't be reached")
 	}
 }
 
-// CallerLeft notes that a caller has gone.
+// CallerLeft removes the request of a caller that has gone, and the job with its last request.
 func (g *Gateway) CallerLeft(now Time, request uint64) {
 	g.now = now
-	id, ok := g.byReq[request]
+	id, ok := g.byRequest[request]
 	if !ok {
 		return
 	}
-	delete(g.byReq, request)
-	h := g.jobs[id]
-	for i, r := range h.requests {
+	delete(g.byRequest, request)
+	j := g.jobs[id]
+	for i, r := range j.requests {
 		if r == request {
-			h.requests = append(h.requests[:i], h.requests[i+1:]...)
+			j.requests = append(j.requests[:i], j.requests[i+1:]...)
 			break
 		}
 	}
-	if len(h.requests) > 0 {
+	if len(j.requests) > 0 {
 		return
 	}
 	delete(g.jobs, id)
-	if h.scheduler != "" {
-		g.out = append(g.out, Drop{At: g.now, To: h.scheduler, Shard: h.shard, Job: id})
+	if j.scheduler != "" {
+		g.out = append(g.out, Drop{At: g.now, To: j.scheduler, Shard: j.shard, Job: id})
 	}
 }
 
-// SetLeader takes the choice of a shard's leader. The one before has heard this process
-// until now at most.
+// SetLeader sets the choice of a shard's leader, and hands over the jobs of the former leader.
+// That leader has had contact with this process until now at the latest.
 func (g *Gateway) SetLeader(now Time, shard int, c leader.Choice) {
 	g.now = now
 	if c == g.choices[shard] {
 		return
 	}
 	g.choices[shard] = c
-	for _, h := range g.inOrder() {
-		if h.shard == shard && h.scheduler != "" && h.scheduler != c.Leader {
-			g.out = append(g.out, Drop{At: now, To: h.scheduler, Shard: h.shard, Job: h.job.ID, HandedOver: true})
-			g.takeBack(h)
+	for _, j := range g.sortedJobs() {
+		if j.shard == shard && j.scheduler != "" && j.scheduler != c.Leader {
+			g.out = append(g.out, Drop{At: now, To: j.scheduler, Shard: j.shard, Job: j.job.ID, HandedOver: true})
+			g.withdraw(j)
 		}
-		if h.scheduler == "" {
-			g.handIn(h)
+		if j.scheduler == "" {
+			g.handIn(j)
 		}
 	}
 }
 
-// Reconnected hands in again what a scheduler may have dropped while it wasn't
-// heard.
+// Reconnected hands in again the jobs that a scheduler may have dropped while it had no
+// contact with this process.
 func (g *Gateway) Reconnected(now Time, id leader.ID) {
 	g.now = now
-	for _, h := range g.inOrder() {
-		if h.scheduler == id {
-			g.takeBack(h)
-			g.handIn(h)
+	for _, j := range g.sortedJobs() {
+		if j.scheduler == id {
+			g.withdraw(j)
+			g.handIn(j)
 		}
 	}
 }
 
-// takeBack marks a job as being with no scheduler.
-func (g *Gateway) takeBack(h *inHand) {
-	h.scheduler = ""
-	h.handed++
-	h.unknownUntil = g.now + unknownLife
+// withdraw records that no scheduler has the job.
+func (g *Gateway) withdraw(j *inFlightJob) {
+	j.scheduler = ""
+	j.handed++
+	j.uncertainUntil = g.now + orphanRunLifetime
 }
 
-// pick is the shard that a job goes to. While something may run of it that an
-// earlier scheduler has started, that is the shard it was in: only the runners of
-// that one list it.
-func (g *Gateway) pick(h *inHand) (int, bool) {
-	if h.handed > 0 && g.now < h.unknownUntil || h.job.Stored {
-		return h.shard, g.led(h.shard)
+// chooseShard is the shard that a job goes to, if one has a reachable leader. While runs that
+// an earlier scheduler started may be alive, it is the shard that the job was in, since only
+// the runners of that shard list them.
+func (g *Gateway) chooseShard(j *inFlightJob) (int, bool) {
+	if j.handed > 0 && g.now < j.uncertainUntil || j.job.Stored {
+		return j.shard, g.hasReachableLeader(j.shard)
 	}
-	if g.led(h.home) {
-		return h.home, true
+	if g.hasReachableLeader(j.home) {
+		return j.home, true
 	}
-	if s, ok := g.shortest(h, g.others.SameCell); ok {
+	if s, ok := g.shortestWait(j, g.fallback.SameCell); ok {
 		return s, true
 	}
-	return g.shortest(h, g.others.OtherCells)
+	return g.shortestWait(j, g.fallback.OtherCells)
 }
 
-// shortest is the shard of some in which a job would wait least. Jobs with the same
-// wait everywhere spread over all.
-func (g *Gateway) shortest(h *inHand, shards []int) (int, bool) {
+// shortestWait is the shard with the shortest expected wait among those with a reachable
+// leader that haven't refused the job. With equal waits, jobs spread over the shards.
+func (g *Gateway) shortestWait(j *inFlightJob, shards []int) (int, bool) {
 	best, found := 0, false
 	for i := range shards {
-		s := shards[(h.home+i)%len(shards)]
-		if !g.led(s) || slices.Contains(h.refused, s) {
+		s := shards[(j.home+i)%len(shards)]
+		if !g.hasReachableLeader(s) || slices.Contains(j.refusedBy, s) {
 			continue
 		}
-		if !found || g.waits[s] < g.waits[best] {
+		if !found || g.expectedWaits[s] < g.expectedWaits[best] {
 			best, found = s, true
 		}
 	}
 	return best, found
 }
 
-func (g *Gateway) handIn(h *inHand) {
-	if shard, ok := g.pick(h); ok {
-		g.handTo(h, shard)
+func (g *Gateway) handIn(j *inFlightJob) {
+	if shard, ok := g.chooseShard(j); ok {
+		g.handTo(j, shard)
 	}
 }
 
-func (g *Gateway) handTo(h *inHand, shard int) {
-	h.shard = shard
-	h.scheduler = g.choices[shard].Leader
+func (g *Gateway) handTo(j *inFlightJob, shard int) {
+	j.shard = shard
+	j.scheduler = g.choices[shard].Leader
 	g.out = append(g.out, HandIn{
 		At:       g.now,
-		To:       h.scheduler,
+		To:       j.scheduler,
 		Shard:    shard,
-		Home:     h.home,
-		Wait:     g.waits[shard],
-		Job:      h.job,
-		Due:      h.due - g.now,
-		Patience: h.deadline - g.now,
-		Handed:   h.handed,
-		Unknown:  max(0, h.unknownUntil-g.now),
+		Home:     j.home,
+		Wait:     g.expectedWaits[shard],
+		Job:      j.job,
+		Due:      j.due - g.now,
+		Patience: j.deadline - g.now,
+		Handed:   j.handed,
+		Unknown:  max(0, j.uncertainUntil-g.now),
 		Domain:   g.domain,
 	})
 }
 
-// HandleVerdict takes a scheduler's word. The word of one that no longer has the job
-// counts only if the job is complete, or in the store: a ready answer is
-// delivered, but another scheduler may yet complete what this one gave up.
+// HandleVerdict takes a scheduler's verdict. The verdict of a scheduler that no longer has the
+// job counts only if the job is completed or in the store. Other outcomes are ignored, since
+// the present scheduler may still complete what the former one gave up.
 func (g *Gateway) HandleVerdict(now Time, v Verdict) {
 	g.now = now
-	h := g.jobs[v.Job]
-	if h == nil || h.scheduler != v.From && v.Outcome != workload.Completed && v.Outcome != workload.Accepted {
+	j := g.jobs[v.Job]
+	if j == nil || j.scheduler != v.From && v.Outcome != workload.Completed && v.Outcome != workload.Accepted {
 		return
 	}
-	if v.NoRoom && g.elsewhere(h) {
-		h.doubtful = v.Outcome != workload.NotRun
+	if v.NoRoom && g.redirect(j) {
+		j.mayHaveRun = v.Outcome != workload.NotRun
 		return
 	}
-	if v.Outcome == workload.NotRun && (h.handed > 0 || h.doubtful) {
+	if v.Outcome == workload.NotRun && (j.handed > 0 || j.mayHaveRun) {
 		v.Outcome = workload.GaveUp
 	}
-	g.reply(h, v)
+	g.reply(j, v)
 }
 
-// elsewhere hands a job that was refused for want of room to a shard in which
-// nothing waits. It isn't handed on twice: by then others are short of room too.
-func (g *Gateway) elsewhere(h *inHand) bool {
-	if len(h.refused) > 0 || h.handed > 0 || h.job.Stored {
+// redirect hands a job that was refused for lack of room to a shard with no expected wait. It
+// does so once per job: after a second refusal the other shards are short of room as well.
+func (g *Gateway) redirect(j *inFlightJob) bool {
+	if len(j.refusedBy) > 0 || j.handed > 0 || j.job.Stored {
 		return false
 	}
-	h.refused = append(h.refused, h.shard)
-	for _, shards := range [][]int{g.others.SameCell, g.others.OtherCells} {
-		if s, ok := g.shortest(h, shards); ok && g.waits[s] == 0 {
-			g.handTo(h, s)
+	j.refusedBy = append(j.refusedBy, j.shard)
+	for _, shards := range [][]int{g.fallback.SameCell, g.fallback.OtherCells} {
+		if s, ok := g.shortestWait(j, shards); ok && g.expectedWaits[s] == 0 {
+			g.handTo(j, s)
 			return true
 		}
 	}
 	return false
 }
 
-func (g *Gateway) reply(h *inHand, v Verdict) {
-	delete(g.jobs, h.job.ID)
-	for _, r := range h.requests {
-		delete(g.byReq, r)
+func (g *Gateway) reply(j *inFlightJob, v Verdict) {
+	delete(g.jobs, j.job.ID)
+	for _, r := range j.requests {
+		delete(g.byRequest, r)
 		g.out = append(g.out, Reply{
 			Request:    r,
-			Job:        h.job,
+			Job:        j.job,
 			Outcome:    v.Outcome,
 			RetryAfter: v.RetryAfter,
 			Reason:     v.Reason,
 			Scheduler:  v.From,
-			Handed:     h.handed,
-			Elapsed:    g.now - h.arrived,
+			Handed:     j.handed,
+			Elapsed:    g.now - j.arrived,
 		})
 	}
 }
 
-// GiveUp answers all callers, since the process ends.
+// GiveUp answers all callers because the process ends.
 func (g *Gateway) GiveUp(now Time, reason string) {
 	g.now = now
-	for _, h := range g.inOrder() {
-		g.giveUp(h, reason)
+	for _, j := range g.sortedJobs() {
+		g.giveUp(j, reason)
 	}
 }
 
-// giveUp answers the callers of a job that something may have run of, and tells
-// its scheduler, if it has one.
-func (g *Gateway) giveUp(h *inHand, reason string) {
-	if h.scheduler != "" {
-		g.out = append(g.out, Drop{At: g.now, To: h.scheduler, Shard: h.shard, Job: h.job.ID})
+// giveUp answers the callers of a job that may have run in part, and tells its scheduler, if
+// it has one, to drop the job.
+func (g *Gateway) giveUp(j *inFlightJob, reason string) {
+	if j.scheduler != "" {
+		g.out = append(g.out, Drop{At: g.now, To: j.scheduler, Shard: j.shard, Job: j.job.ID})
 	}
-	g.reply(h, Verdict{From: h.scheduler, Job: h.job.ID, Outcome: workload.GaveUp, RetryAfter: retryNoLeader, Reason: reason})
+	g.reply(j, Verdict{From: j.scheduler, Job: j.job.ID, Outcome: workload.GaveUp, RetryAfter: noLeaderRetryAfter, Reason: reason})
 }
 
-// Tick answers what nobody else will.
+// Tick answers the jobs that no scheduler has answered in time.
 func (g *Gateway) Tick(now Time) {
 	g.now = now
-	for _, h := range g.inOrder() {
-		if h.scheduler == "" && now < h.deadline {
-			// What kept it with its shard may be over.
-			g.handIn(h)
+	for _, j := range g.sortedJobs() {
+		if j.scheduler == "" && now < j.deadline {
+			// Runs of the former scheduler may have ended by now.
+			g.handIn(j)
 		}
 		switch {
-		case now > h.deadline+answerSlack:
-			g.giveUp(h, "no answer from the scheduler in time")
-		case h.scheduler == "" && now > h.arrived+leaderWait:
-			if h.handed > 0 && now < h.deadline {
+		case now > j.deadline+answerGrace:
+			g.giveUp(j, "no answer from the scheduler in time")
+		case j.scheduler == "" && now > j.arrived+noLeaderTimeout:
+			if j.handed > 0 && now < j.deadline {
 				continue
 			}
-			// Who scheduled before may have had the job by another entry VM, so
-			// this is no promise that nothing of it has run.
-			g.giveUp(h, "no scheduler")
+			// The former scheduler may have had the job from another entry VM, so the
+			// answer doesn't promise that nothing of it has run.
+			g.giveUp(j, "no scheduler")
 		}
 	}
 }
 
-func (g *Gateway) inOrder() []*inHand {
-	return slices.SortedFunc(maps.Values(g.jobs), func(a, b *inHand) int { return cmp.Compare(a.job.ID, b.job.ID) })
+func (g *Gateway) sortedJobs() []*inFlightJob {
+	return slices.SortedFunc(maps.Values(g.jobs), func(a, b *inFlightJob) int { return cmp.Compare(a.job.ID, b.job.ID) })
 }
