--- a/core/fleet/strain_test.go
+++ b/core/fleet/cpuwait_test.go
@@ -10,8 +10,8 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// The VM of the leader turns slow, and it notices. Another process leads at
-// once, is told what has been done, and keeps the lead; callers notice little.
+// The leader's VM becomes short of CPU, and the leader notices it. Another process must lead
+// at once, receive the progress and stay the leader; no job may fail.
 func TestASlowLeaderGivesUpTheLead(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(10) {
@@ -19,32 +19,32 @@
 		w.load(60, 3*time.Second)
 		w.run(1500 * time.Millisecond)
 		slow := w.leader()
-		w.lag[slow.name] = 100 * time.Millisecond
+		w.sendDelay[slow.name] = 100 * time.Millisecond
 		w.do(slow, func() { slow.node.RecordCPUWait(w.now, 20*time.Millisecond) })
 		w.run(10 * time.Millisecond)
-		g.Expect(w.leader()).To(Equal(slow), "a short wait is no reason")
+		g.Expect(w.leader()).To(Equal(slow), "after a short wait")
 		w.do(slow, func() { slow.node.RecordCPUWait(w.now, 40*time.Millisecond) })
 		w.do(slow, func() { slow.node.RecordCPUWait(w.now, 20*time.Millisecond) })
 		w.do(slow, func() { slow.node.RecordCPUWait(w.now, 40*time.Millisecond) })
 		w.run(10 * time.Millisecond)
-		g.Expect(w.leader()).To(Equal(slow), "neither is a burst")
+		g.Expect(w.leader()).To(Equal(slow), "after a burst")
 		w.do(slow, func() { slow.node.RecordCPUWait(w.now, 80*time.Millisecond) })
 		w.run(300 * time.Millisecond)
 		next := w.leader()
 		g.Expect(next).NotTo(Equal(slow))
 		w.run(6 * time.Second)
 		g.Expect(w.leader()).To(Equal(next))
-		g.Expect(w.truth.broken).To(BeEmpty())
-		w.expectNothingAgain(g, seed)
+		g.Expect(w.checker.violations).To(BeEmpty())
+		w.expectNoTaskStartedTwice(g, seed)
 		for id, j := range w.jobs {
 			g.Expect(j.outcome).To(Equal(workload.Completed), "seed %d: job %s", seed, id)
 		}
 	}
 }
 
-// All VMs are short of processor. The lead goes round once, and then stays for
-// a while: each change costs all callers some time.
-func TestTheLeadDoesntGoRoundAndRound(t *testing.T) {
+// All VMs are short of CPU. Each process may give up the lead once, and then it must stay for
+// a while: each change of leader delays all callers.
+func TestLeadershipDoesNotCycle(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 1)
 	w.run(time.Second)
@@ -62,9 +62,9 @@
 	g.Expect(changes).To(BeNumerically("<=", len(w.nodes)))
 }
 
-// A deployment of several shards, in which each process as good leads one. All are
-// short of processor in a burst. Nobody gives up a shard: whoever got it as the
-// second would fall behind for good, and after that the next.
+// A deployment with several shards, in which each process leads one. All VMs are short of CPU
+// in a burst. No process may give up its shard: the process that got it as its second would
+// fall behind for good, and then the next one.
 func TestNobodyGivesUpAShardThatNoneCanTake(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 6)
@@ -94,8 +94,9 @@
 	g.Expect(leaders()).To(HaveLen(6))
 }
 
-// A process that has just come to lead is busy for a moment. That is no strain.
-func TestATakeoverIsNoStrain(t *testing.T) {
+// A process that has just become the leader is busy for a moment, and must not give up the
+// lead for that.
+func TestTakeoverIsNotTreatedAsCPUStarvation(t *testing.T) {
 	g := NewWithT(t)
 	w := deployment(1, 1)
 	n := w.leader()
--- a/core/fleet/large_test.go
+++ b/core/fleet/large_test.go
@@ -11,22 +11,21 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// A model of a large fleet: what each VM spends is counted, and held against what
-// the design says of it.
+// A model of a large fleet that counts the messages and connections of each VM and compares
+// them with the limits of the design.
 
 const (
 	largePerDomain   = 3
 	runnersPerDomain = 180
 	shardsPerDomain  = 3
-	// seatsMost is the most VMs of a cell that schedule.
-	seatsMost = 16
-	// outsideLinks is the number of connections of a VM with other cells that it has
-	// chosen itself.
+	// maxSeats is the maximum number of VMs of a cell that schedule.
+	maxSeats = 16
+	// outsideLinks is the number of connections that a VM makes with other cells.
 	outsideLinks = 2
 )
 
-// largeFleet builds domains with three large VMs each and small ones, and lets it
-// come up. The layout becomes known late, when all processes run.
+// largeFleet builds domains with three large VMs each and small ones, and starts all of
+// them. The layout becomes known late, when all processes run.
 func largeFleet(domains, vms int) *world {
 	w := newWorld(1)
 	w.cells = true
@@ -45,22 +44,22 @@
 		}
 	}
 	for _, n := range w.nodes {
-		w.after(w.span(0, 300), func() { w.boot(n) })
+		w.after(w.randomDuration(0, 300), func() { w.boot(n) })
 	}
 	return w
 }
 
-// restart counts anew.
-func (w *world) restart() {
+// resetCounters resets the counters of all VMs.
+func (w *world) resetCounters() {
 	for _, n := range w.nodes {
-		n.sent, n.connected, n.led = 0, 0, 0
+		n.messagesSent, n.connectionsMade, n.timesLed = 0, 0, 0
 	}
 }
 
 func (n *fakeNode) large() bool { return n.milliCPU == 800 }
 
-// expectSettled checks that each shard is led by one VM of its cell, that all VMs
-// serve, and that small ones have no more connections than the design says.
+// expectSettled checks that each shard is led by one VM of its cell, that all VMs serve
+// callers, and that small VMs have no more connections than the design allows.
 func (w *world) expectSettled(g *WithT) {
 	leaders := make(map[int]map[string]bool)
 	for _, n := range w.nodes {
@@ -81,50 +80,51 @@
 			leaders[i][s.Leader] = true
 		}
 	}
-	g.Expect(leaders).To(HaveLen(len(w.divided)))
+	g.Expect(leaders).To(HaveLen(len(w.cellLayout)))
 	for shard, of := range leaders {
 		g.Expect(of).To(HaveLen(1), "shard %d", shard)
 	}
 }
 
-// expectCheap checks what each VM has spent in a time: a heartbeat on each connection
-// in each interval, and a few messages beside; a leader tells also what it leads.
-func (w *world) expectCheap(g *WithT, d time.Duration, vms int) {
-	w.expectCheapWith(g, d, vms, 2*(largePerDomain+outsideLinks))
+// expectMessageBudget checks what each VM has sent in a duration: a heartbeat on each
+// connection in each interval and a few other messages, and for a leader also one for each
+// shard.
+func (w *world) expectMessageBudget(g *WithT, d time.Duration, vms int) {
+	w.expectMessageBudgetWith(g, d, vms, 2*(largePerDomain+outsideLinks))
 }
 
-// expectCheapWith does so with another bound for the connections that a small VM has
-// made.
-func (w *world) expectCheapWith(g *WithT, d time.Duration, vms, connections int) {
+// expectMessageBudgetWith is expectMessageBudget with another limit for the connections that
+// a small VM has made.
+func (w *world) expectMessageBudgetWith(g *WithT, d time.Duration, vms, maxConnections int) {
 	for _, n := range w.nodes {
-		links := len(n.links)
+		connections := len(n.connections)
 		heartbeats := int(d/leader.HeartbeatInterval) + 1
-		// A heartbeat at once, a layout, a list of runners and a configuration.
+		// An immediate heartbeat, a layout, a list of runners and a configuration.
 		others := 4
 		if n.large() {
 			others += shardsPerDomain
 		}
-		g.Expect(n.sent).To(BeNumerically("<=", links*(heartbeats+others)), "%s, %d connections", n.name, links)
+		g.Expect(n.messagesSent).To(BeNumerically("<=", connections*(heartbeats+others)), "%s, %d connections", n.name, connections)
 		if !n.large() {
-			g.Expect(n.connected).To(BeNumerically("<=", connections), n.name)
+			g.Expect(n.connectionsMade).To(BeNumerically("<=", maxConnections), n.name)
 			continue
 		}
-		g.Expect(links).To(BeNumerically("<=", 2*vms*outsideLinks), n.name)
+		g.Expect(connections).To(BeNumerically("<=", 2*vms*outsideLinks), n.name)
 	}
 }
 
-// takeovers is how often processes came to lead a shard.
+// takeovers is how often processes became the leader of a shard.
 func (w *world) takeovers() int {
 	sum := 0
 	for _, n := range w.nodes {
-		sum += n.led
+		sum += n.timesLed
 	}
 	return sum
 }
 
-// A fleet starts for the first time. For a while nobody knows how the runners are
-// divided, and then all learn it within moments. If each process led what it has
-// just learnt of, and told all others, no caller would be served for minutes.
+// A fleet starts for the first time. For a while no process knows the layout, and then all
+// learn it within moments. If each process led the shards it had just learned of and reported
+// that to all others, no caller would be served for minutes.
 func TestALargeFleetStarts(t *testing.T) {
 	t.Parallel()
 	for _, size := range []struct{ domains, vms int }{{5, 29}, {7, 143}} {
@@ -132,38 +132,38 @@
 		w := largeFleet(size.domains, size.vms)
 		w.run(4 * time.Second)
 		w.expectSettled(g)
-		w.expectCheap(g, 4*time.Second, size.vms)
-		g.Expect(w.takeovers()).To(Equal(len(w.divided)), "each shard gets a leader once")
-		w.restart()
+		w.expectMessageBudget(g, 4*time.Second, size.vms)
+		g.Expect(w.takeovers()).To(Equal(len(w.cellLayout)), "each shard gets a leader once")
+		w.resetCounters()
 		w.run(2 * time.Second)
 		g.Expect(w.takeovers()).To(BeZero())
-		w.expectCheap(g, 2*time.Second, size.vms)
+		w.expectMessageBudget(g, 2*time.Second, size.vms)
 	}
 }
 
-// All processes are killed and start again within a second. Callers wait for it.
+// All processes are killed and restart within a second, while callers wait.
 func TestALargeFleetRestarts(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	w := largeFleet(5, 29)
 	w.run(4 * time.Second)
-	w.restart()
+	w.resetCounters()
 	for _, n := range w.nodes {
-		w.kill(n, w.span(700, 1000))
+		w.kill(n, w.randomDuration(700, 1000))
 	}
 	w.run(2500 * time.Millisecond)
 	w.expectSettled(g)
-	w.expectCheap(g, 2500*time.Millisecond, 29)
+	w.expectMessageBudget(g, 2500*time.Millisecond, 29)
 }
 
-// A failure domain is cut off from the others and from the store, and comes back. It
-// goes on with its own schedulers: nobody takes a runner from anybody.
+// A failure domain is partitioned from the others and from the store for a while. It must
+// keep its own schedulers, and no runner may change its leader.
 func TestACutBetweenCellsChangesNoLeader(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	w := largeFleet(5, 29)
 	w.run(4 * time.Second)
-	w.restart()
+	w.resetCounters()
 	tokens := make(map[workload.RunnerID]uint64)
 	for _, r := range w.runners {
 		tokens[r.info.ID] = r.token
@@ -184,19 +184,19 @@
 		g.Expect(j.answered && j.outcome == workload.Completed).To(BeTrue())
 	}
 	w.expectSettled(g)
-	w.expectCheap(g, 6*time.Second, 29)
-	g.Expect(w.truth.broken).To(BeEmpty())
+	w.expectMessageBudget(g, 6*time.Second, 29)
+	g.Expect(w.checker.violations).To(BeEmpty())
 }
 
-// All schedulers of a failure domain are lost. Its callers are served by those of
-// others, at once; only when none has come back for seconds do small VMs take over
-// the domain's runners. They don't all connect with each other.
+// All schedulers of a failure domain are lost. Schedulers of other domains must serve its
+// callers at once. Small VMs take over the domain's runners only if no scheduler has returned
+// for seconds, and they must not all connect with each other.
 func TestACellLosesItsSchedulers(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	w := largeFleet(5, 29)
 	w.run(4 * time.Second)
-	w.restart()
+	w.resetCounters()
 	for _, n := range w.nodes {
 		if n.domain == "d1" && n.large() {
 			w.kill(n, 8*time.Second)
@@ -220,15 +220,15 @@
 			small++
 		}
 	}
-	g.Expect(small).To(BeNumerically(">", 0), "the domain's runners have a scheduler again")
+	g.Expect(small).To(BeNumerically(">", 0), "no small VM leads a shard of the domain")
 	w.run(6 * time.Second)
 	w.expectSettled(g)
-	g.Expect(w.truth.broken).To(BeEmpty())
+	g.Expect(w.checker.violations).To(BeEmpty())
 }
 
-// The store is away when a fleet starts, and comes back after some seconds. The members
-// register in any order then, and a small VM counts with those that it knows, as many
-// as a cell has seats, until it knows the large ones.
+// The store is unavailable when a fleet starts, and returns after some seconds. The members
+// then register in any order, and a small VM assigns the seats of its cell to those members
+// that it knows until it knows the large VMs.
 func TestALargeFleetStartsWithoutTheStore(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -237,13 +237,13 @@
 	w.after(3*time.Second, func() { w.storeDown = false })
 	w.run(6 * time.Second)
 	w.expectSettled(g)
-	w.expectCheapWith(g, 6*time.Second, 29, seatsMost+largePerDomain+2*outsideLinks)
+	w.expectMessageBudgetWith(g, 6*time.Second, 29, maxSeats+largePerDomain+2*outsideLinks)
 }
 
-// The first stored job comes to a fleet whose processes know only those of their own
-// cell and two others. It belongs to one shard of all, so whoever has it must reach that
-// one: within the moments that a caller's job waits for a scheduler, and whoever is
-// asked for it later as well.
+// The first stored jobs are submitted to a fleet whose processes are connected only with
+// their own cell and two others. Each job belongs to one shard of the whole fleet, which its
+// entry process must reach within the time that a job waits for a scheduler, and which any
+// process that is queried for the job later must reach too.
 func TestStoredJobsAcrossCells(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -251,21 +251,21 @@
 	w.run(4 * time.Second)
 	var jobs []*fakeJob
 	for i := range 12 {
-		j := w.storedJob()
+		j := w.newStoredJob()
 		j.domain = fmt.Sprintf("d%d", i%5)
-		w.try(j)
+		w.sendJob(j)
 		jobs = append(jobs, j)
 	}
 	w.run(500 * time.Millisecond)
 	cells := make(map[string]bool)
 	for _, j := range jobs {
 		g.Expect(j.accepted).NotTo(BeZero(), string(j.work.ID))
-		cells[w.divided[w.divided.StoredJobShard(j.work.ID)]] = true
+		cells[w.cellLayout[w.cellLayout.StoredJobShard(j.work.ID)]] = true
 	}
 	g.Expect(len(cells)).To(BeNumerically(">", 2))
 	w.run(4 * time.Second)
 	for _, j := range jobs {
 		g.Expect(j.ended && j.outcome == workload.Completed).To(BeTrue(), string(j.work.ID))
 	}
-	g.Expect(w.truth.broken).To(BeEmpty())
+	g.Expect(w.checker.violations).To(BeEmpty())
 }
--- a/core/fleet/world_test.go
+++ b/core/fleet/world_test.go
@@ -18,16 +18,15 @@
 const (
 	service = "labels"
 	queue   = "spot"
-	// delay is the time that a message takes between processes or to a runner.
-	delay = time.Millisecond
-	// resend is when a caller without an answer sends its job again.
-	resend = 1300 * time.Millisecond
-	grace  = 6 * time.Second
+	// messageDelay is the latency of a message between processes or to a runner.
+	messageDelay = time.Millisecond
+	// resendInterval is how long after a submission a caller without an answer resubmits.
+	resendInterval = 1300 * time.Millisecond
+	grace          = 6 * time.Second
 )
 
-// world is a deployment in virtual time: entry processes, runners and callers
-// in failure domains, with a platform that can be away. One seed gives the same
-// run every time.
+// world simulates a deployment in virtual time: entry processes, runners and callers in
+// failure domains, and a platform that can be unavailable. A run is determined by its seed.
 type world struct {
 	now     time.Duration
 	events  eventHeap
@@ -38,42 +37,42 @@
 	// byRunner are the runners by their ids.
 	byRunner map[workload.RunnerID]*fakeRunner
 	jobs     map[workload.JobID]*fakeJob
-	truth    *truth
+	checker  *checker
 	store    *fakeStore
-	// storedShare of the jobs are stored ones.
+	// storedShare is the proportion of stored jobs.
 	storedShare float64
-	// cut are failure domains that reach nothing outside.
-	cut       map[string]bool
+	// isolated are the failure domains that can't communicate with anything outside.
+	isolated  map[string]bool
 	storeDown bool
-	// evacuations are what the operator has written, oldest first.
+	// evacuations are the evacuated failure domains, as set by the operator.
 	evacuations operatorRows
-	// storeAway are VMs that can't reach the store, and parted are pairs of VMs
-	// that can't reach each other.
-	storeAway map[string]bool
-	parted    map[[2]string]bool
-	shards    int
-	// cells: the layout follows from the runners, and processes connect as they ask
-	// to. Otherwise runners are pooled, and each process connects with each.
-	cells   bool
-	divided layout.Layout
+	// storeUnreachable are VMs that can't reach the store, and partitioned are pairs of
+	// VMs that can't reach each other.
+	storeUnreachable map[string]bool
+	partitioned      map[[2]string]bool
+	shards           int
+	// cells: failure domains are cells, and processes make the connections that they
+	// request. Otherwise runners are pooled, and all processes connect with each other.
+	cells      bool
+	cellLayout layout.Layout
 	// layoutAt is when the layout becomes known.
 	layoutAt time.Duration
-	// strangers are VMs whose new process the others don't know before the time given:
+	// unknownUntil are VMs whose new process the others don't know before the given time:
 	// they refuse its connections.
-	strangers map[string]time.Duration
-	// linkDelay is how long after they can reach each other two processes connect.
-	linkDelay time.Duration
-	joinedAt  map[[2]string]time.Duration
-	// lag is how much longer what a VM sends to others takes.
-	lag map[string]time.Duration
-	// askAll: all processes are asked for each job that is accepted.
-	askAll bool
-	// onSend sees each message as it is sent, if set.
+	unknownUntil map[string]time.Duration
+	// connectDelay is the delay until two processes that can reach each other connect.
+	connectDelay  time.Duration
+	connectableAt map[[2]string]time.Duration
+	// sendDelay is the additional latency of the messages that a VM sends.
+	sendDelay map[string]time.Duration
+	// queryAll: all processes are queried for each accepted job.
+	queryAll bool
+	// onSend, if set, is called with each message as it is sent.
 	onSend func(*fakeNode, fleet.Send)
-	// awake is when the last frozen process wakes.
-	awake   time.Duration
-	numbers uint64
-	byName  map[leader.ID]*fakeNode
+	// lastWakeAt is when the last frozen process is resumed.
+	lastWakeAt time.Duration
+	numbers    uint64
+	byName     map[leader.ID]*fakeNode
 	// members are the latest processes of all VMs that have ever registered.
 	members  []topology.Member
 	revision uint64
@@ -107,29 +106,29 @@
 
 // fakeNode is an entry VM; node is nil while its process is down.
 type fakeNode struct {
-	name     string
-	domain   string
-	milliCPU int
-	node     *fleet.Node
-	id       leader.ID
-	life     int
-	// removed VMs never come back.
-	removed bool
-	frozen  time.Duration
-	links   map[leader.ID]bool
-	// redialAt is when a process that has refused a connection is tried again.
+	name        string
+	domain      string
+	milliCPU    int
+	node        *fleet.Node
+	id          leader.ID
+	incarnation int
+	// removed VMs never return.
+	removed     bool
+	frozen      time.Duration
+	connections map[leader.ID]bool
+	// redialAt is when a process that has refused a connection is dialled again.
 	redialAt map[leader.ID]time.Duration
-	// wanted are the connections that the process asks for.
+	// wanted are the connections that the process requests.
 	wanted []topology.Link
-	// met is the number of members that the process was last told of.
-	met uint64
-	// What the process has cost since it was last looked at.
-	sent, connected, led int
-	pending              []func()
-	// requests are the jobs that wait for an answer here.
-	requests  map[uint64]*fakeJob
-	questions map[uint64]*askedJob
-	lastID    uint64
+	// membersSeen is the number of registrations at the last update of the process's members.
+	membersSeen uint64
+	// Counters since the last reset.
+	messagesSent, connectionsMade, timesLed int
+	queuedEvents                            []func()
+	// requests are the jobs whose callers wait for an answer from this process.
+	requests map[uint64]*fakeJob
+	queries  map[uint64]*jobQuery
+	lastID   uint64
 }
 
 type fakeJob struct {
@@ -143,8 +142,8 @@
 	refused  bool
 	outcome  workload.Outcome
 	took     time.Duration
-	// Of stored jobs: when it was accepted, is to be cancelled, was asked to be
-	// and has been, and whether its end was shown.
+	// For stored jobs: when the job was accepted, is to be cancelled, when cancellation was
+	// requested and took effect, and whether the caller has received the job's end.
 	accepted   time.Duration
 	cancelAt   time.Duration
 	cancelSent time.Duration
@@ -154,19 +153,19 @@
 
 func newWorld(seed uint64) *world {
 	w := &world{
-		rng:       rand.New(rand.NewPCG(seed, 1)),
-		jobs:      make(map[workload.JobID]*fakeJob),
-		cut:       make(map[string]bool),
-		storeAway: make(map[string]bool),
-		parted:    make(map[[2]string]bool),
-		lag:       make(map[string]time.Duration),
-		joinedAt:  make(map[[2]string]time.Duration),
-		strangers: make(map[string]time.Duration),
-		listed:    make(map[workload.RunnerID]bool),
-		byName:    make(map[leader.ID]*fakeNode),
-		byRunner:  make(map[workload.RunnerID]*fakeRunner),
+		rng:              rand.New(rand.NewPCG(seed, 1)),
+		jobs:             make(map[workload.JobID]*fakeJob),
+		isolated:         make(map[string]bool),
+		storeUnreachable: make(map[string]bool),
+		partitioned:      make(map[[2]string]bool),
+		sendDelay:        make(map[string]time.Duration),
+		connectableAt:    make(map[[2]string]time.Duration),
+		unknownUntil:     make(map[string]time.Duration),
+		listed:           make(map[workload.RunnerID]bool),
+		byName:           make(map[leader.ID]*fakeNode),
+		byRunner:         make(map[workload.RunnerID]*fakeRunner),
 	}
-	w.truth = newTruth(w)
+	w.checker = newChecker(w)
 	w.store = newFakeStore()
 	return w
 }
@@ -178,13 +177,13 @@
 	return w.build()
 }
 
-// cellDeployment is the same with domains that are cells of some shards each.
+// cellDeployment builds the same with the domains as cells of some shards each.
 func cellDeployment(seed uint64, shards int) *world {
 	w := newWorld(seed)
 	w.cells = true
 	for _, d := range []string{"a", "b", "c"} {
 		for range shards {
-			w.divided = append(w.divided, d)
+			w.cellLayout = append(w.cellLayout, d)
 		}
 	}
 	return w.build()
@@ -206,15 +205,15 @@
 	return w
 }
 
-// layout is how the runners are divided.
+// layout is how the runners are divided into shards.
 func (w *world) layout() layout.Layout {
 	if !w.cells {
 		return layout.Pooled(w.shards)
 	}
-	if w.divided == nil {
-		w.divided = layout.For(w.list().Runners, layout.VM{})
+	if w.cellLayout == nil {
+		w.cellLayout = layout.For(w.list().Runners, layout.VM{})
 	}
-	return w.divided
+	return w.cellLayout
 }
 
 func (w *world) addRunner(id, domain string) *fakeRunner {
@@ -224,12 +223,12 @@
 			ID: workload.RunnerID(id), Service: service, Address: id, Domain: domain,
 			Capacity: workload.Resources{MilliCPU: 64000, MemoryMB: 1000},
 		},
-		rate:   0.98 + w.rng.Float64()*0.04,
-		offset: int64(w.rng.IntN(1 << 20)),
-		pace:   1,
-		born:   firstBirth,
-		runs:   make(map[workload.RunKey]*fakeRun),
-		sealed: make(map[workload.TaskName]int),
+		rate:       0.98 + w.rng.Float64()*0.04,
+		offset:     int64(w.rng.IntN(1 << 20)),
+		workFactor: 1,
+		born:       worldStartMs,
+		runs:       make(map[workload.RunKey]*fakeRun),
+		sealed:     make(map[workload.TaskName]int),
 	}
 	w.runners = append(w.runners, r)
 	w.byRunner[r.info.ID] = r
@@ -243,7 +242,7 @@
 	heap.Push(&w.events, event{at: w.now + max(0, d), seq: w.seq, f: f})
 }
 
-// run lets time pass.
+// run advances the virtual time.
 func (w *world) run(d time.Duration) {
 	end := w.now + d
 	for len(w.events) > 0 && w.events[0].at <= end {
@@ -263,25 +262,25 @@
 	return list
 }
 
-// reach reports whether two domains can talk.
-func (w *world) reach(a, b string) bool { return a == b || !w.cut[a] && !w.cut[b] }
+// domainsConnected reports whether two domains can communicate.
+func (w *world) domainsConnected(a, b string) bool { return a == b || !w.isolated[a] && !w.isolated[b] }
 
-func (w *world) storeReached(n *fakeNode) bool {
-	return !w.storeDown && !w.cut[n.domain] && !w.storeAway[n.name]
+func (w *world) storeReachable(n *fakeNode) bool {
+	return !w.storeDown && !w.isolated[n.domain] && !w.storeUnreachable[n.name]
 }
 
-// joined reports whether two VMs can talk.
-func (w *world) joined(a, b *fakeNode) bool {
-	return w.reach(a.domain, b.domain) && !w.parted[[2]string{a.name, b.name}] && !w.parted[[2]string{b.name, a.name}]
+// canConnect reports whether two VMs can communicate.
+func (w *world) canConnect(a, b *fakeNode) bool {
+	return w.domainsConnected(a.domain, b.domain) && !w.partitioned[[2]string{a.name, b.name}] && !w.partitioned[[2]string{b.name, a.name}]
 }
 
-// call carries an order to a runner and its answer back; lost says that the
-// caller hears nothing.
+// call passes an order to a runner and its answer back. Without an answer within the timeout
+// the outcome is Unanswered.
 func (w *world) call(n *fakeNode, id workload.RunnerID, timeout time.Duration, order func(*fakeRunner, func(schedule.CallOutcome, *schedule.HoldResult)), done func(schedule.CallOutcome, schedule.ClockReading, *schedule.HoldResult)) {
-	sent, life := w.now, n.life
+	sent, incarnation := w.now, n.incarnation
 	var finished bool
 	finish := func(o schedule.CallOutcome, clock, born int64, h *schedule.HoldResult) {
-		if finished || n.life != life {
+		if finished || n.incarnation != incarnation {
 			return
 		}
 		finished = true
@@ -294,23 +293,23 @@
 		return
 	}
 	late := w.rng.Float64() < r.lateShare
-	travel := delay
+	travel := messageDelay
 	if late {
 		travel = 2*time.Second + time.Duration(w.rng.IntN(10000))*time.Millisecond
 	}
-	// What is on its way to a lifetime is lost with its connections.
+	// Orders in flight are lost with the connections when the runner restarts.
 	sentTo := r.born
 	w.after(travel, func() {
-		if r.down || r.born != sentTo || !w.reach(n.domain, r.info.Domain) {
+		if r.down || r.born != sentTo || !w.domainsConnected(n.domain, r.info.Domain) {
 			return
 		}
 		order(r, func(o schedule.CallOutcome, h *schedule.HoldResult) {
 			clock, born := r.clock(), r.born
-			if late || w.rng.Float64() < r.muteShare {
+			if late || w.rng.Float64() < r.unansweredShare {
 				return
 			}
-			w.after(delay, func() {
-				if w.reach(n.domain, r.info.Domain) {
+			w.after(messageDelay, func() {
+				if w.domainsConnected(n.domain, r.info.Domain) {
 					finish(o, clock, born, h)
 				}
 			})
@@ -358,28 +357,28 @@
 		return
 	}
 	if a.Outcome == workload.GaveUp {
-		w.again(j)
+		w.resubmit(j)
 		return
 	}
 	if a.Outcome == workload.Accepted {
 		j.answered, j.accepted = true, w.now
-		if w.askAll {
-			w.askEverywhere(j)
+		if w.queryAll {
+			w.queryAllNodes(j)
 		}
 		w.poll(j)
 		return
 	}
-	w.truth.answered(j, a.Outcome)
+	w.checker.answered(j, a.Outcome)
 }
 
 // submit sends a new job from a domain.
 func (w *world) submit(domain string, tasks int, work, patience time.Duration) *fakeJob {
 	j := w.newJob(domain, tasks, work, patience)
-	w.try(j)
+	w.sendJob(j)
 	return j
 }
 
-// newJob is a job that hasn't been sent yet.
+// newJob returns a job that hasn't been sent yet.
 func (w *world) newJob(domain string, tasks int, work, patience time.Duration) *fakeJob {
 	id := workload.JobID(fmt.Sprintf("%016x", len(w.jobs)+1))
 	estimate := time.Duration(float64(work) * (0.7 + w.rng.Float64()*0.6))
@@ -393,21 +392,21 @@
 	if w.storedShare > 0 && w.rng.Float64() < w.storedShare {
 		j.work.Stored = true
 		if w.rng.IntN(10) == 0 {
-			j.cancelAt = w.now + w.span(1, 1500)
+			j.cancelAt = w.now + w.randomDuration(1, 1500)
 		}
 	}
 	w.jobs[id] = j
 	return j
 }
 
-// try sends a job to a process of its domain that serves, or to any.
-func (w *world) try(j *fakeJob) {
+// sendJob sends a job to a serving process, preferably of the job's domain.
+func (w *world) sendJob(j *fakeJob) {
 	if j.answered || w.now >= j.sent+j.patience {
 		return
 	}
 	n := w.serving(j.domain)
 	if n == nil {
-		w.again(j)
+		w.resubmit(j)
 		return
 	}
 	n.lastID++
@@ -416,7 +415,7 @@
 	w.do(n, func() { n.node.Submit(w.now, request, j.work, j.sent+j.patience-w.now) })
 }
 
-// serving is a process of a domain that serves, or of another one.
+// serving returns a random process that serves callers, preferably of the domain.
 func (w *world) serving(domain string) *fakeNode {
 	var near, all []*fakeNode
 	for _, n := range w.nodes {
@@ -437,7 +436,7 @@
 	return near[w.rng.IntN(len(near))]
 }
 
-func (w *world) again(j *fakeJob) { w.after(resend, func() { w.try(j) }) }
+func (w *world) resubmit(j *fakeJob) { w.after(resendInterval, func() { w.sendJob(j) }) }
 
 // load submits jobs at a rate, in all domains, for a while.
 func (w *world) load(perSecond float64, d time.Duration) {
