--- a/core/schedule/incarnation_test.go
+++ b/core/schedule/incarnation_test.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// restartedHarness returns a harness with a task on r1, which then restarts, and the time of the restart.
+// restartedHarness returns a harness with a task on r1, which then restarts, and the time of the
+// restart.
 func restartedHarness(t *testing.T, confirmed bool) (*harness, Start, Time) {
 	b := leading(t, testRunner("r1"))
 	b.s.runners["r1"].born = firstIncarnation
--- a/core/schedule/reachability_test.go
+++ b/core/schedule/reachability_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// partitionedHarness returns a harness whose second runner has been silent for long, as have the entry VMs of
-// its failure domain.
+// partitionedHarness returns a harness whose second runner has been silent for long, as have the
+// entry VMs of its failure domain.
 func partitionedHarness(t *testing.T) *harness {
 	b := leading(t, testRunner("near"), testRunner("far"))
 	b.s.SetUnreachable(true)
