--- a/core/schedule/restore_test.go
+++ b/core/schedule/restore_test.go
@@ -12,9 +12,9 @@
 
 // Stored jobs under a scheduler that takes them over, or is about to lose them.
 
-// runsOnOneOfTwo returns a bench with a stored job of one task, and the start of that on
-// one of two runners.
-func runsOnOneOfTwo(t *testing.T) (*bench, Start) {
+// runsOnOneOfTwo returns a harness with a stored job of one task, and the start of that task on one
+// of two runners.
+func runsOnOneOfTwo(t *testing.T) (*harness, Start) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	j := storedJob(1, 2*time.Second)
 	b.accepted(j)
@@ -23,11 +23,10 @@
 	return b, first
 }
 
-// A scheduler is killed. The next one reads its jobs, finds one task done and one
-// running, and starts only the third, when nothing can run any more on runners
-// that it doesn't know of.
+// A scheduler is killed. The next one loads its jobs, finds one task done and one running, and
+// starts only the third, once no run can be alive any more on runners that it doesn't know.
 func TestRestoredJob(t *testing.T) {
-	b := newBench(t, testRunner("r1"), testRunner("r2"))
+	b := newHarness(t, testRunner("r1"), testRunner("r2"))
 	j := storedJob(3, 500*ms)
 	b.s.Lead(b.now)
 	for _, h := range take[Hold](b) {
@@ -37,25 +36,25 @@
 		}
 		b.held(h)
 	}
-	b.own(3, openRecord(j, 2, 0))
+	b.ownRows(3, openRecord(j, 2, 0))
 	claimed := b.now
-	for b.now < claimed+storedUnknown-40*ms {
+	for b.now < claimed+maxPriorRunLife-40*ms {
 		b.wait(20 * ms)
 		b.g.Expect(take[Start](b)).To(BeEmpty())
 	}
 	b.wait(80 * ms)
 	start := one[Start](b)
-	b.g.Expect(start.Run).To(Equal(runOf(j, 2, 101)), "above all that the owner before may have used")
+	b.g.Expect(start.Run).To(Equal(runOf(j, 2, 101)), "above all numbers that the previous owner may have used")
 	b.g.Expect(b.s.State(j.ID, b.now).Known).To(BeTrue())
 }
 
-// A scheduler retires in a planned stop and says so. Its jobs go on at once.
+// A scheduler retires in a planned stop and reports its progress. Its jobs continue at once.
 func TestRestoredJobOfARetiredScheduler(t *testing.T) {
-	b := newBench(t, testRunner("r1"))
+	b := newHarness(t, testRunner("r1"))
 	j := storedJob(1, 500*ms)
 	b.s.Lead(b.now)
 	b.held(one[Hold](b))
-	b.own(3, openRecord(j, 2))
+	b.ownRows(3, openRecord(j, 2))
 	b.s.ApplyProgress(b.now, Progress{Epoch: 2})
 	for _, h := range take[Hold](b) {
 		b.held(h)
@@ -63,29 +62,29 @@
 	b.g.Expect(take[Start](b)).To(HaveLen(1))
 }
 
-// The same, but the owner after it isn't the one that has retired: a third one
-// had the shard between the two, and may live on.
+// The same, but the owner before this one isn't the one that has retired: a third process owned the
+// shard between the two, and may be alive.
 func TestRestoredJobWithAnOwnerBetween(t *testing.T) {
-	b := newBench(t, testRunner("r1"))
+	b := newHarness(t, testRunner("r1"))
 	j := storedJob(1, 500*ms)
 	b.s.Lead(b.now)
 	b.held(one[Hold](b))
-	b.own(4, openRecord(j, 2))
+	b.ownRows(4, openRecord(j, 2))
 	b.s.ApplyProgress(b.now, Progress{Epoch: 2})
-	b.wait(storedUnknown / 2)
+	b.wait(maxPriorRunLife / 2)
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 }
 
-// The store can't be reached and a process isn't heard any more: it may have taken
-// the jobs. What runs is stopped before that one starts it again, nothing new is
-// started, and no caller is told that its job is unknown or refused.
-func TestUnsureOfTheJobs(t *testing.T) {
+// The store is unavailable and a process is unreachable: it may have taken the jobs. Runs are
+// stopped before that process restarts their tasks, nothing new is started, and no caller is told
+// that its job is unknown or refused.
+func TestOwnershipUncertain(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j := storedJob(1, 2*time.Second)
 	b.accepted(j)
 	b.started(one[Start](b), Accepted)
 	b.s.SetAllReachable(false, b.now)
-	b.tick(custodyAge + 40*ms)
+	b.tick(maxProofAge + 40*ms)
 	b.g.Expect(one[Stop](b).Run).To(Equal(runOf(j, 0, 1)))
 	b.g.Expect(b.s.State("00000000000000ff", b.now).Unsure).To(BeTrue())
 	other := storedJob(1, 100*ms)
@@ -95,13 +94,13 @@
 	b.g.Expect(done).To(BeTrue())
 	b.g.Expect(take[Save](b)).To(BeEmpty())
 	b.s.SetAllReachable(true, b.now)
-	b.g.Expect(b.s.sure()).To(BeFalse(), "those that are heard again may have taken the jobs meanwhile")
+	b.g.Expect(b.s.ownsRows()).To(BeFalse(), "a process that is reachable again may have taken the jobs meanwhile")
 	b.s.RowOwnershipVerified(b.now, b.now)
-	b.g.Expect(b.s.sure()).To(BeTrue())
+	b.g.Expect(b.s.ownsRows()).To(BeTrue())
 }
 
-// Another process has taken the jobs. Their ends are its to acknowledge, and
-// callers whose jobs weren't saved yet are told nothing definite.
+// Another process has taken the jobs. Only that process may acknowledge their ends, and callers
+// whose jobs weren't saved yet get no definite answer.
 func TestJobsTakenByAnotherProcess(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j, waits := storedJob(1, 2*time.Second), storedJob(1, 100*ms)
@@ -118,28 +117,28 @@
 		b.held(h, workload.End{Sequence: 1, Run: runOf(j, 0, 1), Kind: workload.Done})
 	}
 	b.g.Expect(b.s.State(j.ID, b.now).Unsure).To(BeTrue())
-	b.own(2, openRecord(j, 1))
+	b.ownRows(2, openRecord(j, 1))
 	b.g.Expect(one[Save](b).Record.State).To(Equal(ledger.Completed), "the runner still lists the end")
 }
 
-// A runner was behind a cut while a task that it had done was started elsewhere.
-// If its end were acknowledged as it is, the task would have been run again after
-// an end that counts. The runner's lease is let lapse first: then it doesn't.
+// A runner was cut off while a task that it had done was started elsewhere. If its end were
+// acknowledged immediately, the task would have run again after an end that counts. So the runner's
+// lease must expire first: then the end doesn't count.
 func TestEndOfATaskThatWasStartedAgain(t *testing.T) {
 	b, first := runsOnOneOfTwo(t)
-	b.s.lose(b.s.runners[first.Runner])
+	b.s.runnerFenced(b.s.runners[first.Runner])
 	b.s.runners[first.Runner].info.Draining = true
 	b.wait(b.s.cfg.Resend + 100*ms)
-	b.g.Expect(take[Start](b)).To(BeEmpty(), "the store doesn't know yet")
+	b.g.Expect(take[Start](b)).To(BeEmpty(), "the restart isn't in the store yet")
 	b.saved(one[Save](b))
 	second := one[Start](b)
 	b.g.Expect(second.Runner).NotTo(Equal(first.Runner))
 	b.started(second, Accepted)
 	r := b.s.runners[first.Runner]
-	r.grant(b.now, b.s.cfg.Lease) // for something else that runs there
+	r.noteLease(b.now, b.s.cfg.Lease) // as for another run there
 	b.end(first.Runner, 1, first.Run, workload.Done)
 	lapse := r.aliveUntil
-	b.g.Expect(r.withheldUntil).To(Equal(lapse))
+	b.g.Expect(r.noLeaseUntil).To(Equal(lapse))
 	b.saved(take[Save](b)...)
 	b.g.Expect(r.acknowledged).To(BeZero())
 	b.wait(lapse - b.now + 60*ms)
@@ -147,12 +146,12 @@
 	b.g.Expect(r.acknowledged).To(BeEquivalentTo(1))
 }
 
-// Guards against an owner that starts a task again unknown to the next one, which then
-// acknowledges the good end of the first run.
-func TestTaskOutOfSightIsStartedAgainWhenTheStoreKnows(t *testing.T) {
+// Guards against an owner that restarts a task without the knowledge of the next owner, which then
+// acknowledges the successful end of the first run.
+func TestUnseenTaskRestartsOnceThatIsStored(t *testing.T) {
 	b, first := runsOnOneOfTwo(t)
 	b.s.SetContested(true)
-	b.s.runners[first.Runner].doubt(b.now)
+	b.s.runners[first.Runner].markUnresponsive(b.now)
 	for range 50 {
 		b.s.RowOwnershipVerified(b.now, b.now)
 		b.tick(20 * ms)
@@ -165,45 +164,44 @@
 	b.g.Expect(one[Start](b).Runner).NotTo(Equal(first.Runner))
 }
 
-// Guards against jobs that stand still for as long as the store is away for all, in
-// which time nobody can take the shard.
-func TestTaskOutOfSightIsStartedAgainWithoutTheStore(t *testing.T) {
+// Guards against jobs that stay stalled while the store is unavailable to all processes, in which
+// time no process can take the shard.
+func TestUnseenTaskRestartsWithoutTheStore(t *testing.T) {
 	b, first := runsOnOneOfTwo(t)
-	b.s.runners[first.Runner].doubt(b.now)
+	b.s.runners[first.Runner].markUnresponsive(b.now)
 	b.tick(time.Second)
 	b.g.Expect(take[Start](b)).To(BeEmpty())
-	b.s.SetStoreFailingFor(storeTrouble + ms)
+	b.s.SetStoreFailingFor(storeFailureThreshold + ms)
 	b.tick(20 * ms)
 	b.g.Expect(one[Start](b).Runner).NotTo(Equal(first.Runner))
 }
 
-// Guards against a new owner that acknowledges the good end of a run whose task the
-// owner before has started again: the runner lists it, with a lease that the new owner
-// has renewed.
-func TestEndOfATaskThatTheOwnerBeforeStartedAgain(t *testing.T) {
+// Guards against a new owner that acknowledges the successful end of a run whose task the previous
+// owner has restarted: the runner lists that end under a lease that the new owner has renewed.
+func TestEndOfATaskRestartedByThePreviousOwner(t *testing.T) {
 	for _, unseen := range []bool{false, true} {
-		b := newBench(t, testRunner("r1"))
+		b := newHarness(t, testRunner("r1"))
 		j := storedJob(2, 2*time.Second)
 		record := openRecord(j, 1)
 		record.Unseen = unseen
 		b.s.Lead(b.now)
 		b.held(one[Hold](b), workload.End{Sequence: 1, Run: runOf(j, 0, 1), Kind: workload.Done})
-		b.own(2, record)
+		b.ownRows(2, record)
 		b.saved(take[Save](b)...)
 		r := b.s.runners["r1"]
-		b.wait(storedUnknown)
-		b.g.Expect(r.withheldUntil > 0).To(Equal(unseen))
+		b.wait(maxPriorRunLife)
+		b.g.Expect(r.noLeaseUntil > 0).To(Equal(unseen))
 		b.saved(take[Save](b)...)
-		b.wait(longestLife(leaseLimit))
+		b.wait(maxRunLife(maxLease))
 		b.g.Expect(r.acknowledged).To(BeEquivalentTo(1))
 	}
 }
 
-// Guards against a task that the owner before starts after the new one has shown its job
-// as completed: it may believe for a moment more that it owns the shard.
-func TestCompletedIsShownWhenTheOwnerBeforeIsQuiet(t *testing.T) {
+// Guards against a task that the previous owner starts after the new one has published its job as
+// completed: the previous owner may not know yet that it lost the shard.
+func TestCompletionIsPublishedWhenThePreviousOwnerIsInactive(t *testing.T) {
 	for _, retired := range []bool{false, true} {
-		b := newBench(t, testRunner("r1"))
+		b := newHarness(t, testRunner("r1"))
 		j := storedJob(1, 100*ms)
 		b.s.Lead(b.now)
 		b.held(one[Hold](b), workload.End{Sequence: 1, Run: runOf(j, 0, 1), Kind: workload.Done})
@@ -211,27 +209,27 @@
 			b.s.ApplyProgress(b.now, Progress{Epoch: 1})
 		}
 		claimed := b.now
-		b.own(2, openRecord(j, 1))
+		b.ownRows(2, openRecord(j, 1))
 		saves := take[Save](b)
 		b.saved(saves[len(saves)-1])
 		if retired {
 			b.g.Expect(one[OutcomeSaved](b).State.Outcome).To(Equal(workload.Completed))
 			continue
 		}
-		for b.now < claimed+custodyAge {
+		for b.now < claimed+maxProofAge {
 			b.g.Expect(take[OutcomeSaved](b)).To(BeEmpty())
 			b.g.Expect(b.s.State(j.ID, b.now).Ended).To(BeFalse())
 			b.wait(20 * ms)
 		}
-		b.wait(ownerSlack + 20*ms)
+		b.wait(priorOwnerSlack + 20*ms)
 		b.g.Expect(one[OutcomeSaved](b).State.Outcome).To(Equal(workload.Completed))
 	}
 }
 
-// A task fails under two schedulers. The attempts of both count, each once, also
-// if the second finds the first one's end still listed.
+// A task fails under two schedulers. The attempts of both count, each once, even if the second
+// finds the first one's end still listed.
 func TestFailuresUnderTwoSchedulers(t *testing.T) {
-	b := newBench(t, testRunner("r1"))
+	b := newHarness(t, testRunner("r1"))
 	j := storedJob(1, 100*ms)
 	j.MaxAttempts = 3
 	record := openRecord(j, 1)
@@ -240,9 +238,9 @@
 	b.held(one[Hold](b),
 		workload.End{Sequence: 1, Run: runOf(j, 0, 1), Kind: workload.Failed},
 		workload.End{Sequence: 2, Run: runOf(j, 0, 2), Kind: workload.Failed})
-	b.own(2, record)
+	b.ownRows(2, record)
 	b.g.Expect(b.s.jobs[j.ID].steps[0][0].failures).To(Equal(2))
-	b.wait(storedUnknown + 100*ms)
+	b.wait(maxPriorRunLife + 100*ms)
 	start := one[Start](b)
 	b.started(start, Accepted)
 	b.end("r1", 3, start.Run, workload.Failed)
@@ -251,11 +249,11 @@
 	b.g.Expect(take[Start](b)).To(BeEmpty())
 }
 
-// A scheduler that can't prove its ownership any more must have ended its runs of
-// stored jobs before the next owner starts them again: its doubt, a tick, an order
-// to stop that isn't answered, and a lease on a slow clock.
-func TestCustodyEndsBeforeTheNextOwnerStarts(t *testing.T) {
+// A scheduler that can't prove its ownership any more must have ended its runs of stored jobs before
+// the next owner restarts them: within maxProofAge, a tick, an order to stop that isn't answered,
+// and a lease on a slow clock.
+func TestRowOwnershipEndsBeforeTheNextOwnerStarts(t *testing.T) {
 	const tick = 20 * ms
 	g := NewWithT(t)
-	g.Expect(custodyAge + tick + longestLife(DefaultConfig().Lease)).To(BeNumerically("<", storedUnknown))
+	g.Expect(maxProofAge + tick + maxRunLife(DefaultConfig().Lease)).To(BeNumerically("<", maxPriorRunLife))
 }
--- a/core/schedule/results.go
+++ b/core/schedule/results.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// endsPerList is how many ends a runner lists at most. There may be more
-	// behind a list of that length.
-	endsPerList = 500
-	// stopSlack is added to the longest time that a stop takes.
+	// maxEndsPerList is the most ends that a runner lists at once. A list of that length may be
+	// incomplete.
+	maxEndsPerList = 500
+	// stopSlack is added to StopTimeout.
 	stopSlack = 20 * time.Millisecond
-	// leaseLimit is the longest lease that a runner grants to anybody; runs
-	// found under another scheduler's lease live no longer than that.
-	leaseLimit = 1000 * time.Millisecond
+	// maxLease is the longest lease that a runner grants to any scheduler, and so bounds the
+	// life of runs found under another scheduler's lease.
+	maxLease = 1000 * time.Millisecond
 )
 
-// Held takes what came of a Hold.
+// Held handles the result of a Hold.
 func (s *Scheduler) Held(now Time, res HoldResult) {
 	s.now = now
 	r := s.runners[res.Runner]
@@ -25,37 +25,37 @@
 		return
 	}
 	if res.ReachabilityOnly {
-		s.present(r, res)
+		s.handleReachability(r, res)
 		return
 	}
 	if res.Token != r.token {
 		return
 	}
-	if !s.sameLife(r, res.Clock.Born) {
+	if !s.checkIncarnation(r, res.Clock.Born) {
 		s.dispatch()
 		return
 	}
 	if res.ListOnly {
-		r.looking = false
+		r.listInFlight = false
 	} else {
-		r.holding = false
+		r.holdInFlight = false
 	}
 	silence := s.now - r.clockAt
-	r.sawClock(res.Clock)
+	r.updateClock(res.Clock)
 	switch res.Outcome {
 	case Accepted:
 		r.answered(res.Clock.SentAt)
-		s.answersAgain(r, silence)
-		s.listed(r, res)
+		s.noteAnswerAfterSilence(r, silence)
+		s.applyLists(r, res)
 		s.dispatch()
-		if r.listedAt < s.listsWanted {
-			s.look(r)
+		if r.listAsOf < s.latestHandoverAt {
+			s.requestList(r)
 		}
-		if !r.holding {
-			s.nextHold(r)
+		if !r.holdInFlight {
+			s.scheduleHold(r)
 		}
 	case Fenced:
-		s.lose(r)
+		s.runnerFenced(r)
 	case Replaced:
 		s.replaced(r)
 		s.dispatch()
@@ -65,41 +65,41 @@
 	}
 }
 
-// listed reads a runner's lists of what ended and what runs.
-func (s *Scheduler) listed(r *runner, res HoldResult) {
+// applyLists processes a runner's lists of ended and running runs.
+func (s *Scheduler) applyLists(r *runner, res HoldResult) {
 	first := !r.owned
 	r.owned = true
-	whole := len(res.Ends) < endsPerList
-	if whole {
-		r.listedAt = max(r.listedAt, res.Clock.SentAt)
+	complete := len(res.Ends) < maxEndsPerList
+	if complete {
+		r.listAsOf = max(r.listAsOf, res.Clock.SentAt)
 	}
 	if first {
 		r.acquiredAt = s.now
 		r.refusals = 0
-		r.aliveUntil = max(r.aliveUntil, s.now+longestLife(leaseLimit))
-		s.emit(Decision{Event: "runner-acquired", Runner: r.info.ID, Token: r.token, Age: s.now - r.heldAt})
+		r.aliveUntil = max(r.aliveUntil, s.now+maxRunLife(maxLease))
+		s.emit(Decision{Event: "runner-acquired", Runner: r.info.ID, Token: r.token, Age: s.now - r.holdSentAt})
 	}
 	for _, e := range res.Ends {
 		if !r.noted(e.Sequence) {
-			s.note(r, e)
+			s.noteEnd(r, e)
 		}
 	}
 	s.acknowledge(r)
 	listed := make(map[workload.RunKey]bool, len(res.Running))
 	for _, k := range res.Running {
 		listed[k] = true
-		s.seen(r, k)
+		s.noteListedRun(r, k)
 		r.runs[k].noteCheckpoint(res.Checkpoints[k])
 	}
-	if whole {
+	if complete {
 		s.dropStopped(r, listed, res.Clock.SentAt)
 	}
 }
 
-// dropStopped gives up runs that the runner had promised to stop before it was
-// asked for the list, and that aren't on it: they had never come there.
+// dropStopped drops runs whose stop the runner confirmed before it was asked for the list, and
+// that aren't on it: their starts had never arrived.
 func (s *Scheduler) dropStopped(r *runner, listed map[workload.RunKey]bool, sentAt Time) {
-	for _, u := range r.inOrder() {
+	for _, u := range r.sortedRuns() {
 		if !u.stopped || u.stoppedAt > sentAt || listed[u.key] {
 			continue
 		}
@@ -110,22 +110,22 @@
 	}
 }
 
-// seen notes a run that a runner lists.
-func (s *Scheduler) seen(r *runner, k workload.RunKey) {
+// noteListedRun records a run that a runner lists.
+func (s *Scheduler) noteListedRun(r *runner, k workload.RunKey) {
 	if u := r.runs[k]; u != nil {
 		u.confirmed = true
 		return
 	}
-	u := &run{key: k, runner: r, started: s.now, confirmed: true, found: true, stopAt: s.now + orphanGrace}
+	u := &run{key: k, runner: r, started: s.now, confirmed: true, startedElsewhere: true, stopAt: s.now + orphanGrace}
 	r.add(u)
-	s.ran[k.Task.Job] = s.now
+	s.ranJobs[k.Task.Job] = s.now
 	if j := s.jobs[k.Task.Job]; j != nil {
 		s.adopt(j, u)
 	}
 }
 
-// noteCheckpoint takes the newest checkpoint of a run. A task that is started
-// again goes on from there.
+// noteCheckpoint records the newest checkpoint of a run. A task that is started again resumes from
+// it.
 func (u *run) noteCheckpoint(checkpoint string) {
 	if checkpoint == "" {
 		return
@@ -136,8 +136,8 @@
 	}
 }
 
-// ended acts on an end that a runner lists, and returns the job if it is known.
-func (s *Scheduler) ended(r *runner, e workload.End) *job {
+// applyEnd processes an end that a runner lists, and returns the job if it is known.
+func (s *Scheduler) applyEnd(r *runner, e workload.End) *job {
 	u := r.runs[e.Run]
 	if u != nil {
 		r.drop(u)
@@ -158,20 +158,20 @@
 	case u != nil && t.run == u:
 		s.runEnded(t, u, e)
 	case e.Kind == workload.Failed && t.job.stored != nil:
-		// A scheduler before this one has started it.
+		// An earlier scheduler had started the run.
 		s.runFailed(t, r, e.Run)
 	}
 	return t.job
 }
 
 func (s *Scheduler) endedUnknown(e workload.End) {
-	s.ran[e.Run.Task.Job] = s.now
+	s.ranJobs[e.Run.Task.Job] = s.now
 	if e.Kind == workload.Done {
-		s.found[e.Run.Task] = s.now
+		s.doneWithoutJob[e.Run.Task] = s.now
 	}
 }
 
-// runEnded handles the end of a task's run that hasn't done it.
+// runEnded handles an unsuccessful end of a task's run.
 func (s *Scheduler) runEnded(t *taskState, u *run, e workload.End) {
 	switch e.Kind {
 	case workload.Failed:
@@ -186,8 +186,7 @@
 	s.requeue(t)
 }
 
-// taskOf finds the task of a run, which may be one that this scheduler hasn't
-// started.
+// taskOf finds the task of a run, which may have been started by another scheduler.
 func (s *Scheduler) taskOf(u *run, k workload.RunKey) *taskState {
 	if u != nil && u.task != nil {
 		return u.task
@@ -201,7 +200,7 @@
 func (s *Scheduler) taskDone(t *taskState, r *runner, u *run) {
 	s.ctr.Done++
 	if u != nil && u.task == t {
-		t.job.ran(t.name, s.now-u.started)
+		t.job.recordRunTime(t.name, s.now-u.started)
 	}
 	if u != nil && u.task == t && !u.stopping {
 		r.health.succeeded(s.now, s.now-u.started, t.step().Estimate)
@@ -225,8 +224,8 @@
 	}
 }
 
-// runFailed counts a failure against the task and the runner. A task that has
-// failed on two runners is taken to be at fault itself.
+// runFailed counts a failure against the task and the runner. After failures on two runners the
+// task itself counts as the cause.
 func (s *Scheduler) runFailed(t *taskState, r *runner, k workload.RunKey) {
 	if t.job.stored != nil && (t.job.ended || !t.job.storedFailure(k)) {
 		return
@@ -239,7 +238,7 @@
 	} else {
 		for _, f := range t.failedOn {
 			if f != r {
-				f.health.pardon()
+				f.health.undoStrike()
 			}
 		}
 	}
@@ -252,19 +251,19 @@
 	}
 }
 
-// Started takes what came of a Start.
+// Started handles the result of a Start.
 func (s *Scheduler) Started(now Time, res StartResult) {
 	s.now = now
 	r := s.runners[res.Runner]
 	if r == nil || r.gone || !s.leading {
 		return
 	}
-	if !s.sameLife(r, res.Clock.Born) {
+	if !s.checkIncarnation(r, res.Clock.Born) {
 		s.dispatch()
 		return
 	}
-	r.sawClock(res.Clock)
-	s.took(res.Clock.SentAt)
+	r.updateClock(res.Clock)
+	s.recordLatency(res.Clock.SentAt)
 	if res.Outcome != Unanswered {
 		r.answered(res.Clock.SentAt)
 	}
@@ -277,7 +276,7 @@
 		u.confirmed = true
 		return
 	case Fenced:
-		s.lose(r)
+		s.runnerFenced(r)
 	case Replaced:
 		s.replaced(r)
 	case Unanswered:
@@ -288,25 +287,25 @@
 	s.dispatch()
 }
 
-// startUnanswered sends a start again, and if that isn't answered either has the
-// run stopped, so that the task can be started on another runner.
+// startUnanswered sends a start again. If that stays unanswered too it stops the run, so that the
+// task can be started on another runner.
 func (s *Scheduler) startUnanswered(r *runner, u *run) {
 	if u.confirmed {
 		return
 	}
 	s.ctr.Unanswered++
 	s.emit(Decision{Event: "start-unanswered", Job: u.key.Task.Job, Run: u.key, Runner: r.info.ID, Age: s.now - u.started})
-	if u.task != nil && !u.stopping && u.tries < startTries && !r.inDoubt && !r.strange() && !r.evacuated {
+	if u.task != nil && !u.stopping && u.startAttempts < maxStartAttempts && !r.unresponsive && !r.hasForeignOrphans() && !r.evacuated {
 		s.sendStart(u)
 		return
 	}
-	r.doubt(s.now)
+	r.markUnresponsive(s.now)
 	s.stopRun(u)
 }
 
-// secondStartRejected handles a start that was refused after an earlier order for
-// the same run had stayed unanswered. That one may have been carried out, and the
-// run have ended; or it may come late.
+// secondStartRejected handles a start that was refused after an earlier order for the same run had
+// stayed unanswered. The earlier order may have been carried out, and the run may have ended; or
+// the order may still arrive.
 func (s *Scheduler) secondStartRejected(r *runner, u *run, o CallOutcome) {
 	s.emit(Decision{Event: "start-rejected", Job: u.key.Task.Job, Run: u.key, Runner: r.info.ID, Reason: "second order: " + o.String(), Age: s.now - u.started})
 	if o != Outdated {
@@ -317,18 +316,18 @@
 	s.noteStopped(u, s.now)
 }
 
-// noteStopped notes that a run can't begin any more and has ended, or will in a
-// moment. The runner's list tells how.
+// noteStopped records that a run can't start any more and has ended or is about to. The runner's
+// list shows how.
 func (s *Scheduler) noteStopped(u *run, at Time) {
 	u.stopped = true
 	u.stoppedAt = at
-	u.goneAt = s.now + s.cfg.StopTimeout + stopSlack
-	s.look(u.runner)
+	u.overAt = s.now + s.cfg.StopTimeout + stopSlack
+	s.requestList(u.runner)
 }
 
-// startRejected handles a start that surely hasn't happened.
+// startRejected handles a start that has certainly not been carried out.
 func (s *Scheduler) startRejected(r *runner, u *run, o CallOutcome) {
-	if u.tries > 1 && u.ofStoredJob() {
+	if u.startAttempts > 1 && u.ofStoredJob() {
 		s.secondStartRejected(r, u, o)
 		return
 	}
@@ -339,12 +338,12 @@
 	case Unhealthy:
 		r.health.failed(s.now, strikesToClose)
 	case NoRoom:
-		// Something runs there that isn't known here. A look tells what.
-		r.doubt(s.now)
-		r.holdNext = s.now
+		// Runs unknown to this scheduler are there. The list shows which.
+		r.markUnresponsive(s.now)
+		r.nextHoldAt = s.now
 	case Outdated:
 		if t != nil {
-			t.lastNumber += runsPerHand
+			t.lastNumber += runsPerScheduler
 		}
 	case Invalid:
 		if t != nil {
@@ -366,18 +365,18 @@
 	s.emit(Stop{Runner: u.runner.info.ID, Address: u.runner.info.Address, Token: u.runner.token, Run: u.key, Timeout: s.callTimeout()})
 }
 
-// Stopped takes what came of a Stop.
+// Stopped handles the result of a Stop.
 func (s *Scheduler) Stopped(now Time, res StopResult) {
 	s.now = now
 	r := s.runners[res.Runner]
 	if r == nil || r.gone || !s.leading {
 		return
 	}
-	if !s.sameLife(r, res.Clock.Born) {
+	if !s.checkIncarnation(r, res.Clock.Born) {
 		s.dispatch()
 		return
 	}
-	r.sawClock(res.Clock)
+	r.updateClock(res.Clock)
 	u := r.runs[res.Run]
 	if res.Outcome != Unanswered {
 		r.answered(res.Clock.SentAt)
@@ -388,7 +387,7 @@
 			s.noteStopped(u, res.Clock.ReceivedAt)
 		}
 	case Fenced:
-		s.lose(r)
+		s.runnerFenced(r)
 	case Replaced:
 		s.replaced(r)
 	default:
