--- a/entry/calls.go
+++ b/entry/calls.go
@@ -15,8 +15,8 @@
 	defer cancel()
 	sent := time.Now()
 	a := p.runners.Start(ctx, c)
-	p.callDone("start", sent, a)
-	clock := p.reading(sent, a)
+	p.recordCall("start", sent, a)
+	clock := p.clockReading(sent, a)
 	p.post(func(now Time) {
 		p.node.Started(now, shard, schedule.StartResult{Runner: c.Runner, Run: c.Run, Outcome: a.Outcome, Clock: clock})
 	})
@@ -27,8 +27,8 @@
 	defer cancel()
 	sent := time.Now()
 	a := p.runners.Stop(ctx, c)
-	p.callDone("stop", sent, a)
-	clock := p.reading(sent, a)
+	p.recordCall("stop", sent, a)
+	clock := p.clockReading(sent, a)
 	p.post(func(now Time) {
 		p.node.Stopped(now, shard, schedule.StopResult{Runner: c.Runner, Run: c.Run, Outcome: a.Outcome, Clock: clock})
 	})
@@ -39,8 +39,8 @@
 	defer cancel()
 	sent := time.Now()
 	a := p.runners.Hold(ctx, c)
-	p.callDone("hold", sent, a.CallAnswer)
-	clock := p.reading(sent, a.CallAnswer)
+	p.recordCall("hold", sent, a.CallAnswer)
+	clock := p.clockReading(sent, a.CallAnswer)
 	p.post(func(now Time) {
 		p.node.Held(now, shard, schedule.HoldResult{
 			Runner:      c.Runner,
@@ -56,11 +56,11 @@
 	})
 }
 
-func (p *Process) reading(sent time.Time, a CallAnswer) schedule.Reading {
+func (p *Process) clockReading(sent time.Time, a CallAnswer) schedule.Reading {
 	return schedule.Reading{Milliseconds: a.Clock, At: p.clock.now(), SentAt: p.clock.at(sent), Born: a.Born}
 }
 
-func (p *Process) callDone(kind string, sent time.Time, a CallAnswer) {
+func (p *Process) recordCall(kind string, sent time.Time, a CallAnswer) {
 	p.metrics.calls.WithLabelValues(kind, a.Outcome.String()).Inc()
 	if kind != "hold" {
 		p.metrics.callSeconds.WithLabelValues(kind).Observe(time.Since(sent).Seconds())
--- a/entry/clock.go
+++ b/entry/clock.go
@@ -12,19 +12,19 @@
 // as fresh as before, and the process would go on as the leader that it no
 // longer is.
 type clock struct {
-	begin     time.Time
-	bootBegin time.Duration
+	start     time.Time
+	bootStart time.Duration
 	// suspended is the time that the plain clock has missed.
 	suspended atomic.Int64
 }
 
-// suspendLeast is the least difference between the clocks that is taken for a
+// minSuspension is the least difference between the clocks that is taken for a
 // suspension; reading one after the other takes far less.
-const suspendLeast = 20 * time.Millisecond
+const minSuspension = 20 * time.Millisecond
 
 func newClock() *clock {
-	c := &clock{begin: time.Now()}
-	c.bootBegin, _ = bootTime()
+	c := &clock{start: time.Now()}
+	c.bootStart, _ = bootTime()
 	return c
 }
 
@@ -38,12 +38,12 @@
 }
 
 func (c *clock) now() Time {
-	return time.Since(c.begin) + time.Duration(c.suspended.Load())
+	return time.Since(c.start) + time.Duration(c.suspended.Load())
 }
 
 // at converts a reading of Go's clock.
 func (c *clock) at(t time.Time) Time {
-	return t.Sub(c.begin) + time.Duration(c.suspended.Load())
+	return t.Sub(c.start) + time.Duration(c.suspended.Load())
 }
 
 // adjust looks for suspensions. Between a suspension and the next look the
@@ -54,8 +54,8 @@
 	if !ok {
 		return
 	}
-	missed := boot - c.bootBegin - time.Since(c.begin)
-	if missed-time.Duration(c.suspended.Load()) > suspendLeast {
+	missed := boot - c.bootStart - time.Since(c.start)
+	if missed-time.Duration(c.suspended.Load()) > minSuspension {
 		c.suspended.Store(int64(missed))
 	}
 }
--- a/entry/ledgers.go
+++ b/entry/ledgers.go
@@ -11,9 +11,9 @@
 	"sapphirepoint.example/sapphirepoint/core/ledger"
 )
 
-// storeCall carries out a call of a shard's ledger, and gives the result back to
+// callStore carries out a call of a shard's ledger, and gives the result back to
 // the loop as an event.
-func (p *Process) storeCall(ctx context.Context, c fleet.StoreCall, owner string) {
+func (p *Process) callStore(ctx context.Context, c fleet.StoreCall, owner string) {
 	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout(c.Call))
 	defer cancel()
 	sent := time.Now()
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -18,7 +18,7 @@
 	storeFailures   *prometheus.CounterVec
 	droppedMessages prometheus.Counter
 	leading         prometheus.Gauge
-	inHand          prometheus.Gauge
+	jobsInFlight    prometheus.Gauge
 	scheduled       *prometheus.GaugeVec
 	messages        *prometheus.CounterVec
 	connections     *prometheus.GaugeVec
@@ -57,7 +57,7 @@
 		leading: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "sapphirepoint_leading", Help: "1 while this process schedules.",
 		}),
-		inHand: prometheus.NewGauge(prometheus.GaugeOpts{
+		jobsInFlight: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "sapphirepoint_jobs_in_hand", Help: "Jobs whose callers wait here.",
 		}),
 		scheduled: prometheus.NewGaugeVec(prometheus.GaugeOpts{
@@ -81,7 +81,7 @@
 	})
 	m.registry.MustRegister(m.messages, m.connections, m.widened, m.evacuated, m.events)
 	m.registry.MustRegister(m.requests, m.requestSeconds, m.calls, m.callSeconds, m.ledgerSeconds, m.storeFailures,
-		m.droppedMessages, m.leading, m.inHand, m.scheduled)
+		m.droppedMessages, m.leading, m.jobsInFlight, m.scheduled)
 	return m
 }
 
@@ -93,16 +93,16 @@
 	if n.Leads() {
 		m.leading.Set(1)
 	}
-	m.inHand.Set(float64(n.InHand()))
+	m.jobsInFlight.Set(float64(n.InHand()))
 	place := n.Place()
 	m.widened.Set(float64(place.Widened))
 	m.evacuated.Set(float64(len(n.Evacuations().Domains)))
 	m.connections.WithLabelValues("wanted").Set(float64(place.Wanted))
 	m.connections.WithLabelValues("standing").Set(float64(n.Connections()))
-	m.count(n.Counters())
+	m.updateCounters(n.Counters())
 }
 
-func (m *metrics) count(c schedule.Counters) {
+func (m *metrics) updateCounters(c schedule.Counters) {
 	set := func(event string, n uint64) { m.scheduled.WithLabelValues(event).Set(float64(n)) }
 	set("starts", c.Starts)
 	set("done", c.Done)
--- a/entry/process.go
+++ b/entry/process.go
@@ -27,11 +27,11 @@
 	pendingInterval = 200 * time.Millisecond
 	// gaugeInterval is how often gauges are brought up to date.
 	gaugeInterval = time.Second
-	// configurationWait is how long requests wait for the first configuration. A
+	// configurationTimeout is how long requests wait for the first configuration. A
 	// process accepts connections some 20 ms before it has read it.
-	configurationWait = 300 * time.Millisecond
-	// eventQueue bounds the events that wait for the loop.
-	eventQueue = 8192
+	configurationTimeout = 300 * time.Millisecond
+	// eventQueueSize bounds the events that wait for the loop.
+	eventQueueSize = 8192
 )
 
 // Process is one entry process.
@@ -49,10 +49,10 @@
 	// ended is closed when a planned stop is over.
 	ended chan struct{}
 
-	// mostRunners is the longest list of runners read before the layout was known,
+	// maxRunnersSeen is the longest list of runners read before the layout was known,
 	// and mostSince when; they belong to the goroutine that reads it.
-	mostRunners int
-	mostSince   time.Time
+	maxRunnersSeen   int
+	maxRunnersSeenAt time.Time
 
 	// self belongs to the goroutine that watches the members.
 	self peer.Member
@@ -67,15 +67,15 @@
 	pendingAt Time
 
 	// What follows is read by others.
-	ready     atomic.Bool
-	laidOut   atomic.Bool
-	stopping  atomic.Bool
-	readOften atomic.Bool
-	// toldRunners: others tell this process the list of runners.
-	toldRunners atomic.Bool
-	leads       atomic.Bool
-	readNow     chan struct{}
-	declared    atomic.Pointer[routing.Table]
+	ready            atomic.Bool
+	layoutKnown      atomic.Bool
+	stopping         atomic.Bool
+	readRunnersOften atomic.Bool
+	// receivesRunners: others tell this process the list of runners.
+	receivesRunners atomic.Bool
+	leads           atomic.Bool
+	readNow         chan struct{}
+	configuration   atomic.Pointer[routing.Table]
 	// configured is closed with the first configuration.
 	configured chan struct{}
 	pending    atomic.Pointer[map[string]int]
@@ -96,7 +96,7 @@
 		identity: identity,
 		clock:    c,
 		metrics:  newMetrics(),
-		events:   make(chan func(), eventQueue),
+		events:   make(chan func(), eventQueueSize),
 		calls:    newWorkers(),
 		ended:    make(chan struct{}),
 		node:     fleet.New(cfg.Schedule, cfg.Grace, cfg.MilliCPU, c.now()),
@@ -107,7 +107,7 @@
 		configured: make(chan struct{}),
 	}
 	p.node.SetDomain(cfg.Domain)
-	p.declared.Store(&routing.Table{})
+	p.configuration.Store(&routing.Table{})
 	p.pending.Store(&map[string]int{})
 	p.mesh, err = peer.Listen(cfg.PeerAddress, identity, p, log)
 	return p, err
@@ -120,10 +120,10 @@
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { p.mesh.Run(ctx); return nil })
-	group.Go(func() error { p.watchOperator(ctx); return nil })
+	group.Go(func() error { p.watchOperatorSettings(ctx); return nil })
 	group.Go(func() error { p.watchLayout(ctx); return nil })
 	group.Go(func() error { p.watchRunners(ctx); return nil })
-	group.Go(func() error { p.watchStrain(ctx); return nil })
+	group.Go(func() error { p.watchCPUStarvation(ctx); return nil })
 	group.Go(func() error { p.register(ctx); p.watchMembers(ctx); return nil })
 	group.Go(func() error { defer cancel(); p.loop(ctx); return nil })
 	err := group.Wait()
@@ -157,17 +157,17 @@
 			p.node.Tick(p.clock.now())
 			p.publish()
 		}
-		p.carryOut(ctx)
+		p.execute(ctx)
 		if p.node.Done(p.clock.now()) {
 			p.node.GiveUp(p.clock.now())
-			p.carryOut(ctx)
+			p.execute(ctx)
 			return
 		}
 	}
 }
 
-// carryOut does what the node commands.
-func (p *Process) carryOut(ctx context.Context) {
+// execute does what the node commands.
+func (p *Process) execute(ctx context.Context) {
 	for _, c := range p.node.Ready() {
 		switch c := c.(type) {
 		case fleet.Send:
@@ -177,17 +177,17 @@
 		case fleet.Disconnect:
 			p.mesh.Drop(string(c.Peer))
 		case fleet.Order:
-			p.order(ctx, c)
+			p.executeOrder(ctx, c)
 		case fleet.ProbeStore:
 			go p.probeStore(ctx)
 		case fleet.StoreCall:
-			go p.storeCall(ctx, c, string(p.node.Self()))
+			go p.callStore(ctx, c, string(p.node.Self()))
 		case fleet.Answer:
-			p.reply(c.Reply)
+			p.deliverReply(c.Reply)
 		case fleet.StateAnswer:
-			p.stateAnswer(c)
+			p.deliverState(c)
 		case fleet.ReadRunners:
-			p.readRunnersNow()
+			p.requestRunnersRead()
 		case fleet.Notice:
 			p.logNotice(c)
 		default:
@@ -196,7 +196,7 @@
 	}
 }
 
-func (p *Process) order(ctx context.Context, c fleet.Order) {
+func (p *Process) executeOrder(ctx context.Context, c fleet.Order) {
 	switch o := c.Order.(type) {
 	case schedule.Start:
 		p.calls.run(func() { p.startTask(ctx, c.Shard, o) })
@@ -233,20 +233,20 @@
 // publish shows others what the node knows.
 func (p *Process) publish() {
 	p.ready.Store(p.node.Serves())
-	p.laidOut.Store(p.node.LaidOut())
+	p.layoutKnown.Store(p.node.LaidOut())
 	now := p.clock.now()
-	p.readOften.Store(p.node.ReadOften())
-	p.toldRunners.Store(p.node.ToldRunners())
+	p.readRunnersOften.Store(p.node.ReadOften())
+	p.receivesRunners.Store(p.node.ToldRunners())
 	p.leads.Store(p.node.Leads())
 	if now-p.pendingAt >= pendingInterval {
 		p.pendingAt = now
 		pending := p.node.Pending()
 		p.pending.Store(&pending)
 	}
-	if p.declared.Load().Version() != p.node.Version() {
-		first := p.declared.Load().Current() == nil
+	if p.configuration.Load().Version() != p.node.Version() {
+		first := p.configuration.Load().Current() == nil
 		table := p.node.Table()
-		p.declared.Store(&table)
+		p.configuration.Store(&table)
 		if first {
 			close(p.configured)
 		}
@@ -272,14 +272,14 @@
 func (p *Process) Stopping() bool { return p.stopping.Load() }
 
 // Configuration is the configuration in force; empty before the first.
-func (p *Process) Configuration() *routing.Table { return p.declared.Load() }
+func (p *Process) Configuration() *routing.Table { return p.configuration.Load() }
 
 // AwaitConfiguration is the configuration in force; it waits a while for the first.
 func (p *Process) AwaitConfiguration(ctx context.Context) *routing.Table {
 	if table := p.Configuration(); table.Current() != nil {
 		return table
 	}
-	ctx, cancel := context.WithTimeout(ctx, configurationWait)
+	ctx, cancel := context.WithTimeout(ctx, configurationTimeout)
 	defer cancel()
 	select {
 	case <-p.configured:
--- a/entry/requests.go
+++ b/entry/requests.go
@@ -22,25 +22,25 @@
 // ErrNoScheduler: nobody can be asked about the job at present.
 var ErrNoScheduler = errors.New("no scheduler can be reached")
 
-// retryEnded is when to come back to another entry VM.
-const retryEnded = time.Second
+// retryAfterEnd is when to come back to another entry VM.
+const retryAfterEnd = time.Second
 
 // Submit hands a job in and waits for its end. If the caller leaves, the job is
 // dropped.
-func (p *Process) Submit(ctx context.Context, job *workload.Job, patience time.Duration) (Reply, error) {
+func (p *Process) Submit(ctx context.Context, job *workload.Job, timeout time.Duration) (Reply, error) {
 	done := make(chan Reply, 1)
 	var id uint64
 	p.post(func(now Time) {
 		p.lastID++
 		id = p.lastID
 		p.replies[id] = done
-		p.node.Submit(now, id, job, patience)
+		p.node.Submit(now, id, job, timeout)
 	})
 	select {
 	case r := <-done:
 		return r, nil
 	case <-p.ended:
-		return lastWord(done), nil
+		return finalReply(done), nil
 	case <-ctx.Done():
 		p.post(func(now Time) {
 			delete(p.replies, id)
@@ -51,18 +51,18 @@
 	}
 }
 
-// lastWord is the reply to a request that was waiting as the process ended: the
+// finalReply is the reply to a request that was waiting as the process ended: the
 // one it was given, or if it came too late to be looked at, that it didn't run.
-func lastWord(done <-chan Reply) Reply {
+func finalReply(done <-chan Reply) Reply {
 	select {
 	case r := <-done:
 		return r
 	default:
-		return Reply{Outcome: workload.NotRun, RetryAfter: retryEnded}
+		return Reply{Outcome: workload.NotRun, RetryAfter: retryAfterEnd}
 	}
 }
 
-func (p *Process) reply(c gateway.Reply) {
+func (p *Process) deliverReply(c gateway.Reply) {
 	p.metrics.requests.WithLabelValues(c.Job.Queue, c.Outcome.String()).Inc()
 	p.metrics.requestSeconds.WithLabelValues(c.Outcome.String()).Observe(c.Took.Seconds())
 	p.log.Info().Str("job", string(c.Job.ID)).Str("queue", c.Job.Queue).Uint64("configuration", c.Job.Version).
@@ -103,7 +103,7 @@
 	}
 }
 
-func (p *Process) stateAnswer(a fleet.StateAnswer) {
+func (p *Process) deliverState(a fleet.StateAnswer) {
 	done := p.queries[a.Request]
 	delete(p.queries, a.Request)
 	if done != nil {
--- a/entry/strain_test.go
+++ b/entry/starvation_test.go
@@ -9,14 +9,14 @@
 
 // The VM of a process turns slow: work that is ready waits ever longer. One long
 // wait among short ones, as after a pause of the process, is none of that.
-func TestStrainMeter(t *testing.T) {
+func TestStarvationMeter(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	m := newStrainMeter(now)
+	m := newStarvationMeter(now)
 	medians := func(wait ...time.Duration) []time.Duration {
 		var list []time.Duration
 		for _, w := range wait {
-			now = now.Add(strainInterval + w)
+			now = now.Add(starvationSampleInterval + w)
 			if median, whole := m.add(now, w); whole {
 				list = append(list, median)
 			}
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// storeRetry is the pause after a failed call to the store: short against
+	// storeRetryInterval is the pause after a failed call to the store: short against
 	// the two seconds in which a change must be in force, long enough not to
 	// press a store in trouble.
-	storeRetry = 300 * time.Millisecond
-	// runnersFast is how often the leader reads the list of runners: a runner
+	storeRetryInterval = 300 * time.Millisecond
+	// leaderReadInterval is how often the leader reads the list of runners: a runner
 	// that drains must get nothing new 2 s after the list says so. runnersSlow
 	// is for the others, which need the list when they come to lead.
-	runnersFast = 600 * time.Millisecond
-	runnersSlow = 6 * time.Second
-	// layoutPause is how often a process asks how the runners are divided, until it
+	leaderReadInterval   = 600 * time.Millisecond
+	followerReadInterval = 6 * time.Second
+	// layoutReadInterval is how often a process asks how the runners are divided, until it
 	// knows.
-	layoutPause = 600 * time.Millisecond
-	// memberPause, for each member, is the pause after a change of the members.
+	layoutReadInterval = 600 * time.Millisecond
+	// pausePerMember, for each member, is the pause after a change of the members.
 	// When a fleet starts each registration is a change for all; so as many calls
 	// a second come to the store from a large fleet as from a small one.
-	memberPause = 2 * time.Millisecond
+	pausePerMember = 2 * time.Millisecond
 )
 
 // register publishes this process in the store until that has succeeded.
@@ -74,7 +74,7 @@
 			failed = time.Now()
 			p.log.Warn().Str("dependency", "store").Str("call", what).Err(err).Msg("dependency-lost")
 		}
-		pause(ctx, storeRetry)
+		pause(ctx, storeRetryInterval)
 	}
 }
 
@@ -95,7 +95,7 @@
 			p.checkOwnRow(ctx, list)
 			p.mesh.SetMembers(p.self, list)
 			p.setMembers(list)
-			pause(ctx, time.Duration(len(list))*memberPause)
+			pause(ctx, time.Duration(len(list))*pausePerMember)
 			return nil
 		})
 	}
@@ -129,20 +129,20 @@
 	}
 }
 
-func (p *Process) watchOperator(ctx context.Context) {
+func (p *Process) watchOperatorSettings(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.retry(ctx, "configuration", func() error {
 			o, err := p.store.OperatorSettings(ctx)
 			if err != nil {
 				return err
 			}
-			p.operatorRead(o)
+			p.applyOperatorSettings(o)
 			return nil
 		})
 	}
 }
 
-func (p *Process) operatorRead(o OperatorSettings) {
+func (p *Process) applyOperatorSettings(o OperatorSettings) {
 	if o.Declaration == nil {
 		p.log.Warn().Msg("configuration-unreadable")
 	}
@@ -157,16 +157,16 @@
 // watchLayout reads how the runners are divided, until that is known. Nobody connects
 // before, so it doesn't wait for the registration or the list of runners.
 func (p *Process) watchLayout(ctx context.Context) {
-	for ctx.Err() == nil && !p.laidOut.Load() {
-		p.retry(ctx, "layout", func() error { return p.takeLayout(ctx, nil) })
-		pause(ctx, layoutPause)
+	for ctx.Err() == nil && !p.layoutKnown.Load() {
+		p.retry(ctx, "layout", func() error { return p.readLayout(ctx, nil) })
+		pause(ctx, layoutReadInterval)
 	}
 }
 
 // watchRunners reads the list of runners, often while this process does so for others.
 func (p *Process) watchRunners(ctx context.Context) {
 	for ctx.Err() == nil {
-		if p.toldRunners.Load() && !p.askedToRead(ctx, runnersFast) {
+		if p.receivesRunners.Load() && !p.awaitReadRequest(ctx, leaderReadInterval) {
 			continue
 		}
 		p.retry(ctx, "runners", func() error {
@@ -175,51 +175,51 @@
 				return err
 			}
 			p.post(func(now Time) { p.node.RunnersRead(now, list) })
-			return p.divide(ctx, list.Runners)
+			return p.proposeLayout(ctx, list.Runners)
 		})
-		p.awaitRead(ctx)
+		p.awaitNextRead(ctx)
 	}
 }
 
-// listSettled is how long no runner must have come to the list until it counts
+// runnersSettleTime is how long no runner must have come to the list until it counts
 // as whole: when a deployment first starts, its runners register one by one.
-const listSettled = 2 * time.Second
+const runnersSettleTime = 2 * time.Second
 
-// divide proposes how the runners are divided, when a deployment first starts and
+// proposeLayout proposes how the runners are divided, when a deployment first starts and
 // its list of runners is whole.
-func (p *Process) divide(ctx context.Context, runners []workload.Runner) error {
-	if p.laidOut.Load() {
+func (p *Process) proposeLayout(ctx context.Context, runners []workload.Runner) error {
+	if p.layoutKnown.Load() {
 		return nil
 	}
-	if len(runners) > p.mostRunners {
-		p.mostRunners = len(runners)
-		p.mostSince = time.Now()
+	if len(runners) > p.maxRunnersSeen {
+		p.maxRunnersSeen = len(runners)
+		p.maxRunnersSeenAt = time.Now()
 	}
-	if len(runners) == 0 || time.Since(p.mostSince) < listSettled {
+	if len(runners) == 0 || time.Since(p.maxRunnersSeenAt) < runnersSettleTime {
 		return nil
 	}
-	return p.takeLayout(ctx, layout.For(runners, layout.VM{MilliCPU: p.cfg.MilliCPU, LinkMbps: p.cfg.LinkMbps}))
+	return p.readLayout(ctx, layout.For(runners, layout.VM{MilliCPU: p.cfg.MilliCPU, LinkMbps: p.cfg.LinkMbps}))
 }
 
-// takeLayout reads the layout, and with a proposal sets it if nobody has.
-func (p *Process) takeLayout(ctx context.Context, propose layout.Layout) error {
-	l, err := p.store.Layout(ctx, propose)
+// readLayout reads the layout, and with a proposal sets it if nobody has.
+func (p *Process) readLayout(ctx context.Context, proposal layout.Layout) error {
+	l, err := p.store.Layout(ctx, proposal)
 	if err != nil || len(l) == 0 {
 		return err
 	}
-	any, err := p.store.HasRecords(ctx)
+	recordsExist, err := p.store.HasRecords(ctx)
 	if err != nil {
 		return err
 	}
 	p.post(func(now Time) {
-		p.node.StoreRead(now, any)
+		p.node.StoreRead(now, recordsExist)
 		p.node.Layout(now, l)
 	})
 	return nil
 }
 
-// askedToRead waits, and reports whether the list is to be read at once.
-func (p *Process) askedToRead(ctx context.Context, wait time.Duration) bool {
+// awaitReadRequest waits, and reports whether the list is to be read at once.
+func (p *Process) awaitReadRequest(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-ctx.Done():
 	case <-p.readNow:
@@ -229,18 +229,18 @@
 	return false
 }
 
-// awaitRead waits for the next time to read the list of runners.
-func (p *Process) awaitRead(ctx context.Context) {
-	for waited := time.Duration(0); waited < runnersSlow; waited += runnersFast {
-		if p.askedToRead(ctx, runnersFast) || ctx.Err() != nil || p.readOften.Load() || !p.laidOut.Load() {
+// awaitNextRead waits for the next time to read the list of runners.
+func (p *Process) awaitNextRead(ctx context.Context) {
+	for waited := time.Duration(0); waited < followerReadInterval; waited += leaderReadInterval {
+		if p.awaitReadRequest(ctx, leaderReadInterval) || ctx.Err() != nil || p.readRunnersOften.Load() || !p.layoutKnown.Load() {
 			return
 		}
 	}
 }
 
-// readRunnersNow has the list read now.
-func (p *Process) readRunnersNow() {
-	p.readOften.Store(true)
+// requestRunnersRead has the list read now.
+func (p *Process) requestRunnersRead() {
+	p.readRunnersOften.Store(true)
 	select {
 	case p.readNow <- struct{}{}:
 	default:
--- a/entry/workers.go
+++ b/entry/workers.go
@@ -6,16 +6,16 @@
 type workers struct {
 	// work hands a call to a goroutine that waits for one.
 	work chan func()
-	// rest bounds the goroutines that wait.
-	rest chan struct{}
+	// idle bounds the goroutines that wait.
+	idle chan struct{}
 }
 
-// restMost is the number of goroutines kept: as many calls are on their way in a
+// maxIdleWorkers is the number of goroutines kept: as many calls are on their way in a
 // process that leads 60 runners at full load.
-const restMost = 128
+const maxIdleWorkers = 128
 
 func newWorkers() *workers {
-	return &workers{work: make(chan func()), rest: make(chan struct{}, restMost)}
+	return &workers{work: make(chan func()), idle: make(chan struct{}, maxIdleWorkers)}
 }
 
 // run calls f on some goroutine, at once.
@@ -32,11 +32,11 @@
 	for {
 		f()
 		select {
-		case w.rest <- struct{}{}:
+		case w.idle <- struct{}{}:
 		default:
 			return
 		}
 		f = <-w.work
-		<-w.rest
+		<-w.idle
 	}
 }
--- a/entry/workers_test.go
+++ b/entry/workers_test.go
@@ -9,7 +9,7 @@
 
 // A call that never comes back, as to a runner that has fallen silent, holds up no
 // other one, however many there are.
-func TestWorkersWaitForNobody(t *testing.T) {
+func TestBlockedCallsDelayNoOthers(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorkers()
 	stuck := make(chan struct{})
@@ -17,7 +17,7 @@
 	var done sync.WaitGroup
 	var mu sync.Mutex
 	count := 0
-	for i := range 3 * restMost {
+	for i := range 3 * maxIdleWorkers {
 		if i%2 == 0 {
 			w.run(func() { <-stuck })
 			continue
@@ -31,5 +31,5 @@
 		})
 	}
 	done.Wait()
-	g.Expect(count).To(Equal(3 * restMost / 2))
+	g.Expect(count).To(Equal(3 * maxIdleWorkers / 2))
 }
