--- a/entry/calls.go
+++ b/entry/calls.go
@@ -7,8 +7,8 @@
 	"sapphirepoint.example/sapphirepoint/core/schedule"
 )
 
-// Orders to runners. Each is carried out by a goroutine of its own; results go
-// back to the loop as events.
+// Orders to runners. Each one runs on a goroutine of Process.calls, and its result
+// goes back to the loop as an event.
 
 func (p *Process) startTask(ctx context.Context, shard int, c schedule.Start) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
--- a/entry/clock.go
+++ b/entry/clock.go
@@ -7,19 +7,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// clock is a monotonic clock that counts the time during which the VM was
-// suspended. Go's own doesn't: after a suspension every lease would seem to be
-// as fresh as before, and the process would go on as the leader that it no
-// longer is.
+// clock is a monotonic clock that includes the time during which the VM was
+// suspended. Go's monotonic clock doesn't: after a suspension every lease would seem
+// as fresh as before, and a process would go on as leader after it has lost that
+// role.
 type clock struct {
 	start     time.Time
 	bootStart time.Duration
-	// suspended is the time that the plain clock has missed.
+	// suspended is the total suspended time, in nanoseconds, that Go's clock has missed.
 	suspended atomic.Int64
 }
 
-// minSuspension is the least difference between the clocks that is taken for a
-// suspension; reading one after the other takes far less.
+// minSuspension is the smallest difference between the clocks that counts as a
+// suspension. Reading one clock after the other takes far less.
 const minSuspension = 20 * time.Millisecond
 
 func newClock() *clock {
@@ -28,7 +28,7 @@
 	return c
 }
 
-// bootTime is the time since the VM was started, with suspensions.
+// bootTime returns the time since the VM was started, including suspensions.
 func bootTime() (time.Duration, bool) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -41,14 +41,14 @@
 	return time.Since(c.start) + time.Duration(c.suspended.Load())
 }
 
-// at converts a reading of Go's clock.
+// at converts a time of Go's clock.
 func (c *clock) at(t time.Time) Time {
 	return t.Sub(c.start) + time.Duration(c.suspended.Load())
 }
 
-// adjust looks for suspensions. Between a suspension and the next look the
-// clock is behind, which is the safe side: leases seem to have less time left
-// on the runners' clocks, and silent runners to be alive for longer.
+// adjust detects suspensions. Between a suspension and the next call the clock is
+// behind, which is the safe side: leases on the runners' clocks seem to have less
+// time left, and silent runners seem to be alive for longer.
 func (c *clock) adjust() {
 	boot, ok := bootTime()
 	if !ok {
--- a/entry/dump.go
+++ b/entry/dump.go
@@ -6,7 +6,7 @@
 	"sapphirepoint.example/sapphirepoint/core/fleet"
 )
 
-// Dump is the state of a process, for operators.
+// Dump is the state of a process, as shown to operators.
 type Dump struct {
 	ID              string            `json:"id"`
 	Ready           bool              `json:"ready"`
@@ -20,7 +20,8 @@
 	Shards          []fleet.ShardDump `json:"shards"`
 }
 
-// Dump returns the state; it is empty if the process has ended.
+// Dump returns the state of the process. It is empty if ctx ends first, as happens
+// once the process has ended.
 func (p *Process) Dump(ctx context.Context) Dump {
 	done := make(chan Dump, 1)
 	p.post(func(now Time) { done <- p.dump(now) })
--- a/entry/ledgers.go
+++ b/entry/ledgers.go
@@ -11,8 +11,7 @@
 	"sapphirepoint.example/sapphirepoint/core/ledger"
 )
 
-// callStore carries out a call of a shard's ledger, and gives the result back to
-// the loop as an event.
+// callStore executes a call of a shard's ledger and posts the result to the loop.
 func (p *Process) callStore(ctx context.Context, c fleet.StoreCall, owner string) {
 	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout(c.Call))
 	defer cancel()
@@ -52,11 +51,11 @@
 }
 
 const (
-	// ledgerWriteTimeout bounds a call about few rows: it takes some
-	// milliseconds, and up to half a second if the store is slow. A store that
-	// is silent to this process alone must be noticed while callers still wait.
+	// ledgerWriteTimeout bounds a call that concerns few rows. It takes a few
+	// milliseconds, and up to half a second if the store is slow. A store that doesn't
+	// answer this process alone must be detected while callers still wait.
 	ledgerWriteTimeout = 700 * time.Millisecond
-	// ledgerReadTimeout bounds the reading of all records, some thousand.
+	// ledgerReadTimeout bounds the reading of all records of a shard, some thousand.
 	ledgerReadTimeout = 3 * time.Second
 )
 
@@ -79,10 +78,10 @@
 	return ledger.Unanswered
 }
 
-// probeTimeout bounds a probe: other processes wait for its result.
+// probeTimeout bounds a probe of the store; other processes wait for its result.
 const probeTimeout = 500 * time.Millisecond
 
-// probeStore tries whether the store answers this process.
+// probeStore checks whether the store is reachable from this process.
 func (p *Process) probeStore(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -7,7 +7,7 @@
 	"sapphirepoint.example/sapphirepoint/core/schedule"
 )
 
-// metrics are the counters and histograms of a process.
+// metrics holds the counters, gauges and histograms of a process.
 type metrics struct {
 	registry        *prometheus.Registry
 	requests        *prometheus.CounterVec
@@ -27,7 +27,7 @@
 	events          *prometheus.CounterVec
 }
 
-// latencyBuckets span answers from a few milliseconds to a caller's patience.
+// latencyBuckets range from answers within a few milliseconds to callers' timeouts.
 var latencyBuckets = []float64{.002, .005, .01, .02, .05, .1, .2, .3, .5, .75, 1, 1.5, 2.5}
 
 func newMetrics() *metrics {
@@ -85,7 +85,7 @@
 	return m
 }
 
-// Metrics is the registry of the process's metrics.
+// Metrics returns the registry of the process's metrics.
 func (p *Process) Metrics() *prometheus.Registry { return p.metrics.registry }
 
 func (m *metrics) update(n *fleet.Node) {
--- a/entry/ports.go
+++ b/entry/ports.go
@@ -1,6 +1,6 @@
-// Package entry is the process on an entry VM: one loop round fleet.Node. It
-// owns the timers and carries out what the node commands; sockets and the
-// platform are reached through ports. The loop never waits for them.
+// Package entry is the process on an entry VM: an event loop around fleet.Node. It
+// owns the timers and executes the node's commands. It reaches sockets and the
+// platform through interfaces; the loop never blocks on them.
 package entry
 
 import (
@@ -19,7 +19,7 @@
 	"sapphirepoint.example/sapphirepoint/peer"
 )
 
-// Runners carries orders to runners. Calls are concurrent and return when the
+// Runners sends orders to runners. Calls may be concurrent; each returns when the
 // runner has answered or the context has ended.
 type Runners interface {
 	Start(context.Context, schedule.Start) CallAnswer
@@ -27,15 +27,15 @@
 	Hold(context.Context, schedule.Hold) HoldAnswer
 }
 
-// CallAnswer is a runner's answer.
+// CallAnswer is a runner's answer to an order.
 type CallAnswer struct {
 	Outcome schedule.CallOutcome
-	// Clock is the runner's clock in milliseconds; 0 if it wasn't told.
+	// Clock is the runner's clock in milliseconds; 0 if the answer doesn't contain it.
 	Clock int64
-	// Born is when the runner's lifetime began, in milliseconds since 1970; 0 if it
-	// wasn't told.
+	// Born is the start of the runner's lifetime in milliseconds since 1970; 0 if the
+	// answer doesn't contain it.
 	Born int64
-	// Cause is set where there is no usable answer.
+	// Cause is the error if there is no usable answer.
 	Cause error
 }
 
@@ -50,71 +50,72 @@
 // Store is the platform's store.
 type Store interface {
 	// Register publishes this process and returns its number, which is higher
-	// than that of all that registered before.
+	// than the numbers of all earlier registrations.
 	Register(context.Context, peer.Member) (uint64, error)
-	// Members waits for a change of the registered processes and returns all;
+	// Members waits for a change of the registered processes and returns them all;
 	// the first call returns at once.
 	Members(context.Context) ([]peer.Member, error)
 	// OperatorSettings waits for a change of what the operator has written; the first call
 	// returns at once.
 	OperatorSettings(context.Context) (OperatorSettings, error)
-	// Runners reads the list of runners as it is now.
+	// Runners reads the current list of runners.
 	Runners(context.Context) (fleet.RunnerList, error)
-	// Layout reads how the runners are divided, and sets it if nobody has yet; an
-	// empty proposal only reads. It never changes.
+	// Layout returns how the runners are divided into shards. If that isn't stored yet it
+	// stores the proposal; an empty proposal only reads. Once stored, it never changes.
 	Layout(ctx context.Context, propose layout.Layout) (layout.Layout, error)
 	LedgerStore
 }
 
-// OperatorSettings is what the operator has written.
+// OperatorSettings is what the operator has written to the store.
 type OperatorSettings struct {
-	// Declaration is the configuration; nil means that what is there can't be used.
+	// Declaration is the configuration; nil if the stored one is missing or invalid.
 	Declaration *routing.Declaration
 	Evacuations routing.Evacuations
 }
 
-// LedgerStore keeps the records of the shards' jobs.
+// LedgerStore stores the records of the shards' jobs.
 type LedgerStore interface {
-	// Claim takes a shard's rows for an owner, or renews its hold. ErrSuperseded:
-	// another owner has them; ErrRejected: also, the owner has excluded the VM.
+	// Claim takes ownership of a shard's rows, or renews it. It returns ErrSuperseded if
+	// a renewal finds another owner, and ErrRejected also if the owner has excluded the
+	// VM or if another process was faster.
 	Claim(ctx context.Context, shard int, owner string, c ledger.Claim) (ledger.Ownership, error)
 	// HasRecords reports whether any shard has records.
 	HasRecords(ctx context.Context) (bool, error)
-	// OwnershipVersion is the version of the ownership row.
+	// OwnershipVersion returns the version of a shard's ownership row.
 	OwnershipVersion(ctx context.Context, shard int) (uint64, error)
 	// Records reads all records of a shard.
 	Records(ctx context.Context, shard int) ([]ledger.Record, error)
-	// Write saves records if the ownership row has the version; else it is
-	// ErrSuperseded.
+	// Write saves records if the ownership row still has the given version; otherwise
+	// it returns ErrSuperseded.
 	Write(ctx context.Context, shard int, version uint64, records []ledger.Record) error
 }
 
 var (
-	// ErrSuperseded: another process owns the shard.
+	// ErrSuperseded means that another process owns the shard.
 	ErrSuperseded = errors.New("another process owns the shard")
-	// ErrRejected: the store has refused a call and done nothing.
-	ErrRejected = errors.New("the store turned the call away")
+	// ErrRejected means that the store has rejected a call and changed nothing.
+	ErrRejected = errors.New("the store rejected the call")
 )
 
-// Config is what a process needs.
+// Config configures a process.
 type Config struct {
 	// Node is the VM's name.
 	Node string
 	// Domain is the VM's failure domain.
 	Domain   string
 	Schedule schedule.Config
-	// MilliCPU is the processor that the VM has, in thousandths of a core.
+	// MilliCPU is the CPU capacity of the VM, in thousandths of a core.
 	MilliCPU int
-	// LinkMbps is the bandwidth of the VM's link, in Mbit a second; 0 if unknown.
+	// LinkMbps is the bandwidth of the VM's link, in Mbit/s; 0 if unknown.
 	LinkMbps float64
-	// PeerAddress is where other processes reach this one.
+	// PeerAddress is the address on which other processes reach this one.
 	PeerAddress string
-	// Grace is how long after a planned stop begins the platform ends the
-	// process.
+	// Grace is the time from the start of a planned stop until the platform kills
+	// the process.
 	Grace time.Duration
 }
 
-// MemberID names one lifetime of a process on a VM.
+// MemberID returns the id of one lifetime of a process on a VM.
 func MemberID(node string, number uint64) string {
 	return node + "#" + strconv.FormatUint(number, 10)
 }
--- a/entry/process.go
+++ b/entry/process.go
@@ -18,23 +18,23 @@
 	"sapphirepoint.example/sapphirepoint/peer"
 )
 
-// Time is a reading of the process's monotonic clock.
+// Time is a time on the process's monotonic clock.
 type Time = task.Time
 
 const (
-	// pendingInterval is how often the counts of waiting jobs are published; they
-	// may be two seconds old, and come with heartbeats.
+	// pendingInterval is how often the counts of waiting jobs are published. They
+	// come with heartbeats and may be up to two seconds old.
 	pendingInterval = 200 * time.Millisecond
-	// gaugeInterval is how often gauges are brought up to date.
+	// gaugeInterval is how often gauges are updated.
 	gaugeInterval = time.Second
 	// configurationTimeout is how long requests wait for the first configuration. A
-	// process accepts connections some 20 ms before it has read it.
+	// process accepts connections some 20 ms before it has read the configuration.
 	configurationTimeout = 300 * time.Millisecond
 	// eventQueueSize bounds the events that wait for the loop.
 	eventQueueSize = 8192
 )
 
-// Process is one entry process.
+// Process is an entry process.
 type Process struct {
 	cfg      Config
 	log      zerolog.Logger
@@ -46,18 +46,19 @@
 	metrics  *metrics
 	events   chan func()
 	calls    *workers
-	// ended is closed when a planned stop is over.
+	// ended is closed when the loop has returned.
 	ended chan struct{}
 
-	// maxRunnersSeen is the longest list of runners read before the layout was known,
-	// and mostSince when; they belong to the goroutine that reads it.
+	// maxRunnersSeen is the length of the longest list of runners read before the
+	// layout was known, and maxRunnersSeenAt is when it was read. Only the goroutine
+	// of watchRunners uses them.
 	maxRunnersSeen   int
 	maxRunnersSeenAt time.Time
 
-	// self belongs to the goroutine that watches the members.
+	// self is this process's registration. Only the goroutine of watchMembers uses it.
 	self peer.Member
 
-	// What follows belongs to the loop.
+	// The fields below are used only by the loop.
 	node     *fleet.Node
 	replies  map[uint64]chan Reply
 	queries  map[uint64]chan fleet.StateAnswer
@@ -66,22 +67,22 @@
 	// pendingAt is when the counts of waiting jobs were last published.
 	pendingAt Time
 
-	// What follows is read by others.
+	// The fields below are shared with other goroutines.
 	ready            atomic.Bool
 	layoutKnown      atomic.Bool
 	stopping         atomic.Bool
 	readRunnersOften atomic.Bool
-	// receivesRunners: others tell this process the list of runners.
+	// receivesRunners is set while another process sends the list of runners to this one.
 	receivesRunners atomic.Bool
 	leads           atomic.Bool
 	readNow         chan struct{}
 	configuration   atomic.Pointer[routing.Table]
-	// configured is closed with the first configuration.
+	// configured is closed when the first configuration is in force.
 	configured chan struct{}
 	pending    atomic.Pointer[map[string]int]
 }
 
-// New opens the socket for peers; Run does the rest.
+// New creates a process and opens its socket for peers. Run starts the rest.
 func New(cfg Config, runners Runners, store Store, log zerolog.Logger) (*Process, error) {
 	identity, err := peer.NewIdentity()
 	if err != nil {
@@ -113,7 +114,7 @@
 	return p, err
 }
 
-// Run works until the context ends or a planned stop is over.
+// Run runs the process until the context ends or a planned stop is complete.
 func (p *Process) Run(ctx context.Context) error {
 	p.log.Info().Str("peers", p.mesh.Address()).Msg("process-started")
 	ctx, cancel := context.WithCancel(ctx)
@@ -131,9 +132,9 @@
 	return err
 }
 
-// post hands an event to the loop. It waits while the queue is full: whoever
-// brings events then slows down, and nothing is lost. After the end events are
-// dropped.
+// post queues an event for the loop. It blocks while the queue is full, so the
+// sources of events slow down and no event is lost. Events posted after the loop
+// has ended are dropped.
 func (p *Process) post(f func(now Time)) {
 	select {
 	case p.events <- func() { f(p.clock.now()) }:
@@ -166,7 +167,7 @@
 	}
 }
 
-// execute does what the node commands.
+// execute carries out the commands that the node has issued.
 func (p *Process) execute(ctx context.Context) {
 	for _, c := range p.node.Ready() {
 		switch c := c.(type) {
@@ -230,7 +231,7 @@
 	e.Msg(n.Event)
 }
 
-// publish shows others what the node knows.
+// publish copies the node's state to the fields that other goroutines read.
 func (p *Process) publish() {
 	p.ready.Store(p.node.Serves())
 	p.layoutKnown.Store(p.node.LaidOut())
@@ -257,24 +258,25 @@
 	}
 }
 
-// Stop begins a planned stop: others take over what this process schedules,
-// and it serves its callers until the grace is nearly over.
+// Stop begins a planned stop: other processes take over the shards that this one
+// leads, and it answers its callers until the grace period is nearly over.
 func (p *Process) Stop() {
 	p.stopping.Store(true)
 	p.ready.Store(false)
 	p.post(func(now Time) { p.node.Stop(now) })
 }
 
-// Ready reports whether new callers should come here.
+// Ready reports whether this process accepts new callers.
 func (p *Process) Ready() bool { return p.ready.Load() }
 
 // Stopping reports whether a planned stop has begun.
 func (p *Process) Stopping() bool { return p.stopping.Load() }
 
-// Configuration is the configuration in force; empty before the first.
+// Configuration returns the configuration in force; it is empty before the first one.
 func (p *Process) Configuration() *routing.Table { return p.configuration.Load() }
 
-// AwaitConfiguration is the configuration in force; it waits a while for the first.
+// AwaitConfiguration returns the configuration in force. It waits up to
+// configurationTimeout for the first one.
 func (p *Process) AwaitConfiguration(ctx context.Context) *routing.Table {
 	if table := p.Configuration(); table.Current() != nil {
 		return table
@@ -288,7 +290,7 @@
 	return p.Configuration()
 }
 
-// Pending is the number of jobs of a queue of which no task has started.
+// Pending returns the number of jobs of a queue of which no task has started.
 func (p *Process) Pending(queue string) int { return (*p.pending.Load())[queue] }
 
 // PeerUp implements peer.Handler.
--- a/entry/requests.go
+++ b/entry/requests.go
@@ -12,20 +12,21 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Reply is the final word on a request.
+// Reply is the final answer to a request.
 type Reply struct {
 	Outcome workload.Outcome
-	// RetryAfter is when a caller whose job did not run may come back.
+	// RetryAfter is the delay after which a caller whose job did not run may retry.
 	RetryAfter time.Duration
 }
 
-// ErrNoScheduler: nobody can be asked about the job at present.
+// ErrNoScheduler means that no scheduler can be asked about the job at present.
 var ErrNoScheduler = errors.New("no scheduler can be reached")
 
-// retryAfterEnd is when to come back to another entry VM.
+// retryAfterEnd is the delay after which a caller may retry, on another entry VM,
+// when this process has ended.
 const retryAfterEnd = time.Second
 
-// Submit hands a job in and waits for its end. If the caller leaves, the job is
+// Submit submits a job and waits for its end. If the caller leaves first, the job is
 // dropped.
 func (p *Process) Submit(ctx context.Context, job *workload.Job, timeout time.Duration) (Reply, error) {
 	done := make(chan Reply, 1)
@@ -51,8 +52,8 @@
 	}
 }
 
-// finalReply is the reply to a request that was waiting as the process ended: the
-// one it was given, or if it came too late to be looked at, that it didn't run.
+// finalReply returns the reply to a request that was waiting when the process
+// ended: the one that was sent to it, or else that the job did not run.
 func finalReply(done <-chan Reply) Reply {
 	select {
 	case r := <-done:
@@ -76,7 +77,7 @@
 	}
 }
 
-// State asks the scheduler how far a job is, and with cancel to end it.
+// State asks the scheduler for the state of a job; with cancel it also cancels the job.
 func (p *Process) State(ctx context.Context, job workload.JobID, cancel bool) (schedule.JobState, error) {
 	done := make(chan fleet.StateAnswer, 1)
 	var id uint64
--- a/entry/starvation.go
+++ b/entry/starvation.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// starvationSampleInterval is the pause between two looks at how long work that is
-	// ready waits for the processor; strainWindow and strainLooks are the time and
-	// the number of looks of which the median counts: a takeover keeps a small VM
-	// busy for a tenth of a second.
+	// starvationSampleInterval is the pause between two measurements of how long a
+	// runnable goroutine waits for the CPU. A median is taken over starvationWindow and
+	// at least minStarvationSamples measurements, since a takeover alone keeps a small
+	// VM busy for 100 ms.
 	starvationSampleInterval = 20 * time.Millisecond
 	starvationWindow         = 200 * time.Millisecond
 	minStarvationSamples     = 3
 )
 
-// watchCPUStarvation measures how long work that is ready waits for the processor, and
-// tells the node.
+// watchCPUStarvation measures how long a runnable goroutine waits for the CPU, and
+// passes the medians to the node.
 //
-// A VM may turn slow, or others on its machine take its share. The process then
-// does everything, but later each moment; its clock and its timers look sound.
-// A goroutine that gives way to all others that are ready shows it: it is back
-// within a millisecond or two while the processor keeps up (10 ms in a burst),
-// and after 40 to 200 ms while it doesn't.
+// A VM may become slow, or other VMs on its machine may take its share of the CPU. The
+// process then still does everything, but with a growing delay, while its clock and its
+// timers seem normal. The time that runtime.Gosched takes to return shows the delay: a
+// millisecond or two while there is enough CPU (10 ms in a burst), 40 to 200 ms while
+// there isn't.
 func (p *Process) watchCPUStarvation(ctx context.Context) {
 	ticker := time.NewTicker(starvationSampleInterval)
 	defer ticker.Stop()
@@ -36,8 +36,8 @@
 		case <-ticker.C:
 		}
 		if !p.leads.Load() {
-			// Nobody else waits for this process, and a VM has fifty looks a second
-			// to spare for better things.
+			// No other process waits for this one, so the VM is spared the fifty
+			// measurements a second.
 			meter = newStarvationMeter(time.Now())
 			pause(ctx, starvationWindow)
 			continue
@@ -51,8 +51,8 @@
 	}
 }
 
-// starvationMeter takes the median of waits over windows of time: a single pause of the
-// process, however long, is no sign of a slow VM.
+// starvationMeter computes the median of waits over windows of time: a single pause of
+// the process, however long, doesn't show that the VM is slow.
 type starvationMeter struct {
 	start time.Time
 	waits []time.Duration
@@ -60,7 +60,7 @@
 
 func newStarvationMeter(now time.Time) *starvationMeter { return &starvationMeter{start: now} }
 
-// add takes a wait; with the last one of a window it returns the median.
+// add adds a wait; if that completes a window, it returns the window's median.
 func (m *starvationMeter) add(now time.Time, wait time.Duration) (median time.Duration, complete bool) {
 	m.waits = append(m.waits, wait)
 	if now.Sub(m.start) < starvationWindow || len(m.waits) < minStarvationSamples {
--- a/entry/starvation_test.go
+++ b/entry/starvation_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// The VM of a process turns slow: work that is ready waits ever longer. One long
-// wait among short ones, as after a pause of the process, is none of that.
+// Guards against a starved VM that isn't detected, and against a single long pause of
+// the process that is taken for CPU starvation.
 func TestStarvationMeter(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// storeRetryInterval is the pause after a failed call to the store: short against
-	// the two seconds in which a change must be in force, long enough not to
-	// press a store in trouble.
+	// storeRetryInterval is the pause after a failed call to the store. It is short
+	// compared to the two seconds within which a change must be in force, and long
+	// enough not to add load to a failing store.
 	storeRetryInterval = 300 * time.Millisecond
-	// leaderReadInterval is how often the leader reads the list of runners: a runner
-	// that drains must get nothing new 2 s after the list says so. runnersSlow
-	// is for the others, which need the list when they come to lead.
+	// leaderReadInterval is how often a leader reads the list of runners: a draining
+	// runner must get no new tasks from 2 s after the list shows its state.
+	// followerReadInterval is for other processes, which need the list if they become
+	// leaders.
 	leaderReadInterval   = 600 * time.Millisecond
 	followerReadInterval = 6 * time.Second
-	// layoutReadInterval is how often a process asks how the runners are divided, until it
-	// knows.
+	// layoutReadInterval is how often a process reads the layout until it is known.
 	layoutReadInterval = 600 * time.Millisecond
-	// pausePerMember, for each member, is the pause after a change of the members.
-	// When a fleet starts each registration is a change for all; so as many calls
-	// a second come to the store from a large fleet as from a small one.
+	// pausePerMember, times the number of members, is the pause after a change of the
+	// members. While a fleet starts, every registration is a change for all processes;
+	// with this pause a large fleet makes as many calls a second as a small one.
 	pausePerMember = 2 * time.Millisecond
 )
 
-// register publishes this process in the store until that has succeeded.
+// register publishes this process in the store and retries until that succeeds.
 func (p *Process) register(ctx context.Context) {
 	m := peer.Member{
 		Member:      topology.Member{VM: p.cfg.Node, Domain: p.cfg.Domain, MilliCPU: p.cfg.MilliCPU},
@@ -48,7 +48,7 @@
 	p.registered(m, number)
 }
 
-// registered takes the identity that the store has given to this process.
+// registered adopts the id and number that the store has assigned to this process.
 func (p *Process) registered(m peer.Member, number uint64) {
 	m.Number = number
 	m.ID = MemberID(m.VM, number)
@@ -56,8 +56,8 @@
 	p.post(func(now Time) { p.node.Registered(now, leader.ID(m.ID), number) })
 }
 
-// retry calls f until it succeeds or the context ends, and logs when the store
-// is lost and regained.
+// retry calls f until it succeeds or the context ends. It logs when the store becomes
+// unavailable and when it is available again.
 func (p *Process) retry(ctx context.Context, what string, f func() error) {
 	failed := time.Time{}
 	for ctx.Err() == nil {
@@ -109,12 +109,12 @@
 	p.post(func(now Time) { p.node.SetMembers(now, members) })
 }
 
-// checkOwnRow compares this process's row with what it knows of itself.
+// checkOwnRow compares this process's row in the store with its registration.
 //
-// A write whose answer was lost may have been repeated, and then be carried out
-// again: the row has a newer number than the process knows. Or the late write
-// of an earlier lifetime on this VM has replaced the row: the others would
-// close their connections with this process as with one that isn't registered.
+// A write whose answer was lost may have been repeated and applied twice; the row then
+// has a higher number than this process knows. Or a late write of an earlier lifetime
+// on this VM has replaced the row; the other processes would then close their
+// connections to this one, as it isn't registered any more.
 func (p *Process) checkOwnRow(ctx context.Context, list []peer.Member) {
 	for _, m := range list {
 		if m.VM != p.cfg.Node || m.Number <= p.self.Number {
@@ -154,8 +154,9 @@
 	})
 }
 
-// watchLayout reads how the runners are divided, until that is known. Nobody connects
-// before, so it doesn't wait for the registration or the list of runners.
+// watchLayout reads how the runners are divided into shards until that is known. No
+// process connects to others before, so this waits neither for the registration nor
+// for the list of runners.
 func (p *Process) watchLayout(ctx context.Context) {
 	for ctx.Err() == nil && !p.layoutKnown.Load() {
 		p.retry(ctx, "layout", func() error { return p.readLayout(ctx, nil) })
@@ -163,7 +164,7 @@
 	}
 }
 
-// watchRunners reads the list of runners, often while this process does so for others.
+// watchRunners reads the list of runners, and often if this process reads it for others.
 func (p *Process) watchRunners(ctx context.Context) {
 	for ctx.Err() == nil {
 		if p.receivesRunners.Load() && !p.awaitReadRequest(ctx, leaderReadInterval) {
@@ -181,12 +182,12 @@
 	}
 }
 
-// runnersSettleTime is how long no runner must have come to the list until it counts
-// as whole: when a deployment first starts, its runners register one by one.
+// runnersSettleTime is how long the list of runners must not have grown until it counts
+// as complete: when a deployment first starts, its runners register one by one.
 const runnersSettleTime = 2 * time.Second
 
-// proposeLayout proposes how the runners are divided, when a deployment first starts and
-// its list of runners is whole.
+// proposeLayout proposes how to divide the runners into shards, when a deployment first
+// starts and its list of runners is complete.
 func (p *Process) proposeLayout(ctx context.Context, runners []workload.Runner) error {
 	if p.layoutKnown.Load() {
 		return nil
@@ -201,7 +202,7 @@
 	return p.readLayout(ctx, layout.For(runners, layout.VM{MilliCPU: p.cfg.MilliCPU, LinkMbps: p.cfg.LinkMbps}))
 }
 
-// readLayout reads the layout, and with a proposal sets it if nobody has.
+// readLayout reads the layout. If none is stored and there is a proposal, it stores that.
 func (p *Process) readLayout(ctx context.Context, proposal layout.Layout) error {
 	l, err := p.store.Layout(ctx, proposal)
 	if err != nil || len(l) == 0 {
@@ -218,7 +219,8 @@
 	return nil
 }
 
-// awaitReadRequest waits, and reports whether the list is to be read at once.
+// awaitReadRequest waits for at most the given time, and reports whether the list of
+// runners is to be read at once.
 func (p *Process) awaitReadRequest(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -229,7 +231,7 @@
 	return false
 }
 
-// awaitNextRead waits for the next time to read the list of runners.
+// awaitNextRead waits until the list of runners is due to be read.
 func (p *Process) awaitNextRead(ctx context.Context) {
 	for waited := time.Duration(0); waited < followerReadInterval; waited += leaderReadInterval {
 		if p.awaitReadRequest(ctx, leaderReadInterval) || ctx.Err() != nil || p.readRunnersOften.Load() || !p.layoutKnown.Load() {
@@ -238,7 +240,7 @@
 	}
 }
 
-// requestRunnersRead has the list read now.
+// requestRunnersRead makes watchRunners read the list at once.
 func (p *Process) requestRunnersRead() {
 	p.readRunnersOften.Store(true)
 	select {
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -13,7 +13,7 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// Translation between the messages of fleet.proto and those of the core.
+// Conversion between the messages of fleet.proto and those of core/fleet.
 
 func encode(m fleet.Message) *pb.FleetMessage {
 	switch m := m.(type) {
@@ -47,7 +47,7 @@
 	panic(fmt.Sprintf("unknown message %T", m))
 }
 
-// kindOf names a message's kind, for metrics.
+// kindOf returns the kind of a message, a label of metrics.
 func kindOf(m *pb.FleetMessage) string {
 	switch m.GetBody().(type) {
 	case *pb.FleetMessage_Heartbeat:
@@ -66,8 +66,8 @@
 	return "other"
 }
 
-// decode returns nil for a message without a body, and for one of a kind that
-// this version doesn't know: both are signs of life.
+// decode converts a message. It returns nil for one without a body, or with a body
+// that this version doesn't know: both still show that the sender is alive.
 func decode(m *pb.FleetMessage) fleet.Message {
 	switch body := m.GetBody().(type) {
 	case *pb.FleetMessage_Heartbeat:
@@ -228,8 +228,8 @@
 	}}
 }
 
-// outcomeOf takes an outcome that this version doesn't know for one after
-// which the job may have run.
+// outcomeOf converts an outcome. One that this version doesn't know becomes GaveUp,
+// after which the job may have run.
 func outcomeOf(n uint32) workload.Outcome {
 	if n > uint32(workload.Accepted) {
 		return workload.GaveUp
@@ -312,8 +312,8 @@
 	return h
 }
 
-// followsOf lists whom the sender follows, by shard. A shard that the sender can't
-// know of is left out.
+// followsOf lists the leaders that the sender follows, by shard. Shard numbers that
+// aren't below the sender's number of shards are ignored.
 func followsOf(m *pb.Heartbeat) []leader.Follow {
 	follows := make([]leader.Follow, m.GetShards())
 	for _, f := range m.GetFollows() {
@@ -460,7 +460,7 @@
 	return &pb.FleetMessage{Body: &pb.FleetMessage_Progress{Progress: m}}
 }
 
-// progressOf leaves out names that can't be read: their tasks may run again.
+// progressOf skips task names that can't be parsed; those tasks may run again.
 func progressOf(m *pb.Progress) fleet.Progress {
 	p := fleet.Progress{Shard: int(m.GetShard())}
 	p.Epoch, p.Unknown = m.GetEpoch(), milliseconds(m.GetUnknownMs())
--- a/entry/wire_move_test.go
+++ b/entry/wire_move_test.go
@@ -12,7 +12,7 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Guards against a part of a moving job that is left behind on the way.
+// Guards against fields of a moving job that are lost in the conversion.
 func TestMessagesAboutMovedJobs(t *testing.T) {
 	g := NewWithT(t)
 	done := ledger.NewBits(9)
--- a/entry/workers.go
+++ b/entry/workers.go
@@ -1,24 +1,24 @@
 package entry
 
-// workers run calls, each on a goroutine that is used again. A call needs a stack
-// that a new goroutine has to grow in steps first; a tenth of what a call costs was
-// that, with a thousand calls a second.
+// workers runs calls on goroutines that are reused. A new goroutine has to grow its
+// stack in steps to the size that a call needs; at a thousand calls a second that took
+// a tenth of the cost of a call.
 type workers struct {
-	// work hands a call to a goroutine that waits for one.
+	// work passes a call to an idle goroutine.
 	work chan func()
-	// idle bounds the goroutines that wait.
+	// idle bounds the number of idle goroutines.
 	idle chan struct{}
 }
 
-// maxIdleWorkers is the number of goroutines kept: as many calls are on their way in a
-// process that leads 60 runners at full load.
+// maxIdleWorkers is the number of idle goroutines that are retained. A process that
+// leads 60 runners at full load has as many calls in flight.
 const maxIdleWorkers = 128
 
 func newWorkers() *workers {
 	return &workers{work: make(chan func()), idle: make(chan struct{}, maxIdleWorkers)}
 }
 
-// run calls f on some goroutine, at once.
+// run starts f at once, on an idle goroutine or on a new one.
 func (w *workers) run(f func()) {
 	select {
 	case w.work <- f:
@@ -27,7 +27,7 @@
 	}
 }
 
-// serve runs a call, and others that come while not too many wait for one.
+// serve runs f and then further calls, until there are too many idle goroutines.
 func (w *workers) serve(f func()) {
 	for {
 		f()
--- a/entry/workers_test.go
+++ b/entry/workers_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// A call that never comes back, as to a runner that has fallen silent, holds up no
-// other one, however many there are.
+// Guards against calls that are held up by others that never return, such as calls to a
+// silent runner.
 func TestBlockedCallsDelayNoOthers(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorkers()
