--- a/core/fleet/runners.go
+++ b/core/fleet/runners.go
@@ -49,14 +49,14 @@
 // reads reports whether this process is that one: it leads the cell's first shard.
 func (n *Node) reads() bool { return len(n.own) > 0 && n.own[0].leading() }
 
-// ReadOften reports whether the list should be read often here: for the cell, or for
+// ShouldPollRunners reports whether the list should be read often here: for the cell, or for
 // a process that should and can't.
-func (n *Node) ReadOften() bool { return n.reads() || len(n.askedFor) > 0 }
+func (n *Node) ShouldPollRunners() bool { return n.reads() || len(n.askedFor) > 0 }
 
-// ToldRunners reports whether this process needn't read the list, since the one that
+// ReceivesRunnerList reports whether this process needn't read the list, since the one that
 // reads it for the cell is in reach. Before anybody can lead the VMs with seats read.
-func (n *Node) ToldRunners() bool {
-	if !n.LaidOut() {
+func (n *Node) ReceivesRunnerList() bool {
+	if !n.LayoutKnown() {
 		return !n.seated
 	}
 	c := n.own[0].choice
@@ -81,7 +81,7 @@
 // ofCell picks the runners of the own cell. Those of others are none of this
 // process's business; before the layout is known all may be.
 func (n *Node) ofCell(list []workload.Runner) []workload.Runner {
-	if !n.layout.Divided() {
+	if !n.layout.HasCells() {
 		return list
 	}
 	return slices.DeleteFunc(slices.Clone(list), func(r workload.Runner) bool { return n.layout.Cell(r.Domain) != n.cell })
@@ -164,7 +164,7 @@
 // started the jobs that this process is about to hand in again.
 func (n *Node) handOver(now Time, s *shard) {
 	if s.choice.Leader == n.Self() {
-		s.schedule.Suspect(now, n.lately(s))
+		s.schedule.AddUnlistedRunners(now, n.lately(s))
 		return
 	}
 	n.tellRunners(s)
@@ -188,7 +188,7 @@
 func (n *Node) suspect(now Time, list []workload.Runner) {
 	for _, s := range n.own {
 		if own := n.runnersOf(s, list); len(own) > 0 {
-			s.schedule.Suspect(now, own)
+			s.schedule.AddUnlistedRunners(now, own)
 		}
 	}
 }
--- a/core/schedule/records.go
+++ b/core/schedule/records.go
@@ -42,9 +42,9 @@
 func (j *job) record() ledger.Record {
 	r := ledger.Record{Job: j.work.ID, Epoch: j.stored.epoch, State: j.stored.state, Restarted: j.restarted, Unseen: j.stored.unseen, To: j.stored.to, Hand: j.stored.hand}
 	if !j.stored.accepted {
-		r.Work = j.work
+		r.Definition = j.work
 	}
-	if !r.State.KeepsWork() {
+	if !r.State.NeedsDefinition() {
 		return r
 	}
 	r.Failures = append(r.Failures, j.stored.failures...)
@@ -71,7 +71,7 @@
 		if k, ok := s.custody.kept[rec.Job]; ok && rec.Sequence >= k.saving {
 			k.saving = 0
 			s.custody.kept[rec.Job] = k
-			s.emit(Settled{Job: rec.Job, State: k.jobState()})
+			s.emit(OutcomeSaved{Job: rec.Job, State: k.jobState()})
 		}
 	}
 	s.acknowledgeAll()
@@ -103,7 +103,7 @@
 		s.keepMove(j.movingRecord(), s.now-j.arrived)
 	}
 	delete(s.jobs, j.work.ID)
-	s.emit(Settled{Job: j.work.ID, State: s.custody.kept[j.work.ID].jobState()})
+	s.emit(OutcomeSaved{Job: j.work.ID, State: s.custody.kept[j.work.ID].jobState()})
 }
 
 func (s *Scheduler) keep(id workload.JobID, state ledger.State, restarted bool) {
--- a/core/schedule/results.go
+++ b/core/schedule/results.go
@@ -24,7 +24,7 @@
 	if r == nil || r.gone || !s.leading {
 		return
 	}
-	if res.Presence {
+	if res.ReachabilityOnly {
 		s.present(r, res)
 		return
 	}
@@ -35,7 +35,7 @@
 		s.dispatch()
 		return
 	}
-	if res.Look {
+	if res.ListOnly {
 		r.looking = false
 	} else {
 		r.holding = false
@@ -176,7 +176,7 @@
 	switch e.Kind {
 	case workload.Failed:
 		s.runFailed(t, u.runner, e.Run)
-	case workload.Lapsed:
+	case workload.LeaseExpired:
 		s.ctr.Lapsed++
 	}
 	if t.job.ended {
@@ -385,7 +385,7 @@
 	switch res.Outcome {
 	case Accepted:
 		if u != nil {
-			s.noteStopped(u, res.Clock.At)
+			s.noteStopped(u, res.Clock.ReceivedAt)
 		}
 	case Fenced:
 		s.lose(r)
--- a/entry/ledgers.go
+++ b/entry/ledgers.go
@@ -73,7 +73,7 @@
 	case errors.Is(err, ErrSuperseded):
 		return ledger.Superseded
 	case errors.Is(err, ErrRejected):
-		return ledger.Turned
+		return ledger.Rejected
 	}
 	return ledger.Unanswered
 }
--- a/entry/process.go
+++ b/entry/process.go
@@ -159,7 +159,7 @@
 			p.publish()
 		}
 		p.execute(ctx)
-		if p.node.Done(p.clock.now()) {
+		if p.node.StopComplete(p.clock.now()) {
 			p.node.GiveUp(p.clock.now())
 			p.execute(ctx)
 			return
@@ -234,17 +234,17 @@
 // publish copies the node's state to the fields that other goroutines read.
 func (p *Process) publish() {
 	p.ready.Store(p.node.Serves())
-	p.layoutKnown.Store(p.node.LaidOut())
+	p.layoutKnown.Store(p.node.LayoutKnown())
 	now := p.clock.now()
-	p.readRunnersOften.Store(p.node.ReadOften())
-	p.receivesRunners.Store(p.node.ToldRunners())
+	p.readRunnersOften.Store(p.node.ShouldPollRunners())
+	p.receivesRunners.Store(p.node.ReceivesRunnerList())
 	p.leads.Store(p.node.Leads())
 	if now-p.pendingAt >= pendingInterval {
 		p.pendingAt = now
 		pending := p.node.Pending()
 		p.pending.Store(&pending)
 	}
-	if p.configuration.Load().Version() != p.node.Version() {
+	if p.configuration.Load().Version() != p.node.ConfigVersion() {
 		first := p.configuration.Load().Current() == nil
 		table := p.node.Table()
 		p.configuration.Store(&table)
--- a/entry/requests.go
+++ b/entry/requests.go
@@ -45,7 +45,7 @@
 	case <-ctx.Done():
 		p.post(func(now Time) {
 			delete(p.replies, id)
-			p.node.Left(now, id)
+			p.node.CallerLeft(now, id)
 		})
 		p.log.Info().Str("job", string(job.ID)).Str("queue", job.Queue).Msg("caller-left")
 		return Reply{}, errors.Wrap(ctx.Err(), "the caller left")
@@ -65,9 +65,9 @@
 
 func (p *Process) deliverReply(c gateway.Reply) {
 	p.metrics.requests.WithLabelValues(c.Job.Queue, c.Outcome.String()).Inc()
-	p.metrics.requestSeconds.WithLabelValues(c.Outcome.String()).Observe(c.Took.Seconds())
+	p.metrics.requestSeconds.WithLabelValues(c.Outcome.String()).Observe(c.Elapsed.Seconds())
 	p.log.Info().Str("job", string(c.Job.ID)).Str("queue", c.Job.Queue).Uint64("configuration", c.Job.Version).
-		Stringer("outcome", c.Outcome).Dur("took", c.Took).Dur("objective", c.Job.Objective).
+		Stringer("outcome", c.Outcome).Dur("took", c.Elapsed).Dur("objective", c.Job.Objective).
 		Str("scheduler", string(c.Scheduler)).Int("handed", c.Handed).Dur("retry-after", c.RetryAfter).
 		Str("reason", c.Reason).Msg("request-answered")
 	done := p.replies[c.Request]
@@ -98,7 +98,7 @@
 	case <-ctx.Done():
 		p.post(func(Time) {
 			delete(p.queries, id)
-			p.node.Forget(id)
+			p.node.ForgetQuery(id)
 		})
 		return schedule.JobState{}, errors.Wrap(ctx.Err(), "ask the scheduler")
 	}
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -147,9 +147,9 @@
 		p.log.Warn().Msg("configuration-unreadable")
 	}
 	p.post(func(now Time) {
-		p.node.Evacuated(now, o.Evacuations, "store")
+		p.node.ApplyEvacuations(now, o.Evacuations, "store")
 		if o.Declaration != nil {
-			p.node.Declared(now, o.Declaration, "store")
+			p.node.ApplyDeclaration(now, o.Declaration, "store")
 		}
 	})
 }
@@ -213,8 +213,8 @@
 		return err
 	}
 	p.post(func(now Time) {
-		p.node.StoreRead(now, recordsExist)
-		p.node.Layout(now, l)
+		p.node.StoredJobsRead(now, recordsExist)
+		p.node.ApplyLayout(now, l)
 	})
 	return nil
 }
