--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -22,7 +22,7 @@
 	scheduled       *prometheus.GaugeVec
 	messages        *prometheus.CounterVec
 	connections     *prometheus.GaugeVec
-	widened         prometheus.Gauge
+	seatDoublings   prometheus.Gauge
 	evacuated       prometheus.Gauge
 	events          *prometheus.CounterVec
 }
@@ -70,7 +70,7 @@
 	m.connections = prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Name: "sapphirepoint_peer_connections", Help: "Connections with other processes: those that stand, and those asked for.",
 	}, []string{"state"})
-	m.widened = prometheus.NewGauge(prometheus.GaugeOpts{
+	m.seatDoublings = prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "sapphirepoint_seats_widened", Help: "How often the number of seats was doubled, since no scheduler of the cell was in reach.",
 	})
 	m.events = prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -79,7 +79,7 @@
 	m.evacuated = prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "sapphirepoint_evacuated_domains", Help: "Failure domains that get no new tasks, by the operator's word.",
 	})
-	m.registry.MustRegister(m.messages, m.connections, m.widened, m.evacuated, m.events)
+	m.registry.MustRegister(m.messages, m.connections, m.seatDoublings, m.evacuated, m.events)
 	m.registry.MustRegister(m.requests, m.requestSeconds, m.calls, m.callSeconds, m.ledgerSeconds, m.storeFailures,
 		m.droppedMessages, m.leading, m.jobsInFlight, m.scheduled)
 	return m
@@ -94,10 +94,10 @@
 		m.leading.Set(1)
 	}
 	m.jobsInFlight.Set(float64(n.JobsInFlight()))
-	place := n.MembershipStatus()
-	m.widened.Set(float64(place.SeatDoublings))
+	membership := n.MembershipStatus()
+	m.seatDoublings.Set(float64(membership.SeatDoublings))
 	m.evacuated.Set(float64(len(n.Evacuations().Domains)))
-	m.connections.WithLabelValues("wanted").Set(float64(place.WantedConnections))
+	m.connections.WithLabelValues("wanted").Set(float64(membership.WantedConnections))
 	m.connections.WithLabelValues("standing").Set(float64(n.Connections()))
 	m.updateCounters(n.Counters())
 }
--- a/entry/ports.go
+++ b/entry/ports.go
@@ -62,7 +62,7 @@
 	Runners(context.Context) (fleet.RunnerList, error)
 	// Layout returns how the runners are divided into shards. If that isn't stored yet it
 	// stores the proposal; an empty proposal only reads. Once stored, it never changes.
-	Layout(ctx context.Context, propose layout.Layout) (layout.Layout, error)
+	Layout(ctx context.Context, proposal layout.Layout) (layout.Layout, error)
 	LedgerStore
 }
 
--- a/entry/process.go
+++ b/entry/process.go
@@ -68,15 +68,16 @@
 	pendingAt Time
 
 	// The fields below are shared with other goroutines.
-	ready            atomic.Bool
-	layoutKnown      atomic.Bool
-	stopping         atomic.Bool
-	readRunnersOften atomic.Bool
-	// receivesRunners is set while another process sends the list of runners to this one.
-	receivesRunners atomic.Bool
-	leads           atomic.Bool
-	readNow         chan struct{}
-	configuration   atomic.Pointer[routing.Table]
+	ready             atomic.Bool
+	layoutKnown       atomic.Bool
+	stopping          atomic.Bool
+	shouldPollRunners atomic.Bool
+	// receivesRunnerList is set while another process sends the list of runners to this one.
+	receivesRunnerList atomic.Bool
+	leads              atomic.Bool
+	// readNow makes watchRunners read the list of runners at once.
+	readNow       chan struct{}
+	configuration atomic.Pointer[routing.Table]
 	// configured is closed when the first configuration is in force.
 	configured chan struct{}
 	pending    atomic.Pointer[map[string]int]
@@ -236,8 +237,8 @@
 	p.ready.Store(p.node.Serves())
 	p.layoutKnown.Store(p.node.LayoutKnown())
 	now := p.clock.now()
-	p.readRunnersOften.Store(p.node.ShouldPollRunners())
-	p.receivesRunners.Store(p.node.ReceivesRunnerList())
+	p.shouldPollRunners.Store(p.node.ShouldPollRunners())
+	p.receivesRunnerList.Store(p.node.ReceivesRunnerList())
 	p.leads.Store(p.node.Leads())
 	if now-p.pendingAt >= pendingInterval {
 		p.pendingAt = now
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -58,21 +58,21 @@
 
 // retry calls f until it succeeds or the context ends. It logs when the store becomes
 // unavailable and when it is available again.
-func (p *Process) retry(ctx context.Context, what string, f func() error) {
+func (p *Process) retry(ctx context.Context, call string, f func() error) {
 	failed := time.Time{}
 	for ctx.Err() == nil {
 		err := f()
 		if err == nil {
 			if !failed.IsZero() {
-				p.log.Info().Str("dependency", "store").Str("call", what).Dur("lost-for", time.Since(failed)).Msg("dependency-regained")
+				p.log.Info().Str("dependency", "store").Str("call", call).Dur("lost-for", time.Since(failed)).Msg("dependency-regained")
 			}
 			return
 		}
-		p.metrics.storeFailures.WithLabelValues(what).Inc()
+		p.metrics.storeFailures.WithLabelValues(call).Inc()
 		p.post(func(now Time) { p.node.StoreFailed(now) })
 		if failed.IsZero() && ctx.Err() == nil {
 			failed = time.Now()
-			p.log.Warn().Str("dependency", "store").Str("call", what).Err(err).Msg("dependency-lost")
+			p.log.Warn().Str("dependency", "store").Str("call", call).Err(err).Msg("dependency-lost")
 		}
 		pause(ctx, storeRetryInterval)
 	}
@@ -167,7 +167,7 @@
 // watchRunners reads the list of runners, and often if this process reads it for others.
 func (p *Process) watchRunners(ctx context.Context) {
 	for ctx.Err() == nil {
-		if p.receivesRunners.Load() && !p.awaitReadRequest(ctx, leaderReadInterval) {
+		if p.receivesRunnerList.Load() && !p.awaitReadRequest(ctx, leaderReadInterval) {
 			continue
 		}
 		p.retry(ctx, "runners", func() error {
@@ -234,7 +234,7 @@
 // awaitNextRead waits until the list of runners is due to be read.
 func (p *Process) awaitNextRead(ctx context.Context) {
 	for waited := time.Duration(0); waited < followerReadInterval; waited += leaderReadInterval {
-		if p.awaitReadRequest(ctx, leaderReadInterval) || ctx.Err() != nil || p.readRunnersOften.Load() || !p.layoutKnown.Load() {
+		if p.awaitReadRequest(ctx, leaderReadInterval) || ctx.Err() != nil || p.shouldPollRunners.Load() || !p.layoutKnown.Load() {
 			return
 		}
 	}
@@ -242,7 +242,7 @@
 
 // requestRunnersRead makes watchRunners read the list at once.
 func (p *Process) requestRunnersRead() {
-	p.readRunnersOften.Store(true)
+	p.shouldPollRunners.Store(true)
 	select {
 	case p.readNow <- struct{}{}:
 	default:
