--- a/core/fleet/gone.go
+++ b/core/fleet/gone.go
@@ -7,17 +7,17 @@
 	"sapphirepoint.example/sapphirepoint/core/schedule"
 )
 
-// A VM that is gone for good stays on the list of members. For stored jobs it counts as
-// harmless once the store refuses it the shard's rows; see ledger.Ledger.Exclude.
+// A VM that was removed stays on the list of members. It no longer blocks stored jobs once
+// the store refuses it the ownership of the shard's rows; see ledger.Ledger.Exclude.
 
-// never is the time of what hasn't happened.
+// never stands for the time of an event that hasn't happened.
 const never = Time(math.MaxInt64)
 
-// longUnheard lists the VMs of the cell that haven't been heard for so long that they
-// are taken to be gone for good, in order.
-func (n *Node) longUnheard(now Time) []string {
+// presumedGone lists, in order, the VMs of the cell that have been unreachable for so long
+// that they are presumed to be removed.
+func (n *Node) presumedGone(now Time) []string {
 	var list []string
-	for vm, since := range n.unheard {
+	for vm, since := range n.unreachableSince {
 		if now-since >= schedule.UnreachableTimeout {
 			list = append(list, vm)
 		}
@@ -26,22 +26,23 @@
 	return list
 }
 
-// noteOthersHeard notes since when all VMs are heard but those that are gone.
-func (n *Node) noteOthersHeard(now Time, gone []string) {
-	switch all := n.vms != nil && len(n.unheard) == len(gone); {
+// updateOthersReachable updates othersReachableSince.
+func (n *Node) updateOthersReachable(now Time, gone []string) {
+	switch all := n.cellVMs != nil && len(n.unreachableSince) == len(gone); {
 	case !all:
-		n.othersHeardSince = never
-	case n.othersHeardSince == never:
-		n.othersHeardSince = now
+		n.othersReachableSince = never
+	case n.othersReachableSince == never:
+		n.othersReachableSince = now
 	}
 }
 
-// rivalsHeardSince is since when a process of every VM is heard that could take a
-// shard's rows: the store refuses them to those of gone that the owner has excluded.
-func (n *Node) rivalsHeardSince(now Time, s *shard, gone []string) (since Time, all bool) {
-	if n.othersHeardSince == never || len(gone) == 0 {
-		return n.othersHeardSince, n.othersHeardSince != never
+// rivalsReachableSince is since when every VM that could take over a shard's rows has been
+// reachable. VMs in gone don't count if the owner has excluded them: the store refuses them
+// the rows.
+func (n *Node) rivalsReachableSince(now Time, s *shard, gone []string) (since Time, all bool) {
+	if n.othersReachableSince == never || len(gone) == 0 {
+		return n.othersReachableSince, n.othersReachableSince != never
 	}
 	since, all = s.ledger.Excludes(now, gone)
-	return max(since, n.othersHeardSince), all
+	return max(since, n.othersReachableSince), all
 }
--- a/core/fleet/members.go
+++ b/core/fleet/members.go
@@ -10,52 +10,52 @@
 )
 
 const (
-	// aloneAfter is how long no scheduler of the cell must have been in reach until
-	// a process counts with more seats than those of the best VMs: longer than a
-	// change of leaders takes. It doubles their number each time that this has
-	// passed again.
-	aloneAfter = time.Second
-	// aloneServed is the same while schedulers of other cells take its jobs.
-	aloneServed = 3 * time.Second
+	// widenInterval is how long no scheduler of the cell must have been reachable until
+	// the process doubles the number of seats that it assumes, and doubles it again
+	// after each further interval. It is longer than a change of leaders takes.
+	widenInterval = time.Second
+	// servedWidenInterval replaces widenInterval while schedulers of other cells accept
+	// the process's jobs.
+	servedWidenInterval = 3 * time.Second
 )
 
-// SetMembers says which processes are registered. Some may be gone for good.
+// SetMembers sets the registered processes. Some of them may have been removed.
 func (n *Node) SetMembers(now Time, list []topology.Member) {
 	n.members = list
 	n.view.PeersDiscovered(now)
 	n.membersChanged(now)
 }
 
-// membersChanged brings up to date what follows from the members and the layout.
+// membersChanged updates everything that depends on the members and the layout.
 func (n *Node) membersChanged(now Time) {
-	defer n.setAble()
+	defer n.updateAble()
 	if n.members == nil || n.member.ID == "" {
 		return
 	}
-	// This process's own row may not have been read yet, or be that of an earlier
-	// one of its VM.
+	// The row of this process may not have been read yet, or may be that of an earlier
+	// process on this VM.
 	list := slices.DeleteFunc(slices.Clone(n.members), func(m topology.Member) bool { return m.VM == n.member.VM })
-	n.fleet = topology.New(n.layout, n.stored == HasStoredJobs, append(list, n.member))
-	n.vms = nil
+	n.fleet = topology.New(n.layout, n.storedJobs == HasStoredJobs, append(list, n.member))
+	n.cellVMs = nil
 	for _, m := range n.fleet.CellMembers(n.member) {
-		n.vms = append(n.vms, m.VM)
+		n.cellVMs = append(n.cellVMs, m.VM)
 	}
-	for vm := range n.unheard {
-		if !slices.Contains(n.vms, vm) {
-			delete(n.unheard, vm)
+	for vm := range n.unreachableSince {
+		if !slices.Contains(n.cellVMs, vm) {
+			delete(n.unreachableSince, vm)
 		}
 	}
 	n.connect()
 }
 
-// connect asks for the connections that this process wants now. One with a process
-// that leads a shard of the cell is kept, also if that has no seat any more.
+// connect requests the connections that this process needs now. A connection with the
+// leader of a shard of the cell is retained even if that process has lost its seat.
 func (n *Node) connect() {
 	if n.fleet == nil {
 		return
 	}
-	n.seated = n.fleet.HasSeat(n.member, n.widened)
-	links := n.fleet.Links(n.member, n.widened)
+	n.seated = n.fleet.HasSeat(n.member, n.seatDoublings)
+	links := n.fleet.Links(n.member, n.seatDoublings)
 	for _, s := range n.own {
 		l := topology.Link{ID: string(s.choice.Leader)}
 		if s.choice.Reachable && s.choice.Leader != n.Self() && !slices.ContainsFunc(links, l.SameProcess) {
@@ -66,101 +66,101 @@
 		n.links = links
 		n.emit(Connect{Links: links})
 	}
-	n.setAble()
+	n.updateAble()
 }
 
-// lookFurther widens the number of seats that this process counts with, while it
-// reaches no scheduler of its cell though there could be one. Before the
-// configuration and the shards are known nobody can lead, and looking would be for
-// nothing.
-func (n *Node) lookFurther(now Time) {
+// widenSeats increases the number of assumed seats while no scheduler of the cell is
+// reachable. Before the configuration and the shards are known no process can lead, so
+// more connections would not find a scheduler.
+func (n *Node) widenSeats(now Time) {
 	if n.ReachesAllLeaders() || !n.view.CanSchedule() {
-		n.reachedAt = now
+		n.leadersReachedAt = now
 	}
-	step := aloneAfter
+	step := widenInterval
 	if n.gateway.HasReachableScheduler() {
-		step = aloneServed
+		step = servedWidenInterval
 	}
-	widened := int((now - n.reachedAt) / step)
-	if widened == n.widened {
+	seatDoublings := int((now - n.leadersReachedAt) / step)
+	if seatDoublings == n.seatDoublings {
 		return
 	}
-	n.notice("seats-widened", Field{"times", widened}, Field{"alone", ms(now - n.reachedAt)})
-	n.widened = widened
+	n.notice("seats-widened", Field{"times", seatDoublings}, Field{"alone", ms(now - n.leadersReachedAt)})
+	n.seatDoublings = seatDoublings
 	n.connect()
 }
 
-// MembershipStatus is where a process stands in its fleet, for dumps and metrics.
+// MembershipStatus describes a process's position in its fleet, for dumps and metrics.
 type MembershipStatus struct {
-	// Cell is the process's own; "" if runners are pooled.
+	// Cell is the process's own cell; empty if runners are pooled.
 	Cell string `json:"cell,omitempty"`
-	// Seated: the VM is one of those that schedule first.
+	// Seated: the VM is one of those that schedule before the others of the cell.
 	Seated bool `json:"seated"`
 	// SeatDoublings is how often the number of seats was doubled.
 	SeatDoublings int `json:"widened"`
 	// Members is the number of registered processes, and UnreachableVMs that of the VMs
-	// of the cell that aren't heard.
+	// of the cell of which no process is reachable.
 	Members        int `json:"members"`
 	UnreachableVMs int `json:"unheard"`
-	// WantedConnections is the number of connections asked for.
+	// WantedConnections is the number of connections requested.
 	WantedConnections int `json:"wanted_connections"`
 }
 
-// MembershipStatus describes this process.
+// MembershipStatus returns the position of this process in its fleet.
 func (n *Node) MembershipStatus() MembershipStatus {
 	return MembershipStatus{
-		Cell: n.cell, Seated: n.seated, SeatDoublings: n.widened,
-		Members: len(n.members), UnreachableVMs: len(n.unheard), WantedConnections: len(n.links),
+		Cell: n.cell, Seated: n.seated, SeatDoublings: n.seatDoublings,
+		Members: len(n.members), UnreachableVMs: len(n.unreachableSince), WantedConnections: len(n.links),
 	}
 }
 
-// SeatDoublings is how often the number of seats was doubled; 0 while a scheduler is in
-// reach.
-func (n *Node) SeatDoublings() int { return n.widened }
+// SeatDoublings is how often the number of seats was doubled; 0 while a scheduler is
+// reachable.
+func (n *Node) SeatDoublings() int { return n.seatDoublings }
 
-// noteUnheard notes since when no process of a VM is heard. One that isn't may
-// live behind a cut, and lead there, also if this process has never heard it.
-func (n *Node) noteUnheard(now Time) {
-	heard := map[string]bool{schedule.EntryID(n.Self()).VM(): true}
-	for id := range n.linked {
-		// With the connection alone it isn't known whom the process follows.
+// updateUnreachable updates unreachableSince. An unreachable VM may be alive on the other
+// side of a network partition and lead there, even if this process was never connected
+// with it.
+func (n *Node) updateUnreachable(now Time) {
+	reachable := map[string]bool{schedule.EntryID(n.Self()).VM(): true}
+	for id := range n.connected {
+		// Until the first heartbeat it isn't known which leaders the process follows.
 		if n.view.Report(id).Number > 0 {
-			heard[schedule.EntryID(id).VM()] = true
+			reachable[schedule.EntryID(id).VM()] = true
 		}
 	}
-	for _, vm := range n.vms {
-		if heard[vm] {
-			delete(n.unheard, vm)
-		} else if _, known := n.unheard[vm]; !known {
-			n.unheard[vm] = now
+	for _, vm := range n.cellVMs {
+		if reachable[vm] {
+			delete(n.unreachableSince, vm)
+		} else if _, known := n.unreachableSince[vm]; !known {
+			n.unreachableSince[vm] = now
 		}
 	}
-	n.view.SetAllVMsReachable(n.hearsAll())
+	n.view.SetAllVMsReachable(n.allReachable())
 }
 
-// meetsStrangers reports whether an older process that could lead this one's cell is
-// there, as connections with it show, and hasn't told anything of itself. It refuses this
-// process until it has read of it.
-func (n *Node) meetsStrangers(now Time) bool {
+// hasUnreportedElder reports whether an older process that could lead this one's cell is
+// alive, as connections with it show, but hasn't sent a heartbeat. It refuses connections
+// from this process until it has read of it in the list of members.
+func (n *Node) hasUnreportedElder(now Time) bool {
 	if n.fleet == nil {
 		return false
 	}
-	for _, m := range n.fleet.Seats(n.cell, n.widened) {
+	for _, m := range n.fleet.Seats(n.cell, n.seatDoublings) {
 		id := leader.ID(m.ID)
-		heard := n.view.LastContact(id)
-		if m.Number < n.number && heard > 0 && now-heard <= leader.HeartbeatTimeout && n.view.Report(id).Number == 0 {
+		lastContact := n.view.LastContact(id)
+		if m.Number < n.number && lastContact > 0 && now-lastContact <= leader.HeartbeatTimeout && n.view.Report(id).Number == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// hearsAll reports whether a process of every other VM of the cell is heard.
-func (n *Node) hearsAll() bool { return n.vms != nil && len(n.unheard) == 0 }
+// allReachable reports whether a process of every other VM of the cell is reachable.
+func (n *Node) allReachable() bool { return n.cellVMs != nil && len(n.unreachableSince) == 0 }
 
-// missesSome reports whether a VM of the cell isn't heard that may be alive.
-func (n *Node) missesSome(now Time) bool {
-	for _, since := range n.unheard {
+// anyMissing reports whether a VM of the cell is unreachable that may still be alive.
+func (n *Node) anyMissing(now Time) bool {
+	for _, since := range n.unreachableSince {
 		if now-since < schedule.UnreachableTimeout {
 			return true
 		}
--- a/core/fleet/runner_test.go
+++ b/core/fleet/runner_test.go
@@ -7,44 +7,43 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// fakeRunner keeps the promises of a runner in virtual time: it obeys the
-// highest token, kills what runs when the lease ends on its own clock, lists
-// ends until they are acknowledged, and never starts a run that was stopped.
+// fakeRunner implements a runner's contract in virtual time: it obeys the highest fencing
+// token, kills its runs when the lease expires on its own clock, lists ends until they are
+// acknowledged, and never starts a run that was stopped.
 type fakeRunner struct {
 	w    *world
 	info workload.Runner
-	// rate is the speed of its clock, offset its reading at time 0.
+	// rate is the speed of the runner's clock, and offset its reading at time 0.
 	rate   float64
 	offset int64
-	// pace times a task's work is its run time.
-	pace float64
-	// hangs: tasks stand still. fails: they fail at once.
+	// workFactor times a task's work is its run time.
+	workFactor float64
+	// hangs: tasks never end. fails: tasks fail immediately.
 	hangs, fails bool
-	// lateShare of the orders stay unanswered and are carried out seconds
-	// later.
+	// lateShare of the orders stay unanswered and are carried out seconds later.
 	lateShare float64
-	// muteShare of the orders are carried out and not answered.
-	muteShare float64
-	down      bool
-	// born is the start of its lifetime.
+	// unansweredShare of the orders are carried out, but not answered.
+	unansweredShare float64
+	down            bool
+	// born is the start of the runner's incarnation, in milliseconds.
 	born int64
-	// started counts its runs.
+	// started counts the runs started.
 	started int
 
-	token    uint64
-	leaseEnd int64
-	runs     map[workload.RunKey]*fakeRun
-	sealed   map[workload.TaskName]int
-	ends     []fakeEnd
-	lastEnd  uint64
-	waiting  []*waitingHold
+	token        uint64
+	leaseEnd     int64
+	runs         map[workload.RunKey]*fakeRun
+	sealed       map[workload.TaskName]int
+	ends         []fakeEnd
+	lastEnd      uint64
+	waitingHolds []*waitingHold
 }
 
-// fakeEnd is an end that isn't acknowledged.
+// fakeEnd is an unacknowledged end of a run.
 type fakeEnd struct {
 	workload.End
 	at time.Duration
-	// lapsed: the runner's lease has ended since.
+	// lapsed: the runner's lease has expired since the end.
 	lapsed bool
 }
 
@@ -63,13 +62,13 @@
 	return r.offset + int64(float64(r.w.now.Milliseconds())*r.rate)
 }
 
-// until is how long by the world's time until the runner's clock reads ms.
-func (r *fakeRunner) until(ms int64) time.Duration {
+// timeUntil is the virtual time until the runner's clock reads ms.
+func (r *fakeRunner) timeUntil(ms int64) time.Duration {
 	return time.Duration(float64(ms-r.clock())/r.rate*float64(time.Millisecond)) + time.Millisecond
 }
 
-// see checks a token; false means that the order is refused.
-func (r *fakeRunner) see(token uint64) bool {
+// acceptToken checks a fencing token; false means that the order is refused.
+func (r *fakeRunner) acceptToken(token uint64) bool {
 	if token < r.token {
 		return false
 	}
@@ -79,14 +78,14 @@
 
 const holdMax = 1000
 
-func (r *fakeRunner) grant(leaseEnd int64) {
+func (r *fakeRunner) extendLease(leaseEnd int64) {
 	leaseEnd = min(leaseEnd, r.clock()+holdMax)
 	if leaseEnd <= r.leaseEnd {
 		return
 	}
 	r.leaseEnd = leaseEnd
 	born := r.born
-	r.w.after(r.until(leaseEnd), func() {
+	r.w.after(r.timeUntil(leaseEnd), func() {
 		if r.clock() < r.leaseEnd || r.born != born {
 			return
 		}
@@ -100,11 +99,11 @@
 }
 
 func (r *fakeRunner) start(c schedule.Start) schedule.CallOutcome {
-	if !r.see(c.Token) {
+	if !r.acceptToken(c.Token) {
 		return schedule.Fenced
 	}
 	if r.runs[c.Run] != nil {
-		r.grant(c.LeaseEnd)
+		r.extendLease(c.LeaseEnd)
 		return schedule.Accepted
 	}
 	if c.Run.Number <= r.sealed[c.Run.Task] {
@@ -119,17 +118,17 @@
 	for _, u := range r.runs {
 		used = used.Plus(u.need)
 	}
-	r.grant(c.LeaseEnd)
+	r.extendLease(c.LeaseEnd)
 	if !need.Fits(r.info.Capacity.Minus(used)) {
 		return schedule.NoRoom
 	}
 	r.runs[c.Run] = &fakeRun{need: need}
 	r.started++
-	r.w.truth.started(r, c.Run)
+	r.w.checker.started(r, c.Run)
 	if r.hangs {
 		return schedule.Accepted
 	}
-	work := time.Duration(float64(j.duration) * r.pace)
+	work := time.Duration(float64(j.duration) * r.workFactor)
 	kind := workload.Done
 	if r.fails {
 		work, kind = 5*time.Millisecond, workload.Failed
@@ -144,7 +143,7 @@
 }
 
 func (r *fakeRunner) stop(c schedule.Stop) schedule.CallOutcome {
-	if !r.see(c.Token) {
+	if !r.acceptToken(c.Token) {
 		return schedule.Fenced
 	}
 	r.sealed[c.Run.Task] = max(r.sealed[c.Run.Task], c.Run.Number)
@@ -163,40 +162,40 @@
 	r.sealed[k.Task] = max(r.sealed[k.Task], k.Number)
 	r.lastEnd++
 	r.ends = append(r.ends, fakeEnd{End: workload.End{Sequence: r.lastEnd, Run: k, Kind: kind}, at: r.w.now})
-	r.w.truth.ended(r, k, kind)
-	for _, h := range r.waiting {
-		r.list(h)
+	r.w.checker.ended(r, k, kind)
+	for _, h := range r.waitingHolds {
+		r.answerHold(h)
 	}
-	r.waiting = nil
+	r.waitingHolds = nil
 }
 
 func (r *fakeRunner) hold(c schedule.Hold, answer func(schedule.HoldResult)) {
-	if !r.see(c.Token) {
+	if !r.acceptToken(c.Token) {
 		answer(schedule.HoldResult{Outcome: schedule.Fenced})
 		return
 	}
 	if c.LeaseEnd > 0 {
-		r.grant(c.LeaseEnd)
+		r.extendLease(c.LeaseEnd)
 	}
-	kept := r.ends[:0]
+	remaining := r.ends[:0]
 	for _, e := range r.ends {
 		if e.Sequence > c.Acknowledged {
-			kept = append(kept, e)
+			remaining = append(remaining, e)
 			continue
 		}
-		r.w.truth.acknowledged(e)
+		r.w.checker.acknowledged(e)
 	}
-	r.ends = kept
+	r.ends = remaining
 	h := &waitingHold{hold: c, answer: answer}
 	if len(r.ends) > 0 || c.Wait == 0 {
-		r.list(h)
+		r.answerHold(h)
 		return
 	}
-	r.waiting = append(r.waiting, h)
-	r.w.after(c.Wait, func() { r.list(h) })
+	r.waitingHolds = append(r.waitingHolds, h)
+	r.w.after(c.Wait, func() { r.answerHold(h) })
 }
 
-func (r *fakeRunner) list(h *waitingHold) {
+func (r *fakeRunner) answerHold(h *waitingHold) {
 	if h.done || r.down {
 		return
 	}
@@ -209,24 +208,24 @@
 	h.answer(res)
 }
 
-// restart ends the lifetime, and begins another one under the same id.
+// restart ends the incarnation, and begins another one under the same id.
 func (r *fakeRunner) restart() {
 	r.crash()
 	r.down = false
-	r.born = int64(firstBirth + r.w.now/time.Millisecond)
+	r.born = int64(worldStartMs + r.w.now/time.Millisecond)
 	r.offset = 1 - int64(float64(r.w.now.Milliseconds())*r.rate)
-	r.token, r.leaseEnd, r.lastEnd, r.ends, r.waiting = 0, 0, 0, nil, nil
+	r.token, r.leaseEnd, r.lastEnd, r.ends, r.waitingHolds = 0, 0, 0, nil, nil
 	r.runs, r.sealed = make(map[workload.RunKey]*fakeRun), make(map[workload.TaskName]int)
 }
 
-// firstBirth is the time of day at which the world begins, in milliseconds.
-const firstBirth = 1_760_000_000_000
+// worldStartMs is the time of day at which the simulation begins, in milliseconds.
+const worldStartMs = 1_760_000_000_000
 
-// crash ends the lifetime with all that runs.
+// crash ends the incarnation and all its runs.
 func (r *fakeRunner) crash() {
 	r.down = true
 	for _, k := range r.w.sortedRuns(r) {
-		r.w.truth.ended(r, k, workload.Aborted)
+		r.w.checker.ended(r, k, workload.Aborted)
 	}
 	clear(r.runs)
 }
--- a/core/leader/peers.go
+++ b/core/leader/peers.go
@@ -2,59 +2,59 @@
 
 import "slices"
 
-// What a process knows of the others.
+// The state of the other processes.
 
 type peer struct {
-	report Report
-	heard  Time
+	report      Report
+	lastContact Time
 }
 
-// RecordContact takes a heartbeat, or with a nil report any other sign of life.
+// RecordContact takes a heartbeat's report, or with a nil report any other message.
 func (v *View) RecordContact(now Time, id ID, r *Report) {
 	p := v.peers[id]
 	if p == nil {
 		p = &peer{}
 		v.peers[id] = p
 	}
-	p.heard = now
+	p.lastContact = now
 	if r != nil {
-		v.dropClaims(id)
+		v.removeClaims(id)
 		p.report = *r
 		for shard, f := range r.Follows {
 			if f.Leader == id {
-				v.claims[shard] = append(v.claims[shard], id)
+				v.claimants[shard] = append(v.claimants[shard], id)
 			}
 		}
 	}
 }
 
-func (v *View) dropClaims(id ID) {
+func (v *View) removeClaims(id ID) {
 	for shard, f := range v.peers[id].report.Follows {
 		if f.Leader == id {
-			v.claims[shard] = slices.DeleteFunc(v.claims[shard], func(o ID) bool { return o == id })
+			v.claimants[shard] = slices.DeleteFunc(v.claimants[shard], func(o ID) bool { return o == id })
 		}
 	}
 }
 
-// RemovePeer forgets a process that has closed its connection.
-func (v *View) RemovePeer(id ID) { v.forget(id) }
+// RemovePeer removes a process that has closed its connection.
+func (v *View) RemovePeer(id ID) { v.remove(id) }
 
-func (v *View) forget(id ID) {
+func (v *View) remove(id ID) {
 	if v.peers[id] != nil {
-		v.dropClaims(id)
+		v.removeClaims(id)
 		delete(v.peers, id)
 	}
 }
 
-// LastContact is when a process was last heard; 0 if never.
+// LastContact is when a message of a process last arrived; 0 if never.
 func (v *View) LastContact(id ID) Time {
 	if p := v.peers[id]; p != nil {
-		return p.heard
+		return p.lastContact
 	}
 	return 0
 }
 
-// Report is what a process has last said of itself.
+// Report is the latest report of a process; the zero Report if there is none.
 func (v *View) Report(id ID) Report {
 	if p := v.peers[id]; p != nil {
 		return p.report
@@ -62,13 +62,14 @@
 	return Report{}
 }
 
-// ExpirePeers lists the processes that have become silent, and forgets them.
+// ExpirePeers removes the processes that have been silent for longer than HeartbeatTimeout,
+// and returns them in order.
 func (v *View) ExpirePeers(now Time) []ID {
 	var lost []ID
 	for id, p := range v.peers {
-		if now-p.heard > HeartbeatTimeout {
+		if now-p.lastContact > HeartbeatTimeout {
 			lost = append(lost, id)
-			v.forget(id)
+			v.remove(id)
 		}
 	}
 	slices.Sort(lost)
