--- a/bench/cmd/overload/main.go
+++ b/bench/cmd/overload/main.go
@@ -13,7 +13,7 @@
 )
 
 func main() {
-	s := bench.Stresses{Site: bench.Hollowell, Out: os.Stdout}
+	s := bench.Scenarios{Site: bench.Hollowell, Out: os.Stdout}
 	only := ""
 	kandy := false
 	cmd := &cobra.Command{
--- a/bench/cmd/placement/main.go
+++ b/bench/cmd/placement/main.go
@@ -29,13 +29,13 @@
 			}
 			site.ByDomain = byDomain
 			for _, load := range loads {
-				shape := bench.Shape{Load: load, Stragglers: bench.Stragglers, Length: length, Warm: length / 10, Seed: seed}
-				shape.Bursts = bursts
+				workload := bench.Workload{Load: load, Stragglers: bench.DefaultStragglers, Length: length, Warmup: length / 10, Seed: seed}
+				workload.Bursts = bursts
 				if cut > 0 {
-					shape.CutFrom, shape.CutUntil = length/2, length/2+cut
+					workload.PartitionFrom, workload.PartitionUntil = length/2, length/2+cut
 				}
 				fmt.Printf("\nLoad %.0f%%, seed %d, %v of arrivals:\n\n%s", load*100, seed, length, bench.Header)
-				for _, r := range bench.Compare(site, shape, limit, bench.Tolerances()) {
+				for _, r := range bench.Compare(site, workload, limit, bench.TolerancePolicies()) {
 					fmt.Print(r.Row())
 				}
 			}
--- a/bench/compare.go
+++ b/bench/compare.go
@@ -13,15 +13,15 @@
 const parallel = 4
 
 // Compare runs the references and policies over the same stream.
-func Compare(site Site, shape Shape, limit time.Duration, policies []Policy) []*Result {
-	jobs := shape.Stream(site)
+func Compare(site Site, workload Workload, limit time.Duration, policies []Policy) []*Result {
+	jobs := workload.Stream(site)
 	runs := []func() *Result{
-		func() *Result { return IdealQueue(site, shape, limit, jobs) },
-		func() *Result { return RandomChoice(site, shape, limit, jobs) },
-		func() *Result { return LeastOfTwo(site, shape, limit, jobs) },
+		func() *Result { return IdealQueue(site, workload, limit, jobs) },
+		func() *Result { return RandomChoice(site, workload, limit, jobs) },
+		func() *Result { return LeastOfTwo(site, workload, limit, jobs) },
 	}
 	for _, p := range policies {
-		runs = append(runs, func() *Result { return Cores(p, site, shape, limit, jobs) })
+		runs = append(runs, func() *Result { return SimulateDispatch(p, site, workload, limit, jobs) })
 	}
 	results := make([]*Result, len(runs))
 	var group errgroup.Group
@@ -36,12 +36,12 @@
 	return results
 }
 
-// Tolerances is the curve that the institution's terms move along, with the
+// TolerancePolicies is the curve that the institution's terms move along, with the
 // policies that its parts are measured against.
-func Tolerances() []Policy {
+func TolerancePolicies() []Policy {
 	list := []Policy{
-		{Name: "slots divided, never lent", Change: func(c *dispatch.Config) { c.Lending.Off = true }},
-		{Name: "tolerance 0 ms, first come, first served", Change: func(c *dispatch.Config) { c.Order.FirstCome = true }},
+		{Name: "slots divided, never lent", ChangeConfig: func(c *dispatch.Config) { c.Lending.Off = true }},
+		{Name: "tolerance 0 ms, first come, first served", ChangeConfig: func(c *dispatch.Config) { c.Order.FirstCome = true }},
 	}
 	for _, ms := range []int{0, 2, 5, 10, 20, 25, 40} {
 		list = append(list, Policy{Name: fmt.Sprintf("tolerance %d ms", ms), Tolerance: time.Duration(ms) * time.Millisecond})
--- a/bench/cores.go
+++ b/bench/cores.go
@@ -18,8 +18,8 @@
 	Name string
 	// Tolerance is borrow_tolerance_ms of the institution's terms.
 	Tolerance time.Duration
-	// Change alters the configuration of each process.
-	Change func(*dispatch.Config)
+	// ChangeConfig alters the configuration of each process.
+	ChangeConfig func(*dispatch.Config)
 }
 
 // fleet is the entry processes and upstreams of one site in virtual time.
@@ -29,7 +29,7 @@
 	limit   time.Duration
 	jobs    []Job
 	result  *Result
-	warm    time.Duration
+	warmup  time.Duration
 	entries []*entry
 	byName  map[string]*entry
 	runners map[string]*runner
@@ -54,21 +54,21 @@
 	busy   int
 }
 
-// Cores runs a stream through the real decision code.
-func Cores(p Policy, site Site, shape Shape, limit time.Duration, jobs []Job) *Result {
-	f := newFleet(p, site, shape, limit, jobs)
+// SimulateDispatch runs a stream through the real decision code.
+func SimulateDispatch(p Policy, site Site, workload Workload, limit time.Duration, jobs []Job) *Result {
+	f := newFleet(p, site, workload, limit, jobs)
 	for i, j := range jobs {
-		if j.At >= f.warm {
+		if j.At >= f.warmup {
 			f.result.Jobs++
 			f.result.Tasks += len(j.Tasks)
 		}
-		f.at(j.At+site.ToClients, func() { f.submit(i) })
+		f.at(j.At+site.ClientDelay, func() { f.submit(i) })
 	}
-	if shape.CutUntil > shape.CutFrom {
-		f.at(shape.CutFrom, func() { f.cut(true) })
-		f.at(shape.CutUntil, func() { f.cut(false) })
+	if workload.PartitionUntil > workload.PartitionFrom {
+		f.at(workload.PartitionFrom, func() { f.cut(true) })
+		f.at(workload.PartitionUntil, func() { f.cut(false) })
 	}
-	f.run(shape.Length + drainTime)
+	f.run(workload.Length + drainTime)
 	return f.result
 }
 
@@ -93,9 +93,9 @@
 	return (a.domain == first) != (b.domain == first)
 }
 
-func newFleet(p Policy, site Site, shape Shape, limit time.Duration, jobs []Job) *fleet {
+func newFleet(p Policy, site Site, workload Workload, limit time.Duration, jobs []Job) *fleet {
 	f := &fleet{
-		site: site, limit: limit, jobs: jobs, warm: shape.Warm, result: newResult(p.Name),
+		site: site, limit: limit, jobs: jobs, warmup: workload.Warmup, result: newResult(p.Name),
 		byName: make(map[string]*entry), runners: make(map[string]*runner),
 	}
 	for i := range site.Upstreams {
@@ -104,9 +104,9 @@
 	for i := range site.Entries {
 		e := &entry{fleet: f, self: task.Incarnation{Node: entryName(i), Run: 1}, domain: site.entryDomain(i)}
 		cfg := dispatch.DefaultConfig(e.self, e.domain)
-		cfg.Seed = shape.Seed
-		if p.Change != nil {
-			p.Change(&cfg)
+		cfg.Seed = workload.Seed
+		if p.ChangeConfig != nil {
+			p.ChangeConfig(&cfg)
 		}
 		e.core = dispatch.New(cfg)
 		f.entries = append(f.entries, e)
@@ -234,7 +234,7 @@
 // waste is where a message is counted: nowhere while the run warms up or when
 // no more jobs arrive.
 func (f *fleet) waste() *Waste {
-	if f.now < f.warm || f.now > f.jobs[len(f.jobs)-1].At {
+	if f.now < f.warmup || f.now > f.jobs[len(f.jobs)-1].At {
 		return &Waste{}
 	}
 	return &f.result.Waste
@@ -242,12 +242,12 @@
 
 func (f *fleet) reply(job int, a *pb.Answer) {
 	j := f.jobs[job]
-	if j.At < f.warm {
+	if j.At < f.warmup {
 		return
 	}
 	switch a.GetOutcome() {
 	case pb.Outcome_OUTCOME_COMPLETE:
-		f.result.complete(f.now+f.site.ToClients-j.At, f.site.ideal(j))
+		f.result.complete(f.now+f.site.ClientDelay-j.At, f.site.ideal(j))
 	case pb.Outcome_OUTCOME_NOT_RUN:
 		f.result.NotRun++
 	default:
--- a/bench/overload.go
+++ b/bench/overload.go
@@ -16,13 +16,13 @@
 
 // The faults.
 const (
-	Sound Fault = iota
+	Healthy Fault = iota
 	// FailsAll fails every task within failTime.
 	FailsAll
 	// Slow takes slowFactor times as long.
 	Slow
-	// Gone can't be reached.
-	Gone
+	// Unreachable can't be reached.
+	Unreachable
 	// Refuses turns every start away.
 	Refuses
 )
@@ -34,23 +34,23 @@
 	patience = 30 * time.Second
 )
 
-// Stress is a run of the real decision code under load and faults, with
+// Scenario is a run of the real decision code under load and faults, with
 // callers that come back when they are told to.
-type Stress struct {
-	Policy string
-	Site   Site
-	Shape  Shape
-	// LoadAt is the offered load at a time, at most Shape.Load; nil means that.
+type Scenario struct {
+	Policy   string
+	Site     Site
+	Workload Workload
+	// LoadAt is the offered load at a time, at most Workload.Load; nil means that.
 	LoadAt func(at time.Duration) float64
 	// Limit is the contracted response time.
 	Limit time.Duration
 	// OneEntry sends all jobs to one entry process.
 	OneEntry bool
-	// Leave makes refused callers go away instead of coming back.
-	Leave  bool
-	Change func(*dispatch.Config)
-	// Terms alters the declared settings.
-	Terms func(*pb.Settings)
+	// CallersLeave makes refused callers go away instead of coming back.
+	CallersLeave bool
+	ChangeConfig func(*dispatch.Config)
+	// ChangeSettings alters the declared settings.
+	ChangeSettings func(*pb.Settings)
 	// Events happen at their times.
 	Events map[time.Duration]func(*Run)
 }
@@ -58,7 +58,7 @@
 // Run is the state and result of one stress run.
 type Run struct {
 	clock
-	Stress
+	Scenario
 	rng     *rand.Rand
 	entries []*stressEntry
 	runners map[string]*stressRunner
@@ -66,15 +66,15 @@
 	jobs    []*call
 	last    uint64
 
-	// Total counts from Shape.Warm to the end of arrivals; Seconds the jobs
+	// Total counts from Workload.Warmup to the end of arrivals; PerSecond the jobs
 	// that arrived in each second.
-	Total   Count
-	Seconds []Count
+	Total     JobCounts
+	PerSecond []JobCounts
 	// Stops, Forwards and Control count messages since the start.
 	Stops, Forwards, Control, Refusals, Starts int
 	ratios                                     *Result
 	// held is the slots of running tasks, most the most there were, and area
-	// its integral over time since Shape.Warm.
+	// its integral over time since Workload.Warmup.
 	held, most int
 	area       time.Duration
 	changed    time.Duration
@@ -83,16 +83,16 @@
 	began   map[string]bool
 }
 
-// Count is what became of jobs.
-type Count struct {
-	Jobs, Complete, Failed, Gone int
-	// Broken are those of the failed jobs that a failing task ended.
-	Broken int
-	// Tries is the requests that were refused.
-	Tries int
-	// Work and Done are the slot time of all and of completed jobs, Spent that
+// JobCounts is what became of jobs.
+type JobCounts struct {
+	Jobs, Complete, Failed, GaveUp int
+	// TaskFailures are those of the failed jobs that a failing task ended.
+	TaskFailures int
+	// RefusedRequests is the requests that were refused.
+	RefusedRequests int
+	// OfferedTime and CompletedTime are the slot time of all and of completed jobs, UsedTime that
 	// of all tasks run.
-	Work, Done, Spent time.Duration
+	OfferedTime, CompletedTime, UsedTime time.Duration
 }
 
 // call is one job of a caller with its requests.
@@ -123,11 +123,11 @@
 type stressTask struct{ stop func() }
 
 // NewRun prepares a run.
-func NewRun(s Stress) *Run {
+func NewRun(s Scenario) *Run {
 	r := &Run{
-		Stress: s, rng: rand.New(rand.NewPCG(s.Shape.Seed, 3)), runners: make(map[string]*stressRunner),
+		Scenario: s, rng: rand.New(rand.NewPCG(s.Workload.Seed, 3)), runners: make(map[string]*stressRunner),
 		calls: make(map[uint64]*call), began: make(map[string]bool), ratios: newResult(s.Policy),
-		Seconds: make([]Count, int(s.Shape.Length/time.Second)+1),
+		PerSecond: make([]JobCounts, int(s.Workload.Length/time.Second)+1),
 	}
 	for _, u := range r.members().Upstreams {
 		r.runners[u.Name] = &stressRunner{domain: u.FailureDomain, slots: int(u.Slots), running: make(map[string]*stressTask)}
@@ -135,17 +135,17 @@
 	for i := range s.Site.Entries {
 		e := &stressEntry{run: r, self: task.Incarnation{Node: entryName(i), Run: 1}, domain: s.Site.entryDomain(i)}
 		cfg := dispatch.DefaultConfig(e.self, e.domain)
-		cfg.Seed = s.Shape.Seed
-		if s.Change != nil {
-			s.Change(&cfg)
+		cfg.Seed = s.Workload.Seed
+		if s.ChangeConfig != nil {
+			s.ChangeConfig(&cfg)
 		}
 		e.core = dispatch.New(cfg)
 		r.entries = append(r.entries, e)
 	}
 	for _, e := range r.entries {
 		declared := settingsOf(s.Site, Policy{}, s.Limit)
-		if s.Terms != nil {
-			s.Terms(declared)
+		if s.ChangeSettings != nil {
+			s.ChangeSettings(declared)
 		}
 		e.step(dispatch.SettingsRead{Settings: declared})
 		e.step(dispatch.MembersChanged{Members: r.members()})
@@ -173,8 +173,8 @@
 	for at, event := range r.Events {
 		r.at(at, func() { event(r) })
 	}
-	for i, j := range r.Shape.Stream(r.Site) {
-		if r.LoadAt != nil && r.rng.Float64()*r.Shape.Load > r.LoadAt(j.At) {
+	for i, j := range r.Workload.Stream(r.Site) {
+		if r.LoadAt != nil && r.rng.Float64()*r.Workload.Load > r.LoadAt(j.At) {
 			continue
 		}
 		if r.OneEntry {
@@ -184,17 +184,17 @@
 		r.jobs = append(r.jobs, c)
 		r.at(j.At, func() { r.arrive(c) })
 	}
-	r.run(r.Shape.Length + drainTime)
+	r.run(r.Workload.Length + drainTime)
 	return r
 }
 
 // counts are those that a job or a moment belongs to.
-func (r *Run) counts(at time.Duration) []*Count {
-	list := []*Count{}
-	if s := int(at / time.Second); s < len(r.Seconds) {
-		list = append(list, &r.Seconds[s])
+func (r *Run) counts(at time.Duration) []*JobCounts {
+	list := []*JobCounts{}
+	if s := int(at / time.Second); s < len(r.PerSecond) {
+		list = append(list, &r.PerSecond[s])
 	}
-	if at >= r.Shape.Warm && at < r.Shape.Length {
+	if at >= r.Workload.Warmup && at < r.Workload.Length {
 		list = append(list, &r.Total)
 	}
 	return list
@@ -211,7 +211,7 @@
 func (r *Run) arrive(c *call) {
 	for _, n := range r.counts(c.job.At) {
 		n.Jobs++
-		n.Work += c.job.work()
+		n.OfferedTime += c.job.work()
 	}
 	r.try(c, c.job.Entry)
 }
@@ -234,7 +234,7 @@
 			RunTimeMs: uint32(max(1, t.Declared.Milliseconds())),
 		})
 	}
-	r.after(r.Site.ToClients, func() {
+	r.after(r.Site.ClientDelay, func() {
 		e.step(dispatch.Submit{Request: n, Institution: r.Site.Name, Submission: s})
 	})
 }
@@ -263,7 +263,7 @@
 		r.last++
 		request := r.last
 		e := r.entries[c.job.Entry]
-		r.after(r.Site.ToClients, func() {
+		r.after(r.Site.ClientDelay, func() {
 			e.step(dispatch.Cancel{Request: request, Institution: r.Site.Name, ID: c.id})
 		})
 	}
@@ -279,8 +279,8 @@
 	return n
 }
 
-// Break gives upstreams a fault, picked by their place on the list.
-func (r *Run) Break(f Fault, pick func(i int, u task.Upstream) bool) {
+// SetFault gives upstreams a fault, picked by their place on the list.
+func (r *Run) SetFault(f Fault, pick func(i int, u task.Upstream) bool) {
 	for i, u := range r.members().Upstreams {
 		if pick(i, u) {
 			r.runners[u.Name].fault = f
@@ -295,15 +295,15 @@
 		return
 	}
 	again := time.Duration(a.GetRetryAfterMs()) * time.Millisecond
-	gaveUp := r.Leave || again == 0 || r.now+again > c.job.At+patience
+	gaveUp := r.CallersLeave || again == 0 || r.now+again > c.job.At+patience
 	refused := a.GetOutcome() == pb.Outcome_OUTCOME_NOT_RUN
 	if refused {
 		for _, n := range r.counts(r.now) {
-			n.Tries++
+			n.RefusedRequests++
 		}
 	}
 	if refused && !gaveUp {
-		r.after(r.Site.ToClients+again, func() { r.try(c, c.job.Entry) })
+		r.after(r.Site.ClientDelay+again, func() { r.try(c, c.job.Entry) })
 		return
 	}
 	c.ended = true
@@ -312,11 +312,11 @@
 		case a.GetOutcome() == pb.Outcome_OUTCOME_COMPLETE:
 			n.Complete++
 		case refused:
-			n.Gone++
+			n.GaveUp++
 		default:
 			n.Failed++
 			if a.GetReason() == pb.Reason_REASON_TASK_FAILED {
-				n.Broken++
+				n.TaskFailures++
 			}
 		}
 	}
@@ -325,10 +325,10 @@
 	}
 	// Work done counts when it is done, for goodput.
 	for _, n := range r.counts(r.now) {
-		n.Done += c.job.work()
+		n.CompletedTime += c.job.work()
 	}
-	if c.job.At >= r.Shape.Warm {
-		r.ratios.complete(r.now+r.Site.ToClients-c.job.At, r.Site.ideal(c.job))
+	if c.job.At >= r.Workload.Warmup {
+		r.ratios.complete(r.now+r.Site.ClientDelay-c.job.At, r.Site.ideal(c.job))
 	}
 }
 
@@ -392,7 +392,7 @@
 
 func (u *stressRunner) begin(r *Run, cmd dispatch.StartTask, back func(task.Result)) {
 	switch {
-	case u.fault == Gone:
+	case u.fault == Unreachable:
 		r.Refusals++
 		back(task.Result{Verdict: task.NotStarted})
 		return
@@ -426,7 +426,7 @@
 		u.busy--
 		r.hold(-1)
 		for _, n := range r.counts(r.now) {
-			n.Spent += r.now - began
+			n.UsedTime += r.now - began
 		}
 		back(task.Result{Verdict: v})
 	}
@@ -437,17 +437,17 @@
 
 // hold counts a slot taken or given back.
 func (r *Run) hold(n int) {
-	if r.now > r.Shape.Warm && r.now <= r.Shape.Length {
-		r.area += time.Duration(r.held) * (r.now - max(r.changed, r.Shape.Warm))
+	if r.now > r.Workload.Warmup && r.now <= r.Workload.Length {
+		r.area += time.Duration(r.held) * (r.now - max(r.changed, r.Workload.Warmup))
 	}
 	r.changed = r.now
 	r.held += n
 	r.most = max(r.most, r.held)
 }
 
-// MeanHeld is the mean number of slots held from Shape.Warm on.
+// MeanHeld is the mean number of slots held from Workload.Warmup on.
 func (r *Run) MeanHeld() float64 {
-	return r.area.Seconds() / (r.Shape.Length - r.Shape.Warm).Seconds()
+	return r.area.Seconds() / (r.Workload.Length - r.Workload.Warmup).Seconds()
 }
 
 func (e *stressEntry) stop(cmd dispatch.StopTask) {
@@ -462,6 +462,6 @@
 
 // Goodput is the slot time of completed jobs over that of all slots.
 func (r *Run) Goodput() float64 {
-	span := (r.Shape.Length - r.Shape.Warm).Seconds()
-	return r.Total.Done.Seconds() / span / float64(r.Site.totalSlots())
+	span := (r.Workload.Length - r.Workload.Warmup).Seconds()
+	return r.Total.CompletedTime.Seconds() / span / float64(r.Site.totalSlots())
 }
--- a/bench/overload_test.go
+++ b/bench/overload_test.go
@@ -11,8 +11,8 @@
 )
 
 // small is a quarter of a site, so that these runs stay short.
-func small() Stresses {
-	s := Stresses{Site: Hollowell, Seed: 1, Length: 20 * time.Second}
+func small() Scenarios {
+	s := Scenarios{Site: Hollowell, Seed: 1, Length: 20 * time.Second}
 	s.Site.Upstreams = 12
 	s.Site.Entries = 3
 	return s
@@ -22,7 +22,7 @@
 // miss their time, fewer kitchens get their labels than at full load.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	g := gomega.NewWithT(t)
-	runs := all([]Stress{small().stress("", 1, nil), small().stress("", 1.3, nil), small().stress("", 3, nil)})
+	runs := all([]Scenario{small().stress("", 1, nil), small().stress("", 1.3, nil), small().stress("", 3, nil)})
 	for _, r := range runs[1:] {
 		g.Expect(r.Goodput()).To(gomega.BeNumerically(">=", 0.95*runs[0].Goodput()))
 	}
@@ -34,10 +34,10 @@
 	g := gomega.NewWithT(t)
 	s := small().stress("", 0.8, nil)
 	s.Events = map[time.Duration]func(*Run){5 * time.Second: func(r *Run) {
-		r.Break(FailsAll, func(i int, _ task.Upstream) bool { return i == 5 })
+		r.SetFault(FailsAll, func(i int, _ task.Upstream) bool { return i == 5 })
 	}}
 	r := NewRun(s).Do()
-	g.Expect(r.Total.Broken).To(gomega.BeNumerically("<=", 12))
+	g.Expect(r.Total.TaskFailures).To(gomega.BeNumerically("<=", 12))
 	g.Expect(r.Total.Jobs).To(gomega.BeNumerically(">", 400))
 }
 
@@ -49,7 +49,7 @@
 	for _, one := range []bool{false, true} {
 		s := small().stress("", 1, nil)
 		s.OneEntry = one
-		s.Terms = func(d *pb.Settings) {
+		s.ChangeSettings = func(d *pb.Settings) {
 			d.EntryVms = 3
 			d.Institutions[0].CeilingSlots = 48
 		}
--- a/bench/placement_test.go
+++ b/bench/placement_test.go
@@ -11,13 +11,13 @@
 // response time or messages shows at once. The same seed gives the same run.
 func TestLendingKeepsResponseNearTheIdealQueue(t *testing.T) {
 	g := NewWithT(t)
-	shape := Shape{Load: 0.8, Stragglers: Stragglers, Length: 8 * time.Second, Warm: time.Second, Seed: 3}
-	jobs := shape.Stream(Hollowell)
-	ideal := IdealQueue(Hollowell, shape, time.Minute, jobs)
-	random := RandomChoice(Hollowell, shape, time.Minute, jobs)
-	first := Cores(Policy{Name: "response first"}, Hollowell, shape, time.Minute, jobs)
-	few := Cores(Policy{Name: "messages first", Tolerance: 25 * time.Millisecond}, Hollowell, shape, time.Minute, jobs)
-	again := Cores(Policy{Name: "response first"}, Hollowell, shape, time.Minute, jobs)
+	workload := Workload{Load: 0.8, Stragglers: DefaultStragglers, Length: 8 * time.Second, Warmup: time.Second, Seed: 3}
+	jobs := workload.Stream(Hollowell)
+	ideal := IdealQueue(Hollowell, workload, time.Minute, jobs)
+	random := RandomChoice(Hollowell, workload, time.Minute, jobs)
+	first := SimulateDispatch(Policy{Name: "response first"}, Hollowell, workload, time.Minute, jobs)
+	few := SimulateDispatch(Policy{Name: "messages first", Tolerance: 25 * time.Millisecond}, Hollowell, workload, time.Minute, jobs)
+	again := SimulateDispatch(Policy{Name: "response first"}, Hollowell, workload, time.Minute, jobs)
 	for _, r := range []*Result{ideal, random, first, few} {
 		g.Expect(r.Complete).To(Equal(r.Jobs), r.Policy)
 	}
--- a/bench/reference.go
+++ b/bench/reference.go
@@ -41,14 +41,14 @@
 	left   []int
 	missed []bool
 	result *Result
-	warm   time.Duration
+	warmup time.Duration
 }
 
-func newReference(name string, site Site, shape Shape, limit time.Duration, jobs []Job) *reference {
-	r := &reference{site: site, limit: limit, jobs: jobs, left: make([]int, len(jobs)), missed: make([]bool, len(jobs)), result: newResult(name), warm: shape.Warm}
+func newReference(name string, site Site, workload Workload, limit time.Duration, jobs []Job) *reference {
+	r := &reference{site: site, limit: limit, jobs: jobs, left: make([]int, len(jobs)), missed: make([]bool, len(jobs)), result: newResult(name), warmup: workload.Warmup}
 	for i, j := range jobs {
 		r.left[i] = len(j.Tasks)
-		if j.At >= shape.Warm {
+		if j.At >= workload.Warmup {
 			r.result.Jobs++
 			r.result.Tasks += len(j.Tasks)
 		}
@@ -65,8 +65,8 @@
 func (r *reference) done(job int, back time.Duration) {
 	r.left[job]--
 	j := r.jobs[job]
-	response := r.now + back + r.site.ToClients - j.At
-	if r.left[job] > 0 || j.At < r.warm || response > r.limit+2*r.site.ToClients {
+	response := r.now + back + r.site.ClientDelay - j.At
+	if r.left[job] > 0 || j.At < r.warmup || response > r.limit+2*r.site.ClientDelay {
 		return
 	}
 	r.result.complete(response, r.site.ideal(j))
@@ -74,8 +74,8 @@
 
 // IdealQueue is the lower limit: one first-come queue over all slots that
 // knows at once of every arrival and every end, and sends no message for it.
-func IdealQueue(site Site, shape Shape, limit time.Duration, jobs []Job) *Result {
-	r := newReference("one ideal first-come queue", site, shape, limit, jobs)
+func IdealQueue(site Site, workload Workload, limit time.Duration, jobs []Job) *Result {
+	r := newReference("one ideal first-come queue", site, workload, limit, jobs)
 	var queue waitingHeap
 	idle := site.totalSlots()
 	var serve func()
@@ -86,16 +86,16 @@
 				continue
 			}
 			idle--
-			r.after(site.WithinDomain+r.jobs[w.job].Tasks[w.task].Run, func() {
+			r.after(site.IntraDomainDelay+r.jobs[w.job].Tasks[w.task].Run, func() {
 				idle++
-				r.done(w.job, site.WithinDomain)
+				r.done(w.job, site.IntraDomainDelay)
 				serve()
 			})
 		}
 	}
 	seq := 0
 	for i, j := range jobs {
-		r.at(j.At+site.ToClients, func() {
+		r.at(j.At+site.ClientDelay, func() {
 			for t := range j.Tasks {
 				seq++
 				heap.Push(&queue, waiting{j.At, seq, i, t})
@@ -103,7 +103,7 @@
 			serve()
 		})
 	}
-	r.run(shape.Length + drainTime)
+	r.run(workload.Length + drainTime)
 	return r.result
 }
 
@@ -125,16 +125,16 @@
 
 // RandomChoice sends each task to a random upstream, and again to another
 // after a back-off when it is refused.
-func RandomChoice(site Site, shape Shape, limit time.Duration, jobs []Job) *Result {
-	c := newChoice("random, refused and retried", site, shape, limit, jobs)
+func RandomChoice(site Site, workload Workload, limit time.Duration, jobs []Job) *Result {
+	c := newChoice("random, refused and retried", site, workload, limit, jobs)
 	c.pick = func(int) int { return c.rng.IntN(site.Upstreams) }
-	return c.measure(shape)
+	return c.measure(workload)
 }
 
 // LeastOfTwo sends each task to the less loaded of two random upstreams, by
 // the load that came with the last answer.
-func LeastOfTwo(site Site, shape Shape, limit time.Duration, jobs []Job) *Result {
-	c := newChoice("least loaded of two", site, shape, limit, jobs)
+func LeastOfTwo(site Site, workload Workload, limit time.Duration, jobs []Job) *Result {
+	c := newChoice("least loaded of two", site, workload, limit, jobs)
 	c.pick = func(entry int) int {
 		a, b := c.rng.IntN(site.Upstreams), c.rng.IntN(site.Upstreams)
 		if c.known[entry][b] < c.known[entry][a] {
@@ -142,13 +142,13 @@
 		}
 		return a
 	}
-	return c.measure(shape)
+	return c.measure(workload)
 }
 
-func newChoice(name string, site Site, shape Shape, limit time.Duration, jobs []Job) *choice {
+func newChoice(name string, site Site, workload Workload, limit time.Duration, jobs []Job) *choice {
 	c := &choice{
-		reference: newReference(name, site, shape, limit, jobs),
-		rng:       rand.New(rand.NewPCG(shape.Seed, 2)),
+		reference: newReference(name, site, workload, limit, jobs),
+		rng:       rand.New(rand.NewPCG(workload.Seed, 2)),
 		busy:      make([]int, site.Upstreams),
 		known:     make([][]int, site.Entries),
 	}
@@ -158,15 +158,15 @@
 	return c
 }
 
-func (c *choice) measure(shape Shape) *Result {
+func (c *choice) measure(workload Workload) *Result {
 	for i, j := range c.jobs {
-		c.at(j.At+c.site.ToClients, func() {
+		c.at(j.At+c.site.ClientDelay, func() {
 			for t := range j.Tasks {
 				c.send(i, t, 0)
 			}
 		})
 	}
-	c.run(shape.Length + drainTime)
+	c.run(workload.Length + drainTime)
 	return c.result
 }
 
@@ -196,7 +196,7 @@
 }
 
 func (c *choice) refuse(job, index, attempt, u int, delay time.Duration) {
-	if c.jobs[job].At >= c.warm {
+	if c.jobs[job].At >= c.warmup {
 		c.result.Waste.Refusals += 2
 	}
 	load := c.busy[u]
--- a/bench/site.go
+++ b/bench/site.go
@@ -18,8 +18,8 @@
 	// One-way delays.
 	// ByDomain makes jobs arrive at each domain in proportion to its slots;
 	// otherwise each entry process gets the same part.
-	ByDomain                                bool
-	ToClients, BetweenDomains, WithinDomain time.Duration
+	ByDomain                                        bool
+	ClientDelay, InterDomainDelay, IntraDomainDelay time.Duration
 }
 
 // Hollowell and Kandy are the two deployments of today. The delay within a
@@ -28,12 +28,12 @@
 	Hollowell = Site{
 		Name: "hollowell", Domains: []string{"loughborough", "melton", "hinckley"},
 		Entries: 7, Upstreams: 48, Slots: 8,
-		ToClients: 3 * time.Millisecond, BetweenDomains: 500 * time.Microsecond, WithinDomain: 100 * time.Microsecond,
+		ClientDelay: 3 * time.Millisecond, InterDomainDelay: 500 * time.Microsecond, IntraDomainDelay: 100 * time.Microsecond,
 	}
 	Kandy = Site{
 		Name: "kandy", Domains: []string{"kandy", "nuwara", "matale"},
 		Entries: 7, Upstreams: 48, Slots: 8,
-		ToClients: 3 * time.Millisecond, BetweenDomains: time.Millisecond, WithinDomain: 100 * time.Microsecond,
+		ClientDelay: 3 * time.Millisecond, InterDomainDelay: time.Millisecond, IntraDomainDelay: 100 * time.Microsecond,
 	}
 )
 
@@ -44,14 +44,14 @@
 
 func (s Site) delay(a, b string) time.Duration {
 	if a == b {
-		return s.WithinDomain
+		return s.IntraDomainDelay
 	}
-	return s.BetweenDomains
+	return s.InterDomainDelay
 }
 
 // network is the least time that the network takes of a response.
 func (s Site) network() time.Duration {
-	return 2 * (s.ToClients + s.WithinDomain)
+	return 2 * (s.ClientDelay + s.IntraDomainDelay)
 }
 
 // ideal is the response of a job that has everything to itself.
--- a/bench/stream.go
+++ b/bench/stream.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Shape is what a stream of jobs looks like.
-type Shape struct {
+// Workload is what a stream of jobs looks like.
+type Workload struct {
 	// Load is the offered part of all slots' time; 1 is capacity.
 	Load float64
 	// Bursts makes jobs arrive at three times the mean rate for a second in
@@ -15,12 +15,12 @@
 	Bursts bool
 	// Stragglers is the part of tasks that take several seconds.
 	Stragglers float64
-	// Length is the span in which jobs arrive; the first Warm of it isn't
+	// Length is the span in which jobs arrive; the first Warmup of it isn't
 	// measured.
-	Length, Warm time.Duration
-	// CutFrom and CutUntil bound a time in which the first domain's entry
+	Length, Warmup time.Duration
+	// PartitionFrom and PartitionUntil bound a time in which the first domain's entry
 	// processes reach no others. Jobs go on arriving everywhere.
-	CutFrom, CutUntil time.Duration
+	PartitionFrom, PartitionUntil time.Duration
 	// Seed gives the stream.
 	Seed uint64
 }
@@ -48,25 +48,25 @@
 	burstFactor = 3
 	burstEvery  = 10 * time.Second
 	burstLength = time.Second
-	// Stragglers is the usual part of tasks that take several seconds.
-	Stragglers = 0.03
+	// DefaultStragglers is the usual part of tasks that take several seconds.
+	DefaultStragglers = 0.03
 )
 
 // meanRun is the mean run time of a task.
-func (s Shape) meanRun() float64 {
+func (s Workload) meanRun() float64 {
 	usual := medianRun.Seconds() * math.Exp(runSigma*runSigma/2)
 	long := (minLong + maxLong).Seconds() / 2
 	return (1-s.Stragglers)*usual + s.Stragglers*long
 }
 
 // rate is the mean number of jobs a second.
-func (s Shape) rate(slots int) float64 {
+func (s Workload) rate(slots int) float64 {
 	meanTasks := float64(1+maxTasks) / 2
 	return s.Load * float64(slots) / (meanTasks * s.meanRun())
 }
 
 // rateAt is the rate relative to the mean at a time.
-func (s Shape) rateAt(at time.Duration) float64 {
+func (s Workload) rateAt(at time.Duration) float64 {
 	if !s.Bursts {
 		return 1
 	}
@@ -78,7 +78,7 @@
 }
 
 // Stream draws the jobs that arrive at a site.
-func (s Shape) Stream(site Site) []Job {
+func (s Workload) Stream(site Site) []Job {
 	rng := rand.New(rand.NewPCG(s.Seed, 1))
 	peak := s.rate(site.totalSlots())
 	if s.Bursts {
@@ -98,7 +98,7 @@
 	}
 }
 
-func (s Shape) draw(rng *rand.Rand, at time.Duration, site Site) Job {
+func (s Workload) draw(rng *rand.Rand, at time.Duration, site Site) Job {
 	j := Job{At: at, Entry: site.drawEntry(rng), Tasks: make([]Task, 1+rng.IntN(maxTasks))}
 	for i := range j.Tasks {
 		j.Tasks[i] = s.drawTask(rng)
@@ -108,7 +108,7 @@
 
 // drawTask draws a task. Half of the long ones are declared as if they were
 // usual ones, and all declarations are off by a factor of two and more.
-func (s Shape) drawTask(rng *rand.Rand) Task {
+func (s Workload) drawTask(rng *rand.Rand) Task {
 	usual := max(minRun, lognormal(rng, medianRun, runSigma))
 	run, declared := usual, usual
 	if rng.Float64() < s.Stragglers {
--- a/cli/entry_test.go
+++ b/cli/entry_test.go
@@ -21,7 +21,7 @@
 
 func TestEntrySettings(t *testing.T) {
 	g := NewWithT(t)
-	n := deployment.Node{Name: "front-a-1", Domain: "a", Callers: "127.0.0.1:1", Health: "127.0.0.1:2", PeerUDP: 7720}
+	n := deployment.Node{Name: "front-a-1", Domain: "a", CallerAddress: "127.0.0.1:1", HealthAddress: "127.0.0.1:2", PeerPort: 7720}
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	text := n.Settings("127.0.0.1:3", 6)
 	g.Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -136,8 +136,8 @@
 	}},
 	{"runner cut", func(w *world) {
 		r := w.anyRunner()
-		r.proxy.Cut(w.rng.IntN(2) == 0, w.rng.IntN(2) == 0)
-		w.later(w.span(300, 2500), func() { r.proxy.Cut(false, false) })
+		r.proxy.Drop(w.rng.IntN(2) == 0, w.rng.IntN(2) == 0)
+		w.later(w.span(300, 2500), func() { r.proxy.Drop(false, false) })
 	}},
 	{"runner silenced", func(w *world) { w.anyRunner().proxy.Silence() }},
 	{"runner reset", func(w *world) { w.anyRunner().proxy.Reset() }},
@@ -149,13 +149,13 @@
 	{"runner crashed", func(w *world) { w.replaceRunner(w.rng.IntN(len(w.workers))) }},
 	{"store busy", func(w *world) { w.storeFault(true, false, w.span(300, 2500)) }},
 	{"store silent", func(w *world) { w.storeFault(false, true, w.span(300, 2500)) }},
-	{"store answers lost", func(w *world) { w.store.SetFaults(deployment.StoreFaults{LoseWrites: 1 + w.rng.IntN(3)}) }},
+	{"store answers lost", func(w *world) { w.store.SetFaults(deployment.StoreFaults{LoseReplies: 1 + w.rng.IntN(3)}) }},
 	{"store silenced", func(w *world) { w.storeProxy.Silence() }},
 	{"store cut", func(w *world) {
-		w.storeProxy.Cut(true, w.rng.IntN(2) == 0)
-		w.later(w.span(300, 2500), func() { w.storeProxy.Cut(false, false) })
+		w.storeProxy.Drop(true, w.rng.IntN(2) == 0)
+		w.later(w.span(300, 2500), func() { w.storeProxy.Drop(false, false) })
 	}},
-	{"history forgotten", func(w *world) { w.store.Forget() }},
+	{"history forgotten", func(w *world) { w.store.DropHistory() }},
 	{"configuration", func(w *world) { w.declare() }},
 	{"garbage", func(w *world) {
 		w.store.PutRaw("op", "config", []byte("{"))
--- a/soak/truth_test.go
+++ b/soak/truth_test.go
@@ -20,7 +20,7 @@
 type truth struct {
 	mu      sync.Mutex
 	faults  []string
-	running map[string]map[deployment.Started]string
+	running map[string]map[deployment.RunID]string
 	starts  map[string]int
 	done    map[string]bool
 	refused map[string]bool
@@ -37,7 +37,7 @@
 
 func newTruth() *truth {
 	return &truth{
-		running: make(map[string]map[deployment.Started]string),
+		running: make(map[string]map[deployment.RunID]string),
 		starts:  make(map[string]int),
 		done:    make(map[string]bool),
 		refused: make(map[string]bool),
@@ -84,12 +84,12 @@
 }
 
 // RunStarted implements deployment.Observer.
-func (t *truth) RunStarted(r *deployment.Runner, s deployment.Started) {
+func (t *truth) RunStarted(r *deployment.Runner, s deployment.RunID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	live := t.running[s.Task]
 	if live == nil {
-		live = make(map[deployment.Started]string)
+		live = make(map[deployment.RunID]string)
 		t.running[s.Task] = live
 	}
 	for other, at := range live {
@@ -111,7 +111,7 @@
 }
 
 // RunEnded implements deployment.Observer.
-func (t *truth) RunEnded(_ *deployment.Runner, s deployment.Started, how string) {
+func (t *truth) RunEnded(_ *deployment.Runner, s deployment.RunID, how string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.running[s.Task], s)
@@ -135,11 +135,11 @@
 	}
 }
 
-// RunForgotten implements deployment.Observer.
-func (t *truth) RunForgotten(_ *deployment.Runner, e deployment.End) {
+// EndAcknowledged implements deployment.Observer.
+func (t *truth) EndAcknowledged(_ *deployment.Runner, e deployment.EndedRun) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e.How != "done" || e.Lapsed || !stored(jobOf(e.Task)) {
+	if e.Outcome != "done" || e.LeaseExpired || !stored(jobOf(e.Task)) {
 		return
 	}
 	if at, ok := t.noted[e.Task]; !ok || e.At.Before(at) {
@@ -291,7 +291,7 @@
 func (w *world) ask(n *node, method, job, body string, patience time.Duration) (int, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+n.Callers+prefix+job, bytes.NewBufferString(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+n.CallerAddress+prefix+job, bytes.NewBufferString(body))
 	if err != nil {
 		return 0, ""
 	}
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Observe(w.truth)
+	r.SetObserver(w.truth)
 	p, err := faults.NewProxy(r.Info.Address)
 	if err != nil {
 		return nil, err
@@ -232,7 +232,7 @@
 // ready reports whether any entry process serves.
 func (w *world) ready() bool {
 	for _, n := range w.nodes {
-		res, err := w.http.Get("http://" + n.Health + "/ready")
+		res, err := w.http.Get("http://" + n.HealthAddress + "/ready")
 		if err != nil {
 			continue
 		}
--- a/standin/deployment/runner.go
+++ b/standin/deployment/runner.go
@@ -25,8 +25,8 @@
 	Born     int64          `json:"born"`
 }
 
-// Started is a run that a runner has begun.
-type Started struct {
+// RunID is a run that a runner has begun.
+type RunID struct {
 	Task string
 	Run  int
 }
@@ -34,20 +34,20 @@
 // Observer is told what runs on a runner. It is called with the runner's lock
 // held.
 type Observer interface {
-	RunStarted(r *Runner, s Started)
-	RunEnded(r *Runner, s Started, how string)
-	// RunForgotten: the end of a run was acknowledged.
-	RunForgotten(r *Runner, e End)
+	RunStarted(r *Runner, s RunID)
+	RunEnded(r *Runner, s RunID, how string)
+	// EndAcknowledged: the end of a run was acknowledged.
+	EndAcknowledged(r *Runner, e EndedRun)
 }
 
-// End is how a run has ended.
-type End struct {
-	Started
-	How string
-	At  time.Time
-	// Lapsed: the runner's lease has ended since, so that the end shows nothing
+// EndedRun is how a run has ended.
+type EndedRun struct {
+	RunID
+	Outcome string
+	At      time.Time
+	// LeaseExpired: the runner's lease has ended since, so that the end shows nothing
 	// about what was started elsewhere.
-	Lapsed bool
+	LeaseExpired bool
 
 	sequence int
 }
@@ -63,12 +63,12 @@
 	mu       sync.Mutex
 	token    uint64
 	leaseEnd time.Time
-	running  map[Started]*time.Timer
+	running  map[RunID]*time.Timer
 	sealed   map[string]int
-	ends     []End
+	ends     []EndedRun
 	lastEnd  int
 	changed  chan struct{}
-	starts   []Started
+	starts   []RunID
 	silent   bool
 	observer Observer
 	// clockZero is where the clock of this lifetime begins.
@@ -92,7 +92,7 @@
 			Born: time.Now().UnixMilli(),
 		},
 		listener: l,
-		running:  make(map[Started]*time.Timer),
+		running:  make(map[RunID]*time.Timer),
 		sealed:   make(map[string]int),
 		changed:  make(chan struct{}),
 
@@ -133,8 +133,8 @@
 	return s.Put("servers", r.ID, info)
 }
 
-// Observe has an observer told from now on.
-func (r *Runner) Observe(o Observer) {
+// SetObserver has an observer told from now on.
+func (r *Runner) SetObserver(o Observer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observer = o
@@ -148,10 +148,10 @@
 }
 
 // Starts are the runs begun so far.
-func (r *Runner) Starts() []Started {
+func (r *Runner) Starts() []RunID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]Started(nil), r.starts...)
+	return append([]RunID(nil), r.starts...)
 }
 
 // Token is the highest fencing token seen.
@@ -235,7 +235,7 @@
 		return
 	}
 	for i := range r.ends {
-		r.ends[i].Lapsed = true
+		r.ends[i].LeaseExpired = true
 	}
 	for s := range r.running {
 		r.end(s, "lapsed")
@@ -248,7 +248,7 @@
 		return
 	}
 	defer r.mu.Unlock()
-	s := Started{o.Task, o.Run}
+	s := RunID{o.Task, o.Run}
 	switch {
 	case r.running[s] != nil:
 		r.accept(w)
@@ -280,7 +280,7 @@
 }
 
 // end is called with the lock held.
-func (r *Runner) end(s Started, how string) {
+func (r *Runner) end(s RunID, how string) {
 	timer := r.running[s]
 	if timer == nil {
 		return
@@ -292,7 +292,7 @@
 	}
 	r.sealed[s.Task] = max(r.sealed[s.Task], s.Run)
 	r.lastEnd++
-	r.ends = append(r.ends, End{Started: s, How: how, At: time.Now(), sequence: r.lastEnd})
+	r.ends = append(r.ends, EndedRun{RunID: s, Outcome: how, At: time.Now(), sequence: r.lastEnd})
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -304,7 +304,7 @@
 	}
 	defer r.mu.Unlock()
 	r.sealed[o.Task] = max(r.sealed[o.Task], o.Run)
-	r.end(Started{o.Task, o.Run}, "stopped")
+	r.end(RunID{o.Task, o.Run}, "stopped")
 	r.accept(w)
 }
 
@@ -318,7 +318,7 @@
 	}
 	for len(r.ends) > 0 && r.ends[0].sequence <= o.AckCursor {
 		if r.observer != nil {
-			r.observer.RunForgotten(r, r.ends[0])
+			r.observer.EndAcknowledged(r, r.ends[0])
 		}
 		r.ends = r.ends[1:]
 	}
@@ -339,7 +339,7 @@
 	}
 	ended := make([][]any, 0, len(r.ends))
 	for _, e := range r.ends {
-		ended = append(ended, []any{e.sequence, e.Task, e.Run, e.How, ""})
+		ended = append(ended, []any{e.sequence, e.Task, e.Run, e.Outcome, ""})
 	}
 	answer(w, http.StatusOK, map[string]any{"clockMs": r.clock(), "born": r.Info.Born, "running": running, "endedRuns": ended})
 }
--- a/standin/deployment/settings.go
+++ b/standin/deployment/settings.go
@@ -9,11 +9,11 @@
 
 // Node is an entry VM as its settings file describes it.
 type Node struct {
-	Name    string
-	Domain  string
-	Callers string
-	Health  string
-	PeerUDP int
+	Name          string
+	Domain        string
+	CallerAddress string
+	HealthAddress string
+	PeerPort      int
 }
 
 // NewNode picks free ports on the loopback address.
@@ -31,7 +31,7 @@
 		return Node{}, errors.Wrap(err, "free port")
 	}
 	defer c.Close()
-	return Node{Name: name, Domain: domain, Callers: callers, Health: health, PeerUDP: c.LocalAddr().(*net.UDPAddr).Port}, nil
+	return Node{Name: name, Domain: domain, CallerAddress: callers, HealthAddress: health, PeerPort: c.LocalAddr().(*net.UDPAddr).Port}, nil
 }
 
 func freeTCP() (string, error) {
@@ -65,7 +65,7 @@
 
 [platform]
 address = %q
-`, n.Name, n.Domain, n.PeerUDP, n.PeerUDP, n.Callers, n.Health, graceS, store)
+`, n.Name, n.Domain, n.PeerPort, n.PeerPort, n.CallerAddress, n.HealthAddress, graceS, store)
 }
 
 // Declaration is an operator's configuration with one queue, whose latency
--- a/standin/deployment/store.go
+++ b/standin/deployment/store.go
@@ -33,8 +33,8 @@
 	Busy bool
 	// Silent answers no call.
 	Silent bool
-	// LoseWrites does the coming writes and answers none of them.
-	LoseWrites int
+	// LoseReplies does the coming writes and answers none of them.
+	LoseReplies int
 }
 
 // Store is the stand-in for the platform's store.
@@ -86,8 +86,8 @@
 	s.faults = f
 }
 
-// Forget drops the history of changes.
-func (s *Store) Forget() {
+// DropHistory drops the history of changes.
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
@@ -189,9 +189,9 @@
 		s.apply(row)
 	}
 	s.wake()
-	version, lose := s.version, s.faults.LoseWrites > 0
+	version, lose := s.version, s.faults.LoseReplies > 0
 	if lose {
-		s.faults.LoseWrites--
+		s.faults.LoseReplies--
 	}
 	s.mu.Unlock()
 	if lose {
--- a/standin/faults/listener.go
+++ b/standin/faults/listener.go
@@ -39,11 +39,11 @@
 func (l *Listener) Bytes() int64 { return l.bytes.Load() }
 
 // Silence makes all open connections silent for good and returns their number.
-func (l *Listener) Silence() int { return l.SilenceBut(nil) }
+func (l *Listener) Silence() int { return l.SilenceExcept(nil) }
 
-// SilenceBut makes all open connections but one silent for good and returns their
+// SilenceExcept makes all open connections but one silent for good and returns their
 // number. The one left out, which may be nil, is that of whoever asks.
-func (l *Listener) SilenceBut(except net.Conn) int {
+func (l *Listener) SilenceExcept(except net.Conn) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
--- a/standin/faults/proxy.go
+++ b/standin/faults/proxy.go
@@ -56,9 +56,9 @@
 	p.delay = d
 }
 
-// Cut loses what goes to the target, and what comes from it, until it is told
+// Drop loses what goes to the target, and what comes from it, until it is told
 // otherwise.
-func (p *Proxy) Cut(to, from bool) {
+func (p *Proxy) Drop(to, from bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dropTo, p.dropFrom = to, from
--- a/standin/runner/runner.go
+++ b/standin/runner/runner.go
@@ -109,7 +109,7 @@
 	mux.HandleFunc("POST /control/mode", func(w http.ResponseWriter, q *http.Request) { r.SetMode(Mode(q.FormValue("mode"))) })
 	mux.HandleFunc("POST /control/silence", func(_ http.ResponseWriter, q *http.Request) {
 		asker, _ := q.Context().Value(connKey{}).(net.Conn)
-		r.listener.SilenceBut(asker)
+		r.listener.SilenceExcept(asker)
 	})
 	mux.HandleFunc("GET /ledger", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(r.Ledger()) })
 	return mux
