--- a/standin/cluster.go
+++ b/standin/cluster.go
@@ -25,13 +25,13 @@
 
 // Token is the caller token, and OperatorToken the operators', of a Cluster.
 const (
-	Token         = "quickstart-caller"
-	OperatorToken = "quickstart-operator"
-	loopback      = "127.0.0.1:0"
-	readyTimeout  = 20 * time.Second
-	readyPoll     = 20 * time.Millisecond
+	Token             = "quickstart-caller"
+	OperatorToken     = "quickstart-operator"
+	loopback          = "127.0.0.1:0"
+	readyTimeout      = 20 * time.Second
+	readyPollInterval = 20 * time.Millisecond
 	// fastPoll lets a deployment in one process come up quickly.
-	fastPoll = 100 * time.Millisecond
+	defaultPollInterval = 100 * time.Millisecond
 )
 
 // Layout is the shape of a deployment.
@@ -59,21 +59,21 @@
 	Runners  []*runner.Runner
 	Entries  []*Entry
 
-	layout       Layout
-	ca           keys.Pair
-	platformURL  string
-	platformLink *faults.Listener
-	members      []*platformv1.Member
-	listeners    []net.Listener
+	layout           Layout
+	ca               keys.Pair
+	platformURL      string
+	platformListener *faults.Listener
+	members          []*platformv1.Member
+	listeners        []net.Listener
 }
 
 // Settings is a small declaration for the examples: one institution with a
 // label service and a settlement service that isn't idempotent.
 func Settings() *pb.Settings {
-	sum := sha256.Sum256([]byte(Token))
+	digest := sha256.Sum256([]byte(Token))
 	return &pb.Settings{Institutions: []*pb.Institution{{
 		Name:              "hollowell",
-		TokenSha256:       []string{hex.EncodeToString(sum[:])},
+		TokenSha256:       []string{hex.EncodeToString(digest[:])},
 		CapacityPercent:   100,
 		Priority:          1,
 		ResponseTimeMs:    30_000,
@@ -117,13 +117,13 @@
 	}
 	c.listeners = append(c.listeners, l)
 	c.platformURL = "http://" + l.Addr().String()
-	c.platformLink = faults.NewListener(l)
-	go func() { _ = c.Platform.Serve(c.platformLink) }()
+	c.platformListener = faults.NewListener(l)
+	go func() { _ = c.Platform.Serve(c.platformListener) }()
 	return nil
 }
 
 // PlatformBytes is what all nodes have exchanged with the platform.
-func (c *Cluster) PlatformBytes() int64 { return c.platformLink.Bytes() }
+func (c *Cluster) PlatformBytes() int64 { return c.platformListener.Bytes() }
 
 func (c *Cluster) addDomain(ctx context.Context, domain string) error {
 	for i := range c.layout.NodesPerDomain {
@@ -174,7 +174,7 @@
 	n, err := node.New(node.Config{
 		Name: name, FailureDomain: domain, CallerAddress: loopback, OperatorAddress: loopback, PeerAddress: peerAddress,
 		PlatformURL: c.platformURL, OperatorToken: OperatorToken, PeerTLS: tlsConfig,
-		PollInterval: cmp.Or(c.layout.PollInterval, fastPoll), Log: c.layout.Log,
+		PollInterval: cmp.Or(c.layout.PollInterval, defaultPollInterval), Log: c.layout.Log,
 	})
 	if err != nil {
 		return nil, err
@@ -197,7 +197,7 @@
 			select {
 			case <-ctx.Done():
 				return errors.Errorf("%s isn't ready", e.Incarnation())
-			case <-time.After(readyPoll):
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
--- a/standin/deployment/runner.go
+++ b/standin/deployment/runner.go
@@ -35,7 +35,7 @@
 // held.
 type Observer interface {
 	RunStarted(r *Runner, s RunID)
-	RunEnded(r *Runner, s RunID, how string)
+	RunEnded(r *Runner, s RunID, outcome string)
 	// EndAcknowledged: the end of a run was acknowledged.
 	EndAcknowledged(r *Runner, e EndedRun)
 }
@@ -60,23 +60,23 @@
 	listener net.Listener
 	server   *http.Server
 
-	mu       sync.Mutex
-	token    uint64
-	leaseEnd time.Time
-	running  map[RunID]*time.Timer
-	sealed   map[string]int
-	ends     []EndedRun
-	lastEnd  int
-	changed  chan struct{}
-	starts   []RunID
-	silent   bool
-	observer Observer
+	mu           sync.Mutex
+	token        uint64
+	leaseEnd     time.Time
+	running      map[RunID]*time.Timer
+	closedRuns   map[string]int
+	endedRuns    []EndedRun
+	lastSequence int
+	endsChanged  chan struct{}
+	starts       []RunID
+	silent       bool
+	observer     Observer
 	// clockZero is where the clock of this lifetime begins.
-	clockZero time.Time
+	clockStart time.Time
 }
 
 // holdMax is the longest lease that a runner grants.
-const holdMax = time.Second
+const maxLease = time.Second
 
 // NewRunner starts a runner on a free port and registers it in the store.
 func NewRunner(s *Store, id, service, domain string) (*Runner, error) {
@@ -91,18 +91,18 @@
 			Capacity: map[string]int{"cpu": 64000, "memMb": 131072, "gpu": 0}, Labels: []string{"a", "r1-1"}, Seq: 1,
 			Born: time.Now().UnixMilli(),
 		},
-		listener: l,
-		running:  make(map[RunID]*time.Timer),
-		sealed:   make(map[string]int),
-		changed:  make(chan struct{}),
+		listener:    l,
+		running:     make(map[RunID]*time.Timer),
+		closedRuns:  make(map[string]int),
+		endsChanged: make(chan struct{}),
 
-		clockZero: time.Now().Add(-time.Hour),
+		clockStart: time.Now().Add(-time.Hour),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /run-start", r.start)
 	mux.HandleFunc("POST /run-stop", r.stop)
 	mux.HandleFunc("POST /hold", r.hold)
-	r.server = &http.Server{Handler: r.guard(mux), ReadHeaderTimeout: time.Second}
+	r.server = &http.Server{Handler: r.checkRequest(mux), ReadHeaderTimeout: time.Second}
 	go func() { _ = r.server.Serve(l) }()
 	return r, s.Put("servers", id, r.Info)
 }
@@ -113,7 +113,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for s := range r.running {
-		r.end(s, "crashed")
+		r.endRun(s, "crashed")
 	}
 }
 
@@ -122,12 +122,12 @@
 func (r *Runner) Restart(s *Store) error {
 	r.mu.Lock()
 	for run := range r.running {
-		r.end(run, "crashed")
+		r.endRun(run, "crashed")
 	}
 	r.Info.Born = max(r.Info.Born+1, time.Now().UnixMilli())
-	r.clockZero = time.Now()
-	r.token, r.leaseEnd, r.lastEnd, r.ends = 0, time.Time{}, 0, nil
-	r.sealed = make(map[string]int)
+	r.clockStart = time.Now()
+	r.token, r.leaseEnd, r.lastSequence, r.endedRuns = 0, time.Time{}, 0, nil
+	r.closedRuns = make(map[string]int)
 	info := r.Info
 	r.mu.Unlock()
 	return s.Put("servers", r.ID, info)
@@ -162,9 +162,9 @@
 }
 
 // clock is called with the lock held.
-func (r *Runner) clock() int64 { return time.Since(r.clockZero).Milliseconds() }
+func (r *Runner) clock() int64 { return time.Since(r.clockStart).Milliseconds() }
 
-func (r *Runner) guard(next http.Handler) http.Handler {
+func (r *Runner) checkRequest(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		r.mu.Lock()
 		silent := r.silent
@@ -181,7 +181,7 @@
 	})
 }
 
-type order struct {
+type request struct {
 	Task       string `json:"task"`
 	Run        int    `json:"run"`
 	Spec       string `json:"spec"`
@@ -191,15 +191,15 @@
 	WaitMs     int    `json:"waitMs"`
 }
 
-func (r *Runner) read(w http.ResponseWriter, q *http.Request) (order, bool) {
-	var o order
+func (r *Runner) decodeAndLock(w http.ResponseWriter, q *http.Request) (request, bool) {
+	var o request
 	if err := json.NewDecoder(q.Body).Decode(&o); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return o, false
 	}
 	r.mu.Lock()
 	if o.FenceToken < r.token {
-		r.refuse(w, "fence")
+		r.reject(w, "fence")
 		r.mu.Unlock()
 		return o, false
 	}
@@ -207,43 +207,43 @@
 	return o, true
 }
 
-func (r *Runner) refuse(w http.ResponseWriter, reason string) {
-	answer(w, http.StatusConflict, map[string]any{"clockMs": r.clock(), "born": r.Info.Born, "reason": reason})
+func (r *Runner) reject(w http.ResponseWriter, reason string) {
+	writeJSON(w, http.StatusConflict, map[string]any{"clockMs": r.clock(), "born": r.Info.Born, "reason": reason})
 }
 
 func (r *Runner) accept(w http.ResponseWriter) {
-	answer(w, http.StatusOK, map[string]any{"clockMs": r.clock(), "born": r.Info.Born})
+	writeJSON(w, http.StatusOK, map[string]any{"clockMs": r.clock(), "born": r.Info.Born})
 }
 
 // grant moves the end of the lease; it never comes nearer.
-func (r *Runner) grant(ms int64) {
-	end := r.clockZero.Add(time.Duration(ms) * time.Millisecond)
-	if most := time.Now().Add(holdMax); end.After(most) {
-		end = most
+func (r *Runner) extendLease(ms int64) {
+	until := r.clockStart.Add(time.Duration(ms) * time.Millisecond)
+	if latest := time.Now().Add(maxLease); until.After(latest) {
+		until = latest
 	}
-	if !end.After(r.leaseEnd) {
+	if !until.After(r.leaseEnd) {
 		return
 	}
-	r.leaseEnd = end
-	time.AfterFunc(time.Until(end), r.lapse)
+	r.leaseEnd = until
+	time.AfterFunc(time.Until(until), r.expireLease)
 }
 
-func (r *Runner) lapse() {
+func (r *Runner) expireLease() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if time.Now().Before(r.leaseEnd) {
 		return
 	}
-	for i := range r.ends {
-		r.ends[i].LeaseExpired = true
+	for i := range r.endedRuns {
+		r.endedRuns[i].LeaseExpired = true
 	}
 	for s := range r.running {
-		r.end(s, "lapsed")
+		r.endRun(s, "lapsed")
 	}
 }
 
 func (r *Runner) start(w http.ResponseWriter, q *http.Request) {
-	o, ok := r.read(w, q)
+	o, ok := r.decodeAndLock(w, q)
 	if !ok {
 		return
 	}
@@ -253,34 +253,34 @@
 	case r.running[s] != nil:
 		r.accept(w)
 		return
-	case o.Run <= r.sealed[o.Task]:
-		r.refuse(w, "old")
+	case o.Run <= r.closedRuns[o.Task]:
+		r.reject(w, "old")
 		return
 	case o.DeadlineMs <= r.clock():
-		r.refuse(w, "late")
+		r.reject(w, "late")
 		return
 	}
-	r.grant(o.DeadlineMs)
-	how, work := "done", time.Millisecond
+	r.extendLease(o.DeadlineMs)
+	outcome, runTime := "done", time.Millisecond
 	if strings.HasPrefix(o.Spec, "fail") {
-		how = "failed"
+		outcome = "failed"
 	} else if d, err := time.ParseDuration(o.Spec); err == nil {
-		work = d
+		runTime = d
 	}
 	r.starts = append(r.starts, s)
 	if r.observer != nil {
 		r.observer.RunStarted(r, s)
 	}
-	r.running[s] = time.AfterFunc(work, func() {
+	r.running[s] = time.AfterFunc(runTime, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.end(s, how)
+		r.endRun(s, outcome)
 	})
 	r.accept(w)
 }
 
 // end is called with the lock held.
-func (r *Runner) end(s RunID, how string) {
+func (r *Runner) endRun(s RunID, outcome string) {
 	timer := r.running[s]
 	if timer == nil {
 		return
@@ -288,45 +288,45 @@
 	timer.Stop()
 	delete(r.running, s)
 	if r.observer != nil {
-		r.observer.RunEnded(r, s, how)
+		r.observer.RunEnded(r, s, outcome)
 	}
-	r.sealed[s.Task] = max(r.sealed[s.Task], s.Run)
-	r.lastEnd++
-	r.ends = append(r.ends, EndedRun{RunID: s, Outcome: how, At: time.Now(), sequence: r.lastEnd})
-	close(r.changed)
-	r.changed = make(chan struct{})
+	r.closedRuns[s.Task] = max(r.closedRuns[s.Task], s.Run)
+	r.lastSequence++
+	r.endedRuns = append(r.endedRuns, EndedRun{RunID: s, Outcome: outcome, At: time.Now(), sequence: r.lastSequence})
+	close(r.endsChanged)
+	r.endsChanged = make(chan struct{})
 }
 
 func (r *Runner) stop(w http.ResponseWriter, q *http.Request) {
-	o, ok := r.read(w, q)
+	o, ok := r.decodeAndLock(w, q)
 	if !ok {
 		return
 	}
 	defer r.mu.Unlock()
-	r.sealed[o.Task] = max(r.sealed[o.Task], o.Run)
-	r.end(RunID{o.Task, o.Run}, "stopped")
+	r.closedRuns[o.Task] = max(r.closedRuns[o.Task], o.Run)
+	r.endRun(RunID{o.Task, o.Run}, "stopped")
 	r.accept(w)
 }
 
 func (r *Runner) hold(w http.ResponseWriter, q *http.Request) {
-	o, ok := r.read(w, q)
+	o, ok := r.decodeAndLock(w, q)
 	if !ok {
 		return
 	}
 	if o.DeadlineMs > 0 {
-		r.grant(o.DeadlineMs)
+		r.extendLease(o.DeadlineMs)
 	}
-	for len(r.ends) > 0 && r.ends[0].sequence <= o.AckCursor {
+	for len(r.endedRuns) > 0 && r.endedRuns[0].sequence <= o.AckCursor {
 		if r.observer != nil {
-			r.observer.EndAcknowledged(r, r.ends[0])
+			r.observer.EndAcknowledged(r, r.endedRuns[0])
 		}
-		r.ends = r.ends[1:]
+		r.endedRuns = r.endedRuns[1:]
 	}
-	if len(r.ends) == 0 && o.WaitMs > 0 {
-		changed := r.changed
+	if len(r.endedRuns) == 0 && o.WaitMs > 0 {
+		endsChanged := r.endsChanged
 		r.mu.Unlock()
 		select {
-		case <-changed:
+		case <-endsChanged:
 		case <-time.After(time.Duration(o.WaitMs) * time.Millisecond):
 		case <-q.Context().Done():
 		}
@@ -337,9 +337,9 @@
 	for s := range r.running {
 		running = append(running, []any{s.Task, s.Run, "", 100, 0})
 	}
-	ended := make([][]any, 0, len(r.ends))
-	for _, e := range r.ends {
+	ended := make([][]any, 0, len(r.endedRuns))
+	for _, e := range r.endedRuns {
 		ended = append(ended, []any{e.sequence, e.Task, e.Run, e.Outcome, ""})
 	}
-	answer(w, http.StatusOK, map[string]any{"clockMs": r.clock(), "born": r.Info.Born, "running": running, "endedRuns": ended})
+	writeJSON(w, http.StatusOK, map[string]any{"clockMs": r.clock(), "born": r.Info.Born, "running": running, "endedRuns": ended})
 }
--- a/standin/deployment/settings.go
+++ b/standin/deployment/settings.go
@@ -18,11 +18,11 @@
 
 // NewNode picks free ports on the loopback address.
 func NewNode(name, domain string) (Node, error) {
-	callers, err := freeTCP()
+	callers, err := freeTCPAddress()
 	if err != nil {
 		return Node{}, err
 	}
-	health, err := freeTCP()
+	health, err := freeTCPAddress()
 	if err != nil {
 		return Node{}, err
 	}
@@ -34,7 +34,7 @@
 	return Node{Name: name, Domain: domain, CallerAddress: callers, HealthAddress: health, PeerPort: c.LocalAddr().(*net.UDPAddr).Port}, nil
 }
 
-func freeTCP() (string, error) {
+func freeTCPAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", errors.Wrap(err, "free port")
--- a/standin/deployment/store.go
+++ b/standin/deployment/store.go
@@ -47,11 +47,11 @@
 	rows    map[rowKey]Row
 	// history are the changes that the feed can tell, from the version after
 	// forgotten on.
-	history   []Row
-	forgotten uint64
-	changed   chan struct{}
-	faults    StoreFaults
-	writes    int
+	history        []Row
+	droppedVersion uint64
+	changed        chan struct{}
+	faults         StoreFaults
+	writes         int
 }
 
 type rowKey struct{ table, part, key string }
@@ -68,7 +68,7 @@
 	mux.HandleFunc("GET /rows-get", s.get)
 	mux.HandleFunc("GET /rows-feed", s.feed)
 	mux.HandleFunc("GET /rows-parts", s.parts)
-	s.server = &http.Server{Handler: s.faulty(mux), ReadHeaderTimeout: time.Second}
+	s.server = &http.Server{Handler: s.applyFaults(mux), ReadHeaderTimeout: time.Second}
 	go func() { _ = s.server.Serve(l) }()
 	return s, nil
 }
@@ -91,7 +91,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.forgotten = s.version
+	s.droppedVersion = s.version
 }
 
 // Writes is the number of transactions applied.
@@ -117,7 +117,7 @@
 	defer s.mu.Unlock()
 	s.version++
 	s.apply(Row{Table: table, Key: key, Value: raw})
-	s.wake()
+	s.notifyReaders()
 }
 
 // Remove drops a row.
@@ -126,7 +126,7 @@
 	defer s.mu.Unlock()
 	s.version++
 	s.apply(Row{Table: table, Key: key, Deleted: true})
-	s.wake()
+	s.notifyReaders()
 }
 
 func (s *Store) apply(r Row) {
@@ -140,12 +140,12 @@
 	s.history = append(s.history, r)
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *Store) faulty(next http.Handler) http.Handler {
+func (s *Store) applyFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		f := s.faults
@@ -188,7 +188,7 @@
 		row.Deleted = true
 		s.apply(row)
 	}
-	s.wake()
+	s.notifyReaders()
 	version, lose := s.version, s.faults.LoseReplies > 0
 	if lose {
 		s.faults.LoseReplies--
@@ -198,7 +198,7 @@
 		<-r.Context().Done()
 		return
 	}
-	answer(w, http.StatusOK, map[string]any{"tableVersion": version, "nowMs": time.Now().UnixMilli()})
+	writeJSON(w, http.StatusOK, map[string]any{"tableVersion": version, "nowMs": time.Now().UnixMilli()})
 }
 
 func (s *Store) get(w http.ResponseWriter, r *http.Request) {
@@ -218,7 +218,7 @@
 	sort.Slice(rows, func(i, j int) bool { return rows[i].Key < rows[j].Key })
 	more := len(rows) > limit
 	rows = rows[:min(len(rows), limit)]
-	answer(w, http.StatusOK, map[string]any{"rows": rows, "hasMore": more, "tableVersion": s.version, "nowMs": time.Now().UnixMilli()})
+	writeJSON(w, http.StatusOK, map[string]any{"rows": rows, "hasMore": more, "tableVersion": s.version, "nowMs": time.Now().UnixMilli()})
 }
 
 func (s *Store) parts(w http.ResponseWriter, r *http.Request) {
@@ -231,11 +231,11 @@
 		}
 	}
 	slices.Sort(parts)
-	answer(w, http.StatusOK, map[string]any{"parts": parts})
+	writeJSON(w, http.StatusOK, map[string]any{"parts": parts})
 }
 
 // feedRows is the most changes in one answer.
-const feedRows = 500
+const maxFeedRows = 500
 
 func (s *Store) feed(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
@@ -245,19 +245,19 @@
 	defer cancel()
 	for {
 		s.mu.Lock()
-		if since < s.forgotten {
+		if since < s.droppedVersion {
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		rows, version, changed := s.since(q.Get("table"), since), s.version, s.changed
-		if len(rows) > feedRows {
-			rows = rows[:feedRows]
-			version = rows[feedRows-1].Version
+		rows, version, changed := s.changesSince(q.Get("table"), since), s.version, s.changed
+		if len(rows) > maxFeedRows {
+			rows = rows[:maxFeedRows]
+			version = rows[maxFeedRows-1].Version
 		}
 		s.mu.Unlock()
 		if len(rows) > 0 || ctx.Err() != nil {
-			answer(w, http.StatusOK, map[string]any{"rows": rows, "tableVersion": version, "nowMs": time.Now().UnixMilli()})
+			writeJSON(w, http.StatusOK, map[string]any{"rows": rows, "tableVersion": version, "nowMs": time.Now().UnixMilli()})
 			return
 		}
 		select {
@@ -267,7 +267,7 @@
 	}
 }
 
-func (s *Store) since(table string, version uint64) []Row {
+func (s *Store) changesSince(table string, version uint64) []Row {
 	var rows []Row
 	for _, r := range s.history {
 		if r.Table == table && r.Version > version {
@@ -277,7 +277,7 @@
 	return rows
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
--- a/standin/faults/listener.go
+++ b/standin/faults/listener.go
@@ -59,11 +59,11 @@
 
 type conn struct {
 	net.Conn
-	listener *Listener
-	mu       sync.Mutex
-	silent   bool
-	once     sync.Once
-	closed   chan struct{}
+	listener  *Listener
+	mu        sync.Mutex
+	silent    bool
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
 func (c *conn) silence() {
@@ -101,7 +101,7 @@
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.closed)
 		c.listener.mu.Lock()
 		delete(c.listener.conns, c)
--- a/standin/faults/proxy.go
+++ b/standin/faults/proxy.go
@@ -16,15 +16,15 @@
 	target   string
 
 	mu    sync.Mutex
-	conns map[*proxied]bool
+	conns map[*proxyConn]bool
 	// delay holds up each piece of data; dropTo and dropFrom lose what goes to
 	// the target and what comes from it, on all connections.
-	delay            time.Duration
-	dropTo, dropFrom bool
+	delay                        time.Duration
+	dropToTarget, dropFromTarget bool
 }
 
-type proxied struct {
-	a, b net.Conn
+type proxyConn struct {
+	inbound, outbound net.Conn
 	// silent connections carry nothing any more, for good.
 	silent bool
 }
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
-	p := &Proxy{listener: l, target: target, conns: make(map[*proxied]bool)}
+	p := &Proxy{listener: l, target: target, conns: make(map[*proxyConn]bool)}
 	go p.accept()
 	return p, nil
 }
@@ -61,7 +61,7 @@
 func (p *Proxy) Drop(to, from bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dropTo, p.dropFrom = to, from
+	p.dropToTarget, p.dropFromTarget = to, from
 }
 
 // Silence makes the open connections carry nothing any more. New ones work.
@@ -82,42 +82,42 @@
 	}
 }
 
-func (c *proxied) close() {
-	_ = c.a.Close()
-	_ = c.b.Close()
+func (c *proxyConn) close() {
+	_ = c.inbound.Close()
+	_ = c.outbound.Close()
 }
 
 func (p *Proxy) accept() {
 	for {
-		a, err := p.listener.Accept()
+		inbound, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.serve(a)
+		go p.serve(inbound)
 	}
 }
 
-func (p *Proxy) serve(a net.Conn) {
-	b, err := net.Dial("tcp", p.target)
+func (p *Proxy) serve(inbound net.Conn) {
+	outbound, err := net.Dial("tcp", p.target)
 	if err != nil {
-		_ = a.Close()
+		_ = inbound.Close()
 		return
 	}
-	c := &proxied{a: a, b: b}
+	c := &proxyConn{inbound: inbound, outbound: outbound}
 	p.mu.Lock()
 	p.conns[c] = true
 	p.mu.Unlock()
 	var done sync.WaitGroup
 	done.Add(2)
-	go func() { defer done.Done(); p.copy(c, b, a, true) }()
-	go func() { defer done.Done(); p.copy(c, a, b, false) }()
+	go func() { defer done.Done(); p.copy(c, outbound, inbound, true) }()
+	go func() { defer done.Done(); p.copy(c, inbound, outbound, false) }()
 	done.Wait()
 	p.mu.Lock()
 	delete(p.conns, c)
 	p.mu.Unlock()
 }
 
-func (p *Proxy) copy(c *proxied, to io.Writer, from io.Reader, toTarget bool) {
+func (p *Proxy) copy(c *proxyConn, to io.Writer, from io.Reader, toTarget bool) {
 	defer c.close()
 	buf := make([]byte, 32<<10)
 	for {
@@ -126,7 +126,7 @@
 			return
 		}
 		p.mu.Lock()
-		delay, lost := p.delay, c.silent || toTarget && p.dropTo || !toTarget && p.dropFrom
+		delay, lost := p.delay, c.silent || toTarget && p.dropToTarget || !toTarget && p.dropFromTarget
 		p.mu.Unlock()
 		if lost {
 			continue
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -49,7 +49,7 @@
 	Rows    int `json:"rows"`
 }
 
-type listEntry struct {
+type memberList struct {
 	at      time.Time
 	members []*platformv1.Member
 }
@@ -60,17 +60,17 @@
 	readCost  time.Duration
 	lag       time.Duration
 
-	writing sync.Mutex
-	reading sync.Mutex
+	writeMu sync.Mutex
+	readMu  sync.Mutex
 
 	mu     sync.Mutex
 	faults Faults
 	rows   map[string]*platformv1.Row
 	// expires holds when rows may be dropped; rows that are kept have no entry.
-	expires map[string]time.Time
-	objects map[string][]byte
-	lists   []listEntry
-	counts  Counts
+	expires     map[string]time.Time
+	objects     map[string][]byte
+	memberLists []memberList
+	counts      Counts
 }
 
 // New returns a platform with the default costs.
@@ -135,7 +135,7 @@
 func (p *Platform) SetMembers(list []*platformv1.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lists = append(p.lists, listEntry{time.Now(), list})
+	p.memberLists = append(p.memberLists, memberList{time.Now(), list})
 }
 
 // Counts returns the number of calls served.
@@ -148,7 +148,7 @@
 }
 
 // fault applies outage, hanging and slowness to a call.
-func (p *Platform) fault(ctx context.Context) error {
+func (p *Platform) applyFaults(ctx context.Context) error {
 	p.mu.Lock()
 	f := p.faults
 	p.mu.Unlock()
@@ -167,7 +167,7 @@
 	}
 }
 
-func cost(m *sync.Mutex, d time.Duration) {
+func occupy(m *sync.Mutex, d time.Duration) {
 	m.Lock()
 	defer m.Unlock()
 	time.Sleep(d)
@@ -177,17 +177,17 @@
 
 // Read implements TableService.
 func (t tableService) Read(ctx context.Context, req *connect.Request[platformv1.ReadRequest]) (*connect.Response[platformv1.ReadResponse], error) {
-	if err := t.p.fault(ctx); err != nil {
+	if err := t.p.applyFaults(ctx); err != nil {
 		return nil, err
 	}
-	cost(&t.p.reading, t.p.readCost)
+	occupy(&t.p.readMu, t.p.readCost)
 	t.p.mu.Lock()
 	defer t.p.mu.Unlock()
 	t.p.counts.Reads++
 	res := &platformv1.ReadResponse{}
 	known := req.Msg.GetKnownVersions()
 	for i, key := range req.Msg.GetKeys() {
-		row := t.p.row(key)
+		row := t.p.liveRow(key)
 		switch {
 		case row == nil:
 		case i < len(known) && known[i] == row.GetVersion():
@@ -201,10 +201,10 @@
 
 // Commit implements TableService.
 func (t tableService) Commit(ctx context.Context, req *connect.Request[platformv1.CommitRequest]) (*connect.Response[platformv1.CommitResponse], error) {
-	if err := t.p.fault(ctx); err != nil {
+	if err := t.p.applyFaults(ctx); err != nil {
 		return nil, err
 	}
-	cost(&t.p.writing, t.p.writeCost)
+	occupy(&t.p.writeMu, t.p.writeCost)
 	res, lost := t.p.commit(req.Msg.GetWrites())
 	if lost {
 		return nil, connect.NewError(connect.CodeUnavailable, errors.New("the reply is lost"))
@@ -213,8 +213,8 @@
 }
 
 // row finds a row that hasn't expired.
-func (p *Platform) row(key string) *platformv1.Row {
-	if at, limited := p.expires[key]; limited && time.Now().After(at) {
+func (p *Platform) liveRow(key string) *platformv1.Row {
+	if at, hasTTL := p.expires[key]; hasTTL && time.Now().After(at) {
 		delete(p.rows, key)
 		delete(p.expires, key)
 	}
@@ -232,13 +232,13 @@
 	}
 	res := &platformv1.CommitResponse{}
 	for _, w := range writes {
-		row := p.row(w.GetKey())
+		row := p.liveRow(w.GetKey())
 		if row.GetVersion() != w.GetExpectedVersion() {
-			present := &platformv1.Row{Key: w.GetKey()}
+			current := &platformv1.Row{Key: w.GetKey()}
 			if row != nil {
-				present = proto.Clone(row).(*platformv1.Row)
+				current = proto.Clone(row).(*platformv1.Row)
 			}
-			res.Conflicts = append(res.Conflicts, present)
+			res.Conflicts = append(res.Conflicts, current)
 		}
 	}
 	if len(res.Conflicts) > 0 {
@@ -259,10 +259,10 @@
 
 // Put implements ObjectService.
 func (o objectService) Put(ctx context.Context, req *connect.Request[platformv1.PutRequest]) (*connect.Response[platformv1.PutResponse], error) {
-	if err := o.p.fault(ctx); err != nil {
+	if err := o.p.applyFaults(ctx); err != nil {
 		return nil, err
 	}
-	cost(&o.p.writing, o.p.writeCost)
+	occupy(&o.p.writeMu, o.p.writeCost)
 	o.p.mu.Lock()
 	defer o.p.mu.Unlock()
 	o.p.objects[req.Msg.GetName()] = req.Msg.GetData()
@@ -271,10 +271,10 @@
 
 // Get implements ObjectService.
 func (o objectService) Get(ctx context.Context, req *connect.Request[platformv1.GetRequest]) (*connect.Response[platformv1.GetResponse], error) {
-	if err := o.p.fault(ctx); err != nil {
+	if err := o.p.applyFaults(ctx); err != nil {
 		return nil, err
 	}
-	cost(&o.p.reading, o.p.readCost)
+	occupy(&o.p.readMu, o.p.readCost)
 	o.p.mu.Lock()
 	defer o.p.mu.Unlock()
 	data, found := o.p.objects[req.Msg.GetName()]
@@ -285,13 +285,13 @@
 
 // List implements MembershipService: the list as it was before the lag.
 func (m membershipService) List(ctx context.Context, req *connect.Request[platformv1.ListRequest]) (*connect.Response[platformv1.ListResponse], error) {
-	if err := m.p.fault(ctx); err != nil {
+	if err := m.p.applyFaults(ctx); err != nil {
 		return nil, err
 	}
 	m.p.mu.Lock()
 	defer m.p.mu.Unlock()
 	res := &platformv1.ListResponse{}
-	for i, l := range m.p.lists {
+	for i, l := range m.p.memberLists {
 		if i > 0 && time.Since(l.at) < m.p.lag {
 			break
 		}
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -16,7 +16,7 @@
 // Every entry process reads settings and list once a second. Sent whole each
 // time, the list of a large deployment alone would exceed what a VM may spend
 // on control two hundred times over.
-func TestWhatTheReaderHasIsNotSentAgain(t *testing.T) {
+func TestUnchangedDataIsNotSentAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ctx := context.Background()
 	p := platform.New()
--- a/standin/runner/runner.go
+++ b/standin/runner/runner.go
@@ -23,8 +23,8 @@
 	// DefaultSlots and DefaultConnections are the sizes of today's runners.
 	DefaultSlots       = 8
 	DefaultConnections = 64
-	defaultRun         = 20 * time.Millisecond
-	settleWait         = 500 * time.Millisecond
+	defaultRunTime     = 20 * time.Millisecond
+	maxSettleWait      = 500 * time.Millisecond
 )
 
 // Mode is the way in which a runner behaves.
@@ -48,9 +48,9 @@
 }
 
 // connKey finds the connection of a request in its context.
-type connKey struct{}
+type connContextKey struct{}
 
-type record struct {
+type taskRecord struct {
 	started  bool
 	starts   int
 	done     chan struct{}
@@ -62,7 +62,7 @@
 
 // Runner is one upstream.
 type Runner struct {
-	run      string
+	runID    string
 	slots    int
 	listener *faults.Listener
 
@@ -70,16 +70,16 @@
 	mode    Mode
 	busy    int
 	refused int
-	tasks   map[string]*record
+	tasks   map[string]*taskRecord
 }
 
 // New returns a runner with the given slots.
 func New(slots int) *Runner {
 	return &Runner{
-		run:   strconv.FormatUint(rand.Uint64(), 16),
+		runID: strconv.FormatUint(rand.Uint64(), 16),
 		slots: slots,
 		mode:  Normal,
-		tasks: make(map[string]*record),
+		tasks: make(map[string]*taskRecord),
 	}
 }
 
@@ -94,7 +94,7 @@
 		Protocols:         &p,
 		ReadHeaderTimeout: 5 * time.Second,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, connKey{}, c)
+			return context.WithValue(ctx, connContextKey{}, c)
 		},
 	}
 	return s.Serve(r.listener)
@@ -108,8 +108,8 @@
 	mux.HandleFunc("POST "+upstream.PathStop, func(w http.ResponseWriter, q *http.Request) { r.settle(w, q, true) })
 	mux.HandleFunc("POST /control/mode", func(w http.ResponseWriter, q *http.Request) { r.SetMode(Mode(q.FormValue("mode"))) })
 	mux.HandleFunc("POST /control/silence", func(_ http.ResponseWriter, q *http.Request) {
-		asker, _ := q.Context().Value(connKey{}).(net.Conn)
-		r.listener.SilenceExcept(asker)
+		caller, _ := q.Context().Value(connContextKey{}).(net.Conn)
+		r.listener.SilenceExcept(caller)
 	})
 	mux.HandleFunc("GET /ledger", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(r.Ledger()) })
 	return mux
@@ -148,7 +148,7 @@
 }
 
 func (r *Runner) answer(w http.ResponseWriter, verdict string, body []byte) {
-	w.Header().Set(upstream.HeaderRun, r.run)
+	w.Header().Set(upstream.HeaderRun, r.runID)
 	w.Header().Set(upstream.HeaderVerdict, verdict)
 	if r.leaving() {
 		w.Header().Set(upstream.HeaderLeaving, "yes")
@@ -169,7 +169,7 @@
 		return
 	}
 	name := q.URL.Query().Get(upstream.ParamTask)
-	t, ctx, mode, refusal := r.begin(name)
+	t, ctx, mode, refusal := r.admit(name)
 	if refusal != "" {
 		r.answer(w, upstream.VerdictNotStarted, []byte(refusal))
 		return
@@ -180,7 +180,7 @@
 }
 
 // begin takes a slot for a task, or says why it isn't started.
-func (r *Runner) begin(name string) (*record, context.Context, Mode, string) {
+func (r *Runner) admit(name string) (*taskRecord, context.Context, Mode, string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.tasks[name]
@@ -193,7 +193,7 @@
 		return nil, nil, "", "no slot"
 	}
 	if t == nil {
-		t = &record{}
+		t = &taskRecord{}
 		r.tasks[name] = t
 	}
 	// A second start is counted, not refused: the ledger is there to show it.
@@ -206,7 +206,7 @@
 	return t, ctx, r.mode, ""
 }
 
-func (r *Runner) finish(t *record, verdict string, out []byte) {
+func (r *Runner) finish(t *taskRecord, verdict string, out []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.busy--
@@ -220,7 +220,7 @@
 func execute(ctx context.Context, mode Mode, body []byte) (string, []byte) {
 	var p Payload
 	if json.Unmarshal(body, &p) != nil {
-		p = Payload{RunMs: int(defaultRun.Milliseconds()), Output: string(body)}
+		p = Payload{RunMs: int(defaultRunTime.Milliseconds()), Output: string(body)}
 	}
 	switch mode {
 	case FailAll:
@@ -245,7 +245,7 @@
 	r.mu.Lock()
 	t := r.tasks[name]
 	if t == nil {
-		t = &record{}
+		t = &taskRecord{}
 		r.tasks[name] = t
 	}
 	started, done := t.started, t.done
@@ -260,7 +260,7 @@
 	select {
 	case <-done:
 		r.answer(w, t.verdict, t.body)
-	case <-time.After(settleWait):
+	case <-time.After(maxSettleWait):
 		r.answer(w, upstream.VerdictRunning, nil)
 	}
 }
