--- /dev/null
+++ b/soak/checker_test.go
@@ -0,0 +1,310 @@
+package runSoak
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"maps"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"sapphirepoint.example/sapphirepoint/standin/deployment"
+)
+
+// truth checks the promises by what runners and callers see.
+type checker struct {
+	mu            sync.Mutex
+	violations    []string
+	runningByTask map[string]map[deployment.RunID]string
+	startsByJob   map[string]int
+	doneTasks     map[string]bool
+	refusedJobs   map[string]bool
+	answers       map[string]int
+	// Of stored jobs: those accepted and not shown as completed yet, by their
+	// number of tasks, those shown,
+	// when each task was last started, and when it ended well by an end that was
+	// acknowledged and counts.
+	acceptedJobs     map[string]int
+	completedJobs    map[string]bool
+	lastStarts       map[string]time.Time
+	acknowledgedEnds map[string]time.Time
+}
+
+func newChecker() *checker {
+	return &checker{
+		runningByTask: make(map[string]map[deployment.RunID]string),
+		startsByJob:   make(map[string]int),
+		doneTasks:     make(map[string]bool),
+		refusedJobs:   make(map[string]bool),
+		answers:       make(map[string]int),
+
+		acceptedJobs:     make(map[string]int),
+		completedJobs:    make(map[string]bool),
+		lastStarts:       make(map[string]time.Time),
+		acknowledgedEnds: make(map[string]time.Time),
+	}
+}
+
+func (t *checker) reportViolation(format string, args ...any) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.addViolation(format, args...)
+}
+
+func (t *checker) addViolation(format string, args ...any) {
+	t.violations = append(t.violations, time.Now().UTC().Format(time.RFC3339Nano)+" "+fmt.Sprintf(format, args...))
+}
+
+func (t *checker) allViolations() []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.violations
+}
+
+func (t *checker) answerCount(status string) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.answers[status]
+}
+
+func (t *checker) answerSummary() string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return fmt.Sprint(t.answers)
+}
+
+func jobOfTask(task string) string {
+	job, _, _ := strings.Cut(task, ".")
+	return job
+}
+
+// RunStarted implements deployment.Observer.
+func (t *checker) RunStarted(r *deployment.Runner, s deployment.RunID) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	runs := t.runningByTask[s.Task]
+	if runs == nil {
+		runs = make(map[deployment.RunID]string)
+		t.runningByTask[s.Task] = runs
+	}
+	for other, at := range runs {
+		t.addViolation("%s run %d starts on %s while run %d runs on %s", s.Task, s.Run, r.ID, other.Run, at)
+	}
+	runs[s] = r.ID
+	job := jobOfTask(s.Task)
+	t.startsByJob[job]++
+	if isStored(job) {
+		t.lastStarts[s.Task] = time.Now()
+		t.checkRestartAfterAcknowledgement(s.Task)
+	}
+	if t.completedJobs[job] {
+		t.addViolation("%s run %d starts though its job is shown as completed", s.Task, s.Run)
+	}
+	if t.refusedJobs[job] {
+		t.addViolation("%s starts though its caller was told that it hasn't run", s.Task)
+	}
+}
+
+// RunEnded implements deployment.Observer.
+func (t *checker) RunEnded(_ *deployment.Runner, s deployment.RunID, how string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.runningByTask[s.Task], s)
+	if how == "done" {
+		t.doneTasks[s.Task] = true
+	}
+}
+
+// stored reports whether a job is one that is to be kept: every third caller
+// sends such jobs.
+func isStored(job string) bool {
+	caller, err := strconv.ParseUint(job[:8], 16, 64)
+	return err == nil && caller%3 == 0
+}
+
+// checkNoted is called with the lock held, when a task of a stored job was started
+// or its end acknowledged.
+func (t *checker) checkRestartAfterAcknowledgement(task string) {
+	if at, ok := t.acknowledgedEnds[task]; ok && t.lastStarts[task].After(at) {
+		t.addViolation("%s starts after it had ended at %v, which was acknowledged", task, at.UTC())
+	}
+}
+
+// EndAcknowledged implements deployment.Observer.
+func (t *checker) EndAcknowledged(_ *deployment.Runner, e deployment.EndedRun) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if e.Outcome != "done" || e.LeaseExpired || !isStored(jobOfTask(e.Task)) {
+		return
+	}
+	if at, ok := t.acknowledgedEnds[e.Task]; !ok || e.At.Before(at) {
+		t.acknowledgedEnds[e.Task] = e.At
+	}
+	t.checkRestartAfterAcknowledgement(e.Task)
+}
+
+// shown checks what the caller of an accepted job is told, and reports whether
+// the job has ended.
+func (t *checker) checkJobState(job string, status int, body string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	switch {
+	case status == http.StatusGone:
+		t.addViolation("%s was accepted and isn't known", job)
+	case status == http.StatusOK && strings.Contains(body, "failed"), status == http.StatusOK && strings.Contains(body, "cancelled"):
+		t.addViolation("%s is shown as %s", job, body)
+	case status == http.StatusOK && strings.Contains(body, "completed"):
+		t.checkAllTasksDone(job, t.acceptedJobs[job])
+		t.completedJobs[job] = true
+		delete(t.acceptedJobs, job)
+	default:
+		return false
+	}
+	return true
+}
+
+// unfinished lists the accepted jobs that haven't been shown as completed.
+func (t *checker) unfinishedJobs() []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return slices.Sorted(maps.Keys(t.acceptedJobs))
+}
+
+func (t *checker) recordAccepted(job string, tasks int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.answers["accepted"]++
+	t.acceptedJobs[job] = tasks
+}
+
+// allDone is called with the lock held.
+func (t *checker) checkAllTasksDone(job string, tasks int) {
+	for i := range tasks {
+		if task := fmt.Sprintf("%s.0.0.%d", job, i); !t.doneTasks[task] {
+			t.addViolation("%s is complete without %s", job, task)
+		}
+	}
+}
+
+// answered checks a caller's answer. tries counts how often the job was sent.
+func (t *checker) checkAnswer(job string, tasks, status, tries int, body string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.answers[fmt.Sprint(status)]++
+	switch {
+	case status == http.StatusServiceUnavailable && tries == 1:
+		t.refusedJobs[job] = true
+		if t.startsByJob[job] > 0 {
+			t.addViolation("%s: its caller is told that it hasn't run; %d runs were started", job, t.startsByJob[job])
+		}
+	case status == http.StatusOK && strings.Contains(body, "completed"):
+		t.checkAllTasksDone(job, tasks)
+	}
+}
+
+// crowd is callers that send jobs until they are told to stop.
+type callerGroup struct {
+	stop chan struct{}
+	done sync.WaitGroup
+}
+
+func (c *callerGroup) stopAndWait() {
+	close(c.stop)
+	c.done.Wait()
+}
+
+const (
+	// callerPatience is how long a caller waits in all, resend how long after a
+	// broken connection it sends its job again.
+	callerTimeout  = 2500 * time.Millisecond
+	resendInterval = 1300 * time.Millisecond
+)
+
+func (w *world) startCallers(n int) *callerGroup {
+	c := &callerGroup{stop: make(chan struct{})}
+	for i := range n {
+		c.done.Add(1)
+		go func() {
+			defer c.done.Done()
+			for k := 0; ; k++ {
+				select {
+				case <-c.stop:
+					return
+				default:
+					w.callOnce(i, k)
+				}
+			}
+		}()
+	}
+	return c
+}
+
+// call sends one job, again by another entry VM if the connection breaks or
+// nobody knows what became of it.
+func (w *world) callOnce(caller, k int) {
+	job := fmt.Sprintf("%08x%08x", caller+1, k)
+	tasks := 1 + (caller+k)%3
+	spec := fmt.Sprintf("%dms", 20+(caller*37+k*53)%250)
+	begin := time.Now()
+	for tries := 1; time.Since(begin) < callerTimeout; tries++ {
+		n := w.nodes[(caller+k+tries)%len(w.nodes)]
+		status, body := w.submit(n, job, spec, tasks, callerTimeout-time.Since(begin))
+		w.checker.checkAnswer(job, tasks, status, tries, body)
+		if status != 0 && status != http.StatusGatewayTimeout && status != http.StatusBadGateway {
+			if status != http.StatusOK {
+				time.Sleep(20 * time.Millisecond)
+			} else if isStored(job) {
+				w.checker.recordAccepted(job, tasks)
+				w.queryUntilEnded(caller, job)
+			}
+			return
+		}
+		time.Sleep(resendInterval)
+	}
+}
+
+// followTime is how long a caller asks for its job before it sends the next one.
+const queryTime = 3 * time.Second
+
+// follow asks for a job by one entry VM after the other until it has ended, or for
+// a while.
+func (w *world) queryUntilEnded(caller int, job string) {
+	for begin, k := time.Now(), 0; time.Since(begin) < queryTime; k++ {
+		status, body := w.request(w.nodes[(caller+k)%len(w.nodes)], http.MethodGet, job, "", time.Second)
+		if w.checker.checkJobState(job, status, body) {
+			return
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+}
+
+func (w *world) submit(n *node, job, spec string, tasks int, timeout time.Duration) (int, string) {
+	body := fmt.Sprintf(`{"spec":%q,"steps":[{"count":%d,"cpu":9000,"memMb":64,"estimateMs":100}],"bestEffort":%v}`, spec, tasks, !isStored(job))
+	return w.request(n, http.MethodPost, job, body, timeout)
+}
+
+func (w *world) request(n *node, method, job, body string, timeout time.Duration) (int, string) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+n.CallerAddress+prefix+job, bytes.NewBufferString(body))
+	if err != nil {
+		return 0, ""
+	}
+	req.Host = host
+	req.Header.Set("Deadline-Ms", fmt.Sprint(timeout.Milliseconds()))
+	res, err := w.http.Do(req)
+	if err != nil {
+		return 0, ""
+	}
+	defer res.Body.Close()
+	raw, err := io.ReadAll(res.Body)
+	if err != nil {
+		return 0, ""
+	}
+	return res.StatusCode, string(raw)
+}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -3,7 +3,7 @@
 // the platform's store. What runners and callers see is checked while it runs.
 //
 //	go test ./soak -soak.seeds 50 -soak.first 100 -soak.seconds 30
-package soak
+package runSoak
 
 import (
 	"flag"
@@ -25,7 +25,7 @@
 	seeds   = flag.Int("soak.seeds", 1, "number of runs")
 	first   = flag.Uint64("soak.first", 1, "seed of the first run")
 	seconds = flag.Int("soak.seconds", 8, "length of a run")
-	keep    = flag.String("soak.logs", "", "directory for the logs of runs that broke a promise")
+	logDir  = flag.String("soak.logs", "", "directory for the logs of runs that broke a promise")
 )
 
 // regressions are seeds that once broke a promise, with the cause.
@@ -52,79 +52,79 @@
 	for _, seed := range list {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			soak(t, program, seed)
+			runSoak(t, program, seed)
 		})
 	}
 }
 
-func soak(t *testing.T, program string, seed uint64) {
+func runSoak(t *testing.T, program string, seed uint64) {
 	g := NewWithT(t)
 	w, err := newWorld(program, t.TempDir(), seed)
 	g.Expect(err).NotTo(HaveOccurred())
 	defer w.close()
 	defer func() {
-		if t.Failed() && *keep != "" {
-			w.saveLogs(filepath.Join(*keep, fmt.Sprint(seed)))
+		if t.Failed() && *logDir != "" {
+			w.saveLogs(filepath.Join(*logDir, fmt.Sprint(seed)))
 		}
 	}()
 	g.Eventually(w.ready, time.Minute, 50*time.Millisecond).Should(BeTrue(), "no entry process came up")
-	callers := w.callers(12)
-	played := w.harm(time.Duration(*seconds) * time.Second)
-	w.heal()
-	g.Eventually(w.ready, time.Minute, 50*time.Millisecond).Should(BeTrue(), "the system didn't recover: %v", played)
-	before := w.truth.count("200")
-	g.Eventually(func() int { return w.truth.count("200") }, time.Minute, 50*time.Millisecond).Should(BeNumerically(">", before+20), "nothing is served after: %v", played)
-	callers.end()
-	g.Eventually(w.unfinished, time.Minute, 100*time.Millisecond).Should(BeEmpty(), "accepted jobs don't end: %v", played)
-	broken := w.truth.broken()
-	g.Expect(broken).To(BeEmpty(), "seed %d: %v", seed, played)
-	t.Logf("answers %v, faults %d", w.truth.statuses(), len(played))
+	callers := w.startCallers(12)
+	injected := w.injectFaults(time.Duration(*seconds) * time.Second)
+	w.waitForFaults()
+	g.Eventually(w.ready, time.Minute, 50*time.Millisecond).Should(BeTrue(), "the system didn't recover: %v", injected)
+	before := w.checker.answerCount("200")
+	g.Eventually(func() int { return w.checker.answerCount("200") }, time.Minute, 50*time.Millisecond).Should(BeNumerically(">", before+20), "nothing is served after: %v", injected)
+	callers.stopAndWait()
+	g.Eventually(w.unfinishedJobs, time.Minute, 100*time.Millisecond).Should(BeEmpty(), "accepted jobs don't end: %v", injected)
+	violations := w.checker.allViolations()
+	g.Expect(violations).To(BeEmpty(), "seed %d: %v", seed, injected)
+	t.Logf("answers %v, faults %d", w.checker.answerSummary(), len(injected))
 }
 
 // unfinished asks for the accepted jobs that haven't ended, and lists those that
 // still haven't.
-func (w *world) unfinished() []string {
-	for i, job := range w.truth.unfinished() {
-		status, body := w.ask(w.nodes[i%len(w.nodes)], http.MethodGet, job, "", time.Second)
-		w.truth.shown(job, status, body)
+func (w *world) unfinishedJobs() []string {
+	for i, job := range w.checker.unfinishedJobs() {
+		status, body := w.request(w.nodes[i%len(w.nodes)], http.MethodGet, job, "", time.Second)
+		w.checker.checkJobState(job, status, body)
 	}
-	return w.truth.unfinished()
+	return w.checker.unfinishedJobs()
 }
 
 // harm plays faults, one about every 400 ms, which overlap.
-func (w *world) harm(d time.Duration) []string {
-	var played []string
+func (w *world) injectFaults(d time.Duration) []string {
+	var injected []string
 	end := time.Now().Add(d)
 	for time.Now().Before(end) {
-		f := harms[w.rng.IntN(len(harms))]
-		played = append(played, f.name)
-		f.play(w)
-		time.Sleep(w.span(100, 700))
+		f := faultKinds[w.rng.IntN(len(faultKinds))]
+		injected = append(injected, f.name)
+		f.inject(w)
+		time.Sleep(w.randomDuration(100, 700))
 	}
-	return played
+	return injected
 }
 
-func (w *world) span(least, most int) time.Duration {
-	return time.Duration(least+w.rng.IntN(most-least)) * time.Millisecond
+func (w *world) randomDuration(minMs, maxMs int) time.Duration {
+	return time.Duration(minMs+w.rng.IntN(maxMs-minMs)) * time.Millisecond
 }
 
 type fault struct {
-	name string
-	play func(*world)
+	name   string
+	inject func(*world)
 }
 
-func (w *world) anyNode() *node     { return w.nodes[w.rng.IntN(len(w.nodes))] }
-func (w *world) anyRunner() *worker { return w.workers[w.rng.IntN(len(w.workers))] }
+func (w *world) randomNode() *node            { return w.nodes[w.rng.IntN(len(w.nodes))] }
+func (w *world) randomRunner() *proxiedRunner { return w.runners[w.rng.IntN(len(w.runners))] }
 
 // harms are in a fixed order, so that a seed plays the same ones again.
-var harms = []fault{
-	{"kill", func(w *world) { w.anyNode().signal(syscall.SIGKILL) }},
-	{"stop", func(w *world) { w.anyNode().signal(syscall.SIGTERM) }},
-	{"hangup", func(w *world) { w.anyNode().signal(syscall.SIGHUP) }},
+var faultKinds = []fault{
+	{"kill", func(w *world) { w.randomNode().signal(syscall.SIGKILL) }},
+	{"stop", func(w *world) { w.randomNode().signal(syscall.SIGTERM) }},
+	{"hangup", func(w *world) { w.randomNode().signal(syscall.SIGHUP) }},
 	{"pause", func(w *world) {
-		n := w.anyNode()
+		n := w.randomNode()
 		n.signal(syscall.SIGSTOP)
-		w.later(w.span(200, 3000), func() { n.signal(syscall.SIGCONT) })
+		w.runAfter(w.randomDuration(200, 3000), func() { n.signal(syscall.SIGCONT) })
 	}},
 	{"kill all", func(w *world) {
 		if w.rng.IntN(3) > 0 {
@@ -135,32 +135,32 @@
 		}
 	}},
 	{"runner cut", func(w *world) {
-		r := w.anyRunner()
+		r := w.randomRunner()
 		r.proxy.Drop(w.rng.IntN(2) == 0, w.rng.IntN(2) == 0)
-		w.later(w.span(300, 2500), func() { r.proxy.Drop(false, false) })
+		w.runAfter(w.randomDuration(300, 2500), func() { r.proxy.Drop(false, false) })
 	}},
-	{"runner silenced", func(w *world) { w.anyRunner().proxy.Silence() }},
-	{"runner reset", func(w *world) { w.anyRunner().proxy.Reset() }},
+	{"runner silenced", func(w *world) { w.randomRunner().proxy.Silence() }},
+	{"runner reset", func(w *world) { w.randomRunner().proxy.Reset() }},
 	{"runner delayed", func(w *world) {
-		r := w.anyRunner()
-		r.proxy.Delay(w.span(5, 120))
-		w.later(w.span(300, 2500), func() { r.proxy.Delay(0) })
+		r := w.randomRunner()
+		r.proxy.Delay(w.randomDuration(5, 120))
+		w.runAfter(w.randomDuration(300, 2500), func() { r.proxy.Delay(0) })
 	}},
-	{"runner crashed", func(w *world) { w.replaceRunner(w.rng.IntN(len(w.workers))) }},
-	{"store busy", func(w *world) { w.storeFault(true, false, w.span(300, 2500)) }},
-	{"store silent", func(w *world) { w.storeFault(false, true, w.span(300, 2500)) }},
+	{"runner crashed", func(w *world) { w.replaceRunner(w.rng.IntN(len(w.runners))) }},
+	{"store busy", func(w *world) { w.storeFault(true, false, w.randomDuration(300, 2500)) }},
+	{"store silent", func(w *world) { w.storeFault(false, true, w.randomDuration(300, 2500)) }},
 	{"store answers lost", func(w *world) { w.store.SetFaults(deployment.StoreFaults{LoseReplies: 1 + w.rng.IntN(3)}) }},
 	{"store silenced", func(w *world) { w.storeProxy.Silence() }},
 	{"store cut", func(w *world) {
 		w.storeProxy.Drop(true, w.rng.IntN(2) == 0)
-		w.later(w.span(300, 2500), func() { w.storeProxy.Drop(false, false) })
+		w.runAfter(w.randomDuration(300, 2500), func() { w.storeProxy.Drop(false, false) })
 	}},
 	{"history forgotten", func(w *world) { w.store.DropHistory() }},
 	{"configuration", func(w *world) { w.declare() }},
 	{"garbage", func(w *world) {
 		w.store.PutRaw("op", "config", []byte("{"))
 		w.store.PutRaw("servers", "i-garbage", []byte{0xff})
-		w.later(w.span(50, 500), w.declare)
+		w.runAfter(w.randomDuration(50, 500), w.declare)
 	}},
 }
 
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -1,4 +1,4 @@
-package soak
+package runSoak
 
 import (
 	"bytes"
@@ -27,7 +27,7 @@
 	// graceS is the time between SIGTERM and SIGKILL, in seconds.
 	graceS = 4
 	// restartWait is how long the platform takes to start a process again.
-	restartWait = 200 * time.Millisecond
+	restartDelay = 200 * time.Millisecond
 )
 
 // world is a deployment of real processes on the loopback address.
@@ -36,20 +36,20 @@
 	program    string
 	store      *deployment.Store
 	storeProxy *faults.Proxy
-	workers    []*worker
+	runners    []*proxiedRunner
 	nodes      []*node
-	truth      *truth
+	checker    *checker
 	http       *http.Client
 
-	mu      sync.Mutex
-	version int
-	lives   int
-	closed  chan struct{}
-	timers  sync.WaitGroup
+	mu             sync.Mutex
+	configVersion  int
+	runnersStarted int
+	closed         chan struct{}
+	timers         sync.WaitGroup
 }
 
 // worker is a runner behind a proxy.
-type worker struct {
+type proxiedRunner struct {
 	runner *deployment.Runner
 	proxy  *faults.Proxy
 }
@@ -94,14 +94,14 @@
 	}
 	w := &world{
 		rng: rand.New(rand.NewPCG(seed, 7)), program: program, store: store, storeProxy: proxy,
-		truth: newTruth(), http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 20}}, closed: make(chan struct{}),
+		checker: newChecker(), http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 20}}, closed: make(chan struct{}),
 	}
 	for range runnerCount {
-		r, err := w.newWorker()
+		r, err := w.newRunner()
 		if err != nil {
 			return nil, err
 		}
-		w.workers = append(w.workers, r)
+		w.runners = append(w.runners, r)
 	}
 	w.declare()
 	for i := range nodeCount {
@@ -112,53 +112,53 @@
 	return w, nil
 }
 
-func (w *world) newWorker() (*worker, error) {
-	w.lives++
-	id := fmt.Sprintf("i-%d", w.lives)
+func (w *world) newRunner() (*proxiedRunner, error) {
+	w.runnersStarted++
+	id := fmt.Sprintf("i-%d", w.runnersStarted)
 	r, err := deployment.NewRunner(w.store, id, service, "a")
 	if err != nil {
 		return nil, err
 	}
-	r.SetObserver(w.truth)
+	r.SetObserver(w.checker)
 	p, err := faults.NewProxy(r.Info.Address)
 	if err != nil {
 		return nil, err
 	}
 	info := r.Info
 	info.Address = p.Address()
-	return &worker{runner: r, proxy: p}, w.store.Put("servers", id, info)
+	return &proxiedRunner{runner: r, proxy: p}, w.store.Put("servers", id, info)
 }
 
 // replaceRunner crashes a runner; another lifetime comes after a while.
 func (w *world) replaceRunner(i int) {
-	old := w.workers[i]
+	old := w.runners[i]
 	old.runner.Close()
 	w.store.Remove("servers", old.runner.ID)
-	r, err := w.newWorker()
+	r, err := w.newRunner()
 	if err != nil {
-		w.truth.fail("the soak itself: %v", err)
+		w.checker.reportViolation("the soak itself: %v", err)
 		return
 	}
-	w.workers[i] = r
+	w.runners[i] = r
 }
 
 func (w *world) declare() {
 	w.mu.Lock()
-	w.version += 3
-	d := deployment.Declaration(w.version, host, prefix, "spot", service, 60)
+	w.configVersion += 3
+	d := deployment.Declaration(w.configVersion, host, prefix, "spot", service, 60)
 	w.mu.Unlock()
 	if err := w.store.Put("op", "config", d); err != nil {
-		w.truth.fail("the soak itself: %v", err)
+		w.checker.reportViolation("the soak itself: %v", err)
 	}
 }
 
 func (w *world) storeFault(busy, silent bool, d time.Duration) {
 	w.store.SetFaults(deployment.StoreFaults{Busy: busy, Silent: silent})
-	w.later(d, func() { w.store.SetFaults(deployment.StoreFaults{}) })
+	w.runAfter(d, func() { w.store.SetFaults(deployment.StoreFaults{}) })
 }
 
 // later does something after a while, unless the run is over.
-func (w *world) later(d time.Duration, f func()) {
+func (w *world) runAfter(d time.Duration, f func()) {
 	w.timers.Add(1)
 	go func() {
 		defer w.timers.Done()
@@ -171,7 +171,7 @@
 }
 
 // heal waits until all faults are over.
-func (w *world) heal() {
+func (w *world) waitForFaults() {
 	w.timers.Wait()
 	w.declare()
 }
@@ -187,12 +187,12 @@
 	}
 	n := &node{Node: d, name: name, log: &logBuffer{}, done: make(chan struct{})}
 	w.nodes = append(w.nodes, n)
-	go w.supervise(n, path)
+	go w.restartForever(n, path)
 	return nil
 }
 
 // supervise starts a process again and again, as the platform does.
-func (w *world) supervise(n *node, settings string) {
+func (w *world) restartForever(n *node, settings string) {
 	defer close(n.done)
 	for {
 		cmd := exec.Command(w.program, "--settings", settings)
@@ -202,14 +202,14 @@
 		n.cmd = cmd
 		n.mu.Unlock()
 		if err != nil {
-			w.truth.fail("the soak itself: %v", err)
+			w.checker.reportViolation("the soak itself: %v", err)
 			return
 		}
 		_ = cmd.Wait()
 		select {
 		case <-w.closed:
 			return
-		case <-time.After(restartWait):
+		case <-time.After(restartDelay):
 		}
 	}
 }
@@ -252,7 +252,7 @@
 		n.signal(syscall.SIGKILL)
 		<-n.done
 	}
-	for _, r := range w.workers {
+	for _, r := range w.runners {
 		r.runner.Close()
 		r.proxy.Close()
 	}
