--- a/soak/checker_test.go
+++ b/soak/checker_test.go
@@ -1,4 +1,4 @@
-package runSoak
+package soak
 
 import (
 	"bytes"
@@ -50,32 +50,32 @@
 	}
 }
 
-func (t *checker) reportViolation(format string, args ...any) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.addViolation(format, args...)
+func (c *checker) reportViolation(format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.addViolation(format, args...)
 }
 
-func (t *checker) addViolation(format string, args ...any) {
-	t.violations = append(t.violations, time.Now().UTC().Format(time.RFC3339Nano)+" "+fmt.Sprintf(format, args...))
+func (c *checker) addViolation(format string, args ...any) {
+	c.violations = append(c.violations, time.Now().UTC().Format(time.RFC3339Nano)+" "+fmt.Sprintf(format, args...))
 }
 
-func (t *checker) allViolations() []string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.violations
+func (c *checker) allViolations() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.violations
 }
 
-func (t *checker) answerCount(status string) int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.answers[status]
+func (c *checker) answerCount(status string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.answers[status]
 }
 
-func (t *checker) answerSummary() string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return fmt.Sprint(t.answers)
+func (c *checker) answerSummary() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return fmt.Sprint(c.answers)
 }
 
 func jobOfTask(task string) string {
@@ -84,39 +84,39 @@
 }
 
 // RunStarted implements deployment.Observer.
-func (t *checker) RunStarted(r *deployment.Runner, s deployment.RunID) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	runs := t.runningByTask[s.Task]
+func (c *checker) RunStarted(r *deployment.Runner, s deployment.RunID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	runs := c.runningByTask[s.Task]
 	if runs == nil {
 		runs = make(map[deployment.RunID]string)
-		t.runningByTask[s.Task] = runs
+		c.runningByTask[s.Task] = runs
 	}
 	for other, at := range runs {
-		t.addViolation("%s run %d starts on %s while run %d runs on %s", s.Task, s.Run, r.ID, other.Run, at)
+		c.addViolation("%s run %d starts on %s while run %d runs on %s", s.Task, s.Run, r.ID, other.Run, at)
 	}
 	runs[s] = r.ID
 	job := jobOfTask(s.Task)
-	t.startsByJob[job]++
+	c.startsByJob[job]++
 	if isStored(job) {
-		t.lastStarts[s.Task] = time.Now()
-		t.checkRestartAfterAcknowledgement(s.Task)
+		c.lastStarts[s.Task] = time.Now()
+		c.checkRestartAfterAcknowledgement(s.Task)
 	}
-	if t.completedJobs[job] {
-		t.addViolation("%s run %d starts though its job is shown as completed", s.Task, s.Run)
+	if c.completedJobs[job] {
+		c.addViolation("%s run %d starts though its job is shown as completed", s.Task, s.Run)
 	}
-	if t.refusedJobs[job] {
-		t.addViolation("%s starts though its caller was told that it hasn't run", s.Task)
+	if c.refusedJobs[job] {
+		c.addViolation("%s starts though its caller was told that it hasn'c run", s.Task)
 	}
 }
 
 // RunEnded implements deployment.Observer.
-func (t *checker) RunEnded(_ *deployment.Runner, s deployment.RunID, how string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	delete(t.runningByTask[s.Task], s)
+func (c *checker) RunEnded(_ *deployment.Runner, s deployment.RunID, how string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.runningByTask[s.Task], s)
 	if how == "done" {
-		t.doneTasks[s.Task] = true
+		c.doneTasks[s.Task] = true
 	}
 }
 
@@ -129,81 +129,81 @@
 
 // checkNoted is called with the lock held, when a task of a stored job was started
 // or its end acknowledged.
-func (t *checker) checkRestartAfterAcknowledgement(task string) {
-	if at, ok := t.acknowledgedEnds[task]; ok && t.lastStarts[task].After(at) {
-		t.addViolation("%s starts after it had ended at %v, which was acknowledged", task, at.UTC())
+func (c *checker) checkRestartAfterAcknowledgement(task string) {
+	if at, ok := c.acknowledgedEnds[task]; ok && c.lastStarts[task].After(at) {
+		c.addViolation("%s starts after it had ended at %v, which was acknowledged", task, at.UTC())
 	}
 }
 
 // EndAcknowledged implements deployment.Observer.
-func (t *checker) EndAcknowledged(_ *deployment.Runner, e deployment.EndedRun) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (c *checker) EndAcknowledged(_ *deployment.Runner, e deployment.EndedRun) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if e.Outcome != "done" || e.LeaseExpired || !isStored(jobOfTask(e.Task)) {
 		return
 	}
-	if at, ok := t.acknowledgedEnds[e.Task]; !ok || e.At.Before(at) {
-		t.acknowledgedEnds[e.Task] = e.At
+	if at, ok := c.acknowledgedEnds[e.Task]; !ok || e.At.Before(at) {
+		c.acknowledgedEnds[e.Task] = e.At
 	}
-	t.checkRestartAfterAcknowledgement(e.Task)
+	c.checkRestartAfterAcknowledgement(e.Task)
 }
 
 // shown checks what the caller of an accepted job is told, and reports whether
 // the job has ended.
-func (t *checker) checkJobState(job string, status int, body string) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (c *checker) checkJobState(job string, status int, body string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch {
 	case status == http.StatusGone:
-		t.addViolation("%s was accepted and isn't known", job)
+		c.addViolation("%s was accepted and isn'c known", job)
 	case status == http.StatusOK && strings.Contains(body, "failed"), status == http.StatusOK && strings.Contains(body, "cancelled"):
-		t.addViolation("%s is shown as %s", job, body)
+		c.addViolation("%s is shown as %s", job, body)
 	case status == http.StatusOK && strings.Contains(body, "completed"):
-		t.checkAllTasksDone(job, t.acceptedJobs[job])
-		t.completedJobs[job] = true
-		delete(t.acceptedJobs, job)
+		c.checkAllTasksDone(job, c.acceptedJobs[job])
+		c.completedJobs[job] = true
+		delete(c.acceptedJobs, job)
 	default:
 		return false
 	}
 	return true
 }
 
-// unfinished lists the accepted jobs that haven't been shown as completed.
-func (t *checker) unfinishedJobs() []string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return slices.Sorted(maps.Keys(t.acceptedJobs))
+// unfinished lists the accepted jobs that haven'c been shown as completed.
+func (c *checker) unfinishedJobs() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Sorted(maps.Keys(c.acceptedJobs))
 }
 
-func (t *checker) recordAccepted(job string, tasks int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.answers["accepted"]++
-	t.acceptedJobs[job] = tasks
+func (c *checker) recordAccepted(job string, tasks int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.answers["accepted"]++
+	c.acceptedJobs[job] = tasks
 }
 
 // allDone is called with the lock held.
-func (t *checker) checkAllTasksDone(job string, tasks int) {
+func (c *checker) checkAllTasksDone(job string, tasks int) {
 	for i := range tasks {
-		if task := fmt.Sprintf("%s.0.0.%d", job, i); !t.doneTasks[task] {
-			t.addViolation("%s is complete without %s", job, task)
+		if task := fmt.Sprintf("%s.0.0.%d", job, i); !c.doneTasks[task] {
+			c.addViolation("%s is complete without %s", job, task)
 		}
 	}
 }
 
 // answered checks a caller's answer. tries counts how often the job was sent.
-func (t *checker) checkAnswer(job string, tasks, status, tries int, body string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.answers[fmt.Sprint(status)]++
+func (c *checker) checkAnswer(job string, tasks, status, tries int, body string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.answers[fmt.Sprint(status)]++
 	switch {
 	case status == http.StatusServiceUnavailable && tries == 1:
-		t.refusedJobs[job] = true
-		if t.startsByJob[job] > 0 {
-			t.addViolation("%s: its caller is told that it hasn't run; %d runs were started", job, t.startsByJob[job])
+		c.refusedJobs[job] = true
+		if c.startsByJob[job] > 0 {
+			c.addViolation("%s: its caller is told that it hasn'c run; %d runs were started", job, c.startsByJob[job])
 		}
 	case status == http.StatusOK && strings.Contains(body, "completed"):
-		t.checkAllTasksDone(job, tasks)
+		c.checkAllTasksDone(job, tasks)
 	}
 }
 
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -3,7 +3,7 @@
 // the platform's store. What runners and callers see is checked while it runs.
 //
 //	go test ./soak -soak.seeds 50 -soak.first 100 -soak.seconds 30
-package runSoak
+package soak
 
 import (
 	"flag"
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -1,4 +1,4 @@
-package runSoak
+package soak
 
 import (
 	"bytes"
