--- a/soak/checker_test.go
+++ b/soak/checker_test.go
@@ -106,7 +106,7 @@
 		c.addViolation("%s run %d starts though its job is shown as completed", s.Task, s.Run)
 	}
 	if c.refusedJobs[job] {
-		c.addViolation("%s starts though its caller was told that it hasn'c run", s.Task)
+		c.addViolation("%s starts though its caller was told that it hasn't run", s.Task)
 	}
 }
 
@@ -155,7 +155,7 @@
 	defer c.mu.Unlock()
 	switch {
 	case status == http.StatusGone:
-		c.addViolation("%s was accepted and isn'c known", job)
+		c.addViolation("%s was accepted and isn't known", job)
 	case status == http.StatusOK && strings.Contains(body, "failed"), status == http.StatusOK && strings.Contains(body, "cancelled"):
 		c.addViolation("%s is shown as %s", job, body)
 	case status == http.StatusOK && strings.Contains(body, "completed"):
@@ -168,7 +168,7 @@
 	return true
 }
 
-// unfinished lists the accepted jobs that haven'c been shown as completed.
+// unfinished lists the accepted jobs that haven't been shown as completed.
 func (c *checker) unfinishedJobs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -200,7 +200,7 @@
 	case status == http.StatusServiceUnavailable && tries == 1:
 		c.refusedJobs[job] = true
 		if c.startsByJob[job] > 0 {
-			c.addViolation("%s: its caller is told that it hasn'c run; %d runs were started", job, c.startsByJob[job])
+			c.addViolation("%s: its caller is told that it hasn't run; %d runs were started", job, c.startsByJob[job])
 		}
 	case status == http.StatusOK && strings.Contains(body, "completed"):
 		c.checkAllTasksDone(job, tasks)
--- a/standin/cluster.go
+++ b/standin/cluster.go
@@ -1,5 +1,5 @@
-// Package standin starts the stand-ins and entry nodes of a whole deployment
-// within one process, for examples and tests.
+// Package standin runs a whole deployment (stand-ins for the platform and the runners, and entry
+// nodes) in one process, for examples and tests.
 package standin
 
 import (
@@ -23,24 +23,25 @@
 	"sapphirepoint.example/sapphirepoint/standin/runner"
 )
 
-// Token is the caller token, and OperatorToken the operators', of a Cluster.
+// Token and OperatorToken are the bearer tokens that a Cluster accepts from callers and operators.
 const (
 	Token             = "quickstart-caller"
 	OperatorToken     = "quickstart-operator"
 	loopback          = "127.0.0.1:0"
 	readyTimeout      = 20 * time.Second
 	readyPollInterval = 20 * time.Millisecond
-	// fastPoll lets a deployment in one process come up quickly.
+	// defaultPollInterval is short, so that a deployment in one process is ready quickly.
 	defaultPollInterval = 100 * time.Millisecond
 )
 
-// Layout is the shape of a deployment.
+// Layout sets the size of a deployment.
 type Layout struct {
 	FailureDomains []string
-	// NodesPerDomain and RunnersPerDomain are counts.
+	// NodesPerDomain and RunnersPerDomain are the numbers of entry nodes and runners in each
+	// failure domain.
 	NodesPerDomain   int
 	RunnersPerDomain int
-	// PollInterval is how often nodes read the platform; 0 means 100 ms.
+	// PollInterval is how often nodes poll the platform; 0 means 100 ms.
 	PollInterval time.Duration
 	Log          zerolog.Logger
 }
@@ -48,7 +49,7 @@
 // Entry is a running entry node.
 type Entry struct {
 	*node.Node
-	// Kill ends the node without any farewell.
+	// Kill ends the node at once, without a planned stop.
 	Kill context.CancelFunc
 	Done chan struct{}
 }
@@ -67,8 +68,8 @@
 	listeners        []net.Listener
 }
 
-// Settings is a small declaration for the examples: one institution with a
-// label service and a settlement service that isn't idempotent.
+// Settings returns the settings that a Cluster starts with: one institution with a label service,
+// and a settlement service that isn't idempotent.
 func Settings() *pb.Settings {
 	digest := sha256.Sum256([]byte(Token))
 	return &pb.Settings{Institutions: []*pb.Institution{{
@@ -88,7 +89,7 @@
 	}}}
 }
 
-// Start brings a deployment up and waits until every node is ready.
+// Start starts a deployment and waits until every node is ready.
 func Start(ctx context.Context, layout Layout) (*Cluster, error) {
 	c := &Cluster{layout: layout, Platform: platform.New()}
 	var err error
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// PlatformBytes is what all nodes have exchanged with the platform.
+// PlatformBytes returns the number of bytes that all nodes have exchanged with the platform.
 func (c *Cluster) PlatformBytes() int64 { return c.platformListener.Bytes() }
 
 func (c *Cluster) addDomain(ctx context.Context, domain string) error {
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// StartEntry starts an entry node with the given peer address.
+// StartEntry starts an entry node that listens for peers on the given address.
 func (c *Cluster) StartEntry(ctx context.Context, name, domain, peerAddress string) (*Entry, error) {
 	pair, err := keys.NewProcess(c.ca, name)
 	if err != nil {
@@ -188,7 +189,7 @@
 	return e, nil
 }
 
-// WaitReady waits until every entry is ready and has the given number of peers.
+// WaitReady waits until every entry node is ready and has the given number of peers.
 func (c *Cluster) WaitReady(ctx context.Context, peers int) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -204,12 +205,12 @@
 	return nil
 }
 
-// Members is the list given to the platform.
+// Members returns the list of VMs that the platform publishes.
 func (c *Cluster) Members() []*platformv1.Member {
 	return c.members
 }
 
-// Close ends every node and stand-in.
+// Close ends all nodes and stand-ins.
 func (c *Cluster) Close() {
 	for _, e := range c.Entries {
 		e.Kill()
--- a/standin/deployment/runner.go
+++ b/standin/deployment/runner.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// RunnerInfo is what a runner says of itself in the store.
+// RunnerInfo is a runner's row in the store.
 type RunnerInfo struct {
 	Service  string         `json:"service"`
 	Address  string         `json:"address"`
@@ -25,35 +25,33 @@
 	Born     int64          `json:"born"`
 }
 
-// RunID is a run that a runner has begun.
+// RunID identifies a run of a task.
 type RunID struct {
 	Task string
 	Run  int
 }
 
-// Observer is told what runs on a runner. It is called with the runner's lock
-// held.
+// Observer is notified of the runs of a runner. Its methods are called with the runner's lock held.
 type Observer interface {
 	RunStarted(r *Runner, s RunID)
 	RunEnded(r *Runner, s RunID, outcome string)
-	// EndAcknowledged: the end of a run was acknowledged.
+	// EndAcknowledged is called when the scheduler has acknowledged the end of a run.
 	EndAcknowledged(r *Runner, e EndedRun)
 }
 
-// EndedRun is how a run has ended.
+// EndedRun is a run that has ended.
 type EndedRun struct {
 	RunID
 	Outcome string
 	At      time.Time
-	// LeaseExpired: the runner's lease has ended since, so that the end shows nothing
-	// about what was started elsewhere.
+	// LeaseExpired: the runner's lease has expired since the run ended. From then on the task may
+	// have been started elsewhere, whatever this run's outcome was.
 	LeaseExpired bool
 
 	sequence int
 }
 
-// Runner is the stand-in for a runner. A task's spec is how long it takes, as
-// in "50ms", or "fail".
+// Runner is the stand-in for a runner. A task's spec is its run time, as in "50ms", or "fail".
 type Runner struct {
 	ID       string
 	Info     RunnerInfo
@@ -64,6 +62,7 @@
 	token        uint64
 	leaseEnd     time.Time
 	running      map[RunID]*time.Timer
+	// closedRuns holds for each task the highest run that can't be started any more.
 	closedRuns   map[string]int
 	endedRuns    []EndedRun
 	lastSequence int
@@ -71,11 +70,11 @@
 	starts       []RunID
 	silent       bool
 	observer     Observer
-	// clockZero is where the clock of this lifetime begins.
+	// clockStart is the zero of the runner's clock in its present lifetime.
 	clockStart time.Time
 }
 
-// holdMax is the longest lease that a runner grants.
+// maxLease is the longest lease that a runner grants.
 const maxLease = time.Second
 
 // NewRunner starts a runner on a free port and registers it in the store.
@@ -107,7 +106,7 @@
 	return r, s.Put("servers", id, r.Info)
 }
 
-// Close crashes the runner with all that runs.
+// Close simulates a crash: it closes all connections and ends all runs.
 func (r *Runner) Close() {
 	_ = r.server.Close()
 	r.mu.Lock()
@@ -117,8 +116,8 @@
 	}
 }
 
-// Restart ends the runner's lifetime with all that runs, and begins another one under its
-// id, which knows nothing of before.
+// Restart simulates a restart of the runner's process: all runs end, and a new lifetime begins
+// under the same id without any state of the last one.
 func (r *Runner) Restart(s *Store) error {
 	r.mu.Lock()
 	for run := range r.running {
@@ -133,37 +132,39 @@
 	return s.Put("servers", r.ID, info)
 }
 
-// SetObserver has an observer told from now on.
+// SetObserver sets the observer, which is notified of all later events.
 func (r *Runner) SetObserver(o Observer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observer = o
 }
 
-// Silence leaves all orders unanswered and undone.
+// Silence sets whether the runner ignores all requests and leaves them unanswered.
 func (r *Runner) Silence(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.silent = on
 }
 
-// Starts are the runs begun so far.
+// Starts returns the runs started so far.
 func (r *Runner) Starts() []RunID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]RunID(nil), r.starts...)
 }
 
-// Token is the highest fencing token seen.
+// Token returns the highest fencing token received.
 func (r *Runner) Token() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.token
 }
 
-// clock is called with the lock held.
+// clock returns the time on the runner's clock in milliseconds. The caller holds the lock.
 func (r *Runner) clock() int64 { return time.Since(r.clockStart).Milliseconds() }
 
+// checkRequest leaves requests unanswered while the runner is silent, and rejects those addressed
+// to another instance.
 func (r *Runner) checkRequest(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		r.mu.Lock()
@@ -191,6 +192,8 @@
 	WaitMs     int    `json:"waitMs"`
 }
 
+// decodeAndLock decodes a request and checks its fencing token. If it returns true, the caller holds
+// the lock and must release it; otherwise the response has been written.
 func (r *Runner) decodeAndLock(w http.ResponseWriter, q *http.Request) (request, bool) {
 	var o request
 	if err := json.NewDecoder(q.Body).Decode(&o); err != nil {
@@ -215,7 +218,8 @@
 	writeJSON(w, http.StatusOK, map[string]any{"clockMs": r.clock(), "born": r.Info.Born})
 }
 
-// grant moves the end of the lease; it never comes nearer.
+// extendLease moves the lease's expiry to ms on the runner's clock, but never to an earlier time
+// and at most maxLease ahead. The caller holds the lock.
 func (r *Runner) extendLease(ms int64) {
 	until := r.clockStart.Add(time.Duration(ms) * time.Millisecond)
 	if latest := time.Now().Add(maxLease); until.After(latest) {
@@ -279,7 +283,7 @@
 	r.accept(w)
 }
 
-// end is called with the lock held.
+// endRun ends a run and records its outcome. The caller holds the lock.
 func (r *Runner) endRun(s RunID, outcome string) {
 	timer := r.running[s]
 	if timer == nil {
--- a/standin/deployment/settings.go
+++ b/standin/deployment/settings.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// Node is an entry VM as its settings file describes it.
+// Node is the configuration of an entry VM.
 type Node struct {
 	Name          string
 	Domain        string
@@ -16,7 +16,7 @@
 	PeerPort      int
 }
 
-// NewNode picks free ports on the loopback address.
+// NewNode returns a node with free ports on the loopback address.
 func NewNode(name, domain string) (Node, error) {
 	callers, err := freeTCPAddress()
 	if err != nil {
@@ -43,7 +43,7 @@
 	return l.Addr().String(), nil
 }
 
-// Settings is the text of the node's settings file.
+// Settings returns the node's settings file.
 func (n Node) Settings(store string, graceS float64) string {
 	return fmt.Sprintf(`nodeName = %q
 role = "entry"
@@ -68,8 +68,8 @@
 `, n.Name, n.Domain, n.PeerPort, n.PeerPort, n.CallerAddress, n.HealthAddress, graceS, store)
 }
 
-// Declaration is an operator's configuration with one queue, whose latency
-// objective is 1.6 times the run time and targetMs.
+// Declaration returns an operator's configuration with one queue. The queue's latency objective is
+// 1.6 times the run time plus targetMs.
 func Declaration(version int, host, prefix, queue, service string, targetMs int) map[string]any {
 	return map[string]any{
 		"version": version,
--- a/standin/deployment/store.go
+++ b/standin/deployment/store.go
@@ -1,6 +1,6 @@
-// Package deployment is a small stand-in for the users' platform, which speaks
-// its published protocol: a store of rows with a feed of changes, and runners
-// that register there. Tests and examples run the whole program against it.
+// Package deployment is a small stand-in for the platform. It implements the platform's published
+// protocol: a store of rows with a feed of changes, and runners that register in the store. Tests
+// and examples run the entry program against it.
 package deployment
 
 import (
@@ -27,13 +27,13 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// StoreFaults are the failures switched on at present.
+// StoreFaults are the faults injected at present.
 type StoreFaults struct {
-	// Busy answers 503 to every call.
+	// Busy: every call is answered with status 503.
 	Busy bool
-	// Silent answers no call.
+	// Silent: no call is answered.
 	Silent bool
-	// LoseReplies does the coming writes and answers none of them.
+	// LoseReplies is the number of next transactions that are applied and not answered.
 	LoseReplies int
 }
 
@@ -45,8 +45,7 @@
 	mu      sync.Mutex
 	version uint64
 	rows    map[rowKey]Row
-	// history are the changes that the feed can tell, from the version after
-	// forgotten on.
+	// history holds the changes that the feed can return: all those after droppedVersion.
 	history        []Row
 	droppedVersion uint64
 	changed        chan struct{}
@@ -73,20 +72,21 @@
 	return s, nil
 }
 
-// Address is where the store listens.
+// Address returns the address on which the store listens.
 func (s *Store) Address() string { return s.listener.Addr().String() }
 
-// Close ends the store at once.
+// Close closes the store with all its connections.
 func (s *Store) Close() { _ = s.server.Close() }
 
-// SetFaults changes the failures.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// DropHistory drops the history of changes.
+// DropHistory drops the history of changes, so that feeds that depend on it have to read all rows
+// again.
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,14 +94,14 @@
 	s.droppedVersion = s.version
 }
 
-// Writes is the number of transactions applied.
+// Writes returns the number of transactions applied.
 func (s *Store) Writes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writes
 }
 
-// Put writes a row as the platform or its operator does.
+// Put writes a row as the platform or its operators do.
 func (s *Store) Put(table, key string, value any) error {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// PutRaw writes bytes, which need not make sense.
+// PutRaw writes a row with the given bytes, which need not be valid.
 func (s *Store) PutRaw(table, key string, raw []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +120,7 @@
 	s.notifyReaders()
 }
 
-// Remove drops a row.
+// Remove deletes a row.
 func (s *Store) Remove(table, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,7 +234,7 @@
 	writeJSON(w, http.StatusOK, map[string]any{"parts": parts})
 }
 
-// feedRows is the most changes in one answer.
+// maxFeedRows bounds the changes in one answer of the feed.
 const maxFeedRows = 500
 
 func (s *Store) feed(w http.ResponseWriter, r *http.Request) {
--- a/standin/faults/listener.go
+++ b/standin/faults/listener.go
@@ -1,4 +1,4 @@
-// Package faults makes connections that fail in the ways that stand-ins need.
+// Package faults injects faults into network connections.
 package faults
 
 import (
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// Listener wraps a listener so that its open connections can go silent while
-// new ones work, as when something between the two ends loses track of them.
+// Listener wraps a listener whose open connections can be made silent while new ones work, as when
+// a stateful firewall or NAT between both ends loses its connection table.
 type Listener struct {
 	net.Listener
 
@@ -35,14 +35,14 @@
 	return w, nil
 }
 
-// Bytes is what all connections have carried, both ways.
+// Bytes returns the number of bytes that all connections have carried in both directions.
 func (l *Listener) Bytes() int64 { return l.bytes.Load() }
 
 // Silence makes all open connections silent for good and returns their number.
 func (l *Listener) Silence() int { return l.SilenceExcept(nil) }
 
-// SilenceExcept makes all open connections but one silent for good and returns their
-// number. The one left out, which may be nil, is that of whoever asks.
+// SilenceExcept makes all open connections but one silent for good and returns their number. The
+// exception, which may be nil, is the connection that carries the control request itself.
 func (l *Listener) SilenceExcept(except net.Conn) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,7 +78,7 @@
 	return c.silent
 }
 
-// Read implements net.Conn; what a silent connection receives is lost.
+// Read implements net.Conn. Data that a silent connection receives is lost.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.listener.bytes.Add(int64(n))
@@ -89,7 +89,7 @@
 	return 0, net.ErrClosed
 }
 
-// Write implements net.Conn; what is written to a silent connection is lost.
+// Write implements net.Conn. Data written to a silent connection is lost.
 func (c *conn) Write(b []byte) (int, error) {
 	if c.isSilent() {
 		return len(b), nil
--- a/standin/faults/proxy.go
+++ b/standin/faults/proxy.go
@@ -9,23 +9,23 @@
 	"github.com/pkg/errors"
 )
 
-// Proxy passes TCP connections on the loopback address on to a target, and
-// harms them as it is told.
+// Proxy forwards TCP connections from the loopback address to a target and injects faults into
+// them.
 type Proxy struct {
 	listener net.Listener
 	target   string
 
 	mu    sync.Mutex
 	conns map[*proxyConn]bool
-	// delay holds up each piece of data; dropTo and dropFrom lose what goes to
-	// the target and what comes from it, on all connections.
+	// delay is added to each piece of data. dropToTarget and dropFromTarget drop the data of all
+	// connections in one direction.
 	delay                        time.Duration
 	dropToTarget, dropFromTarget bool
 }
 
 type proxyConn struct {
 	inbound, outbound net.Conn
-	// silent connections carry nothing any more, for good.
+	// silent connections drop all data, for good.
 	silent bool
 }
 
@@ -40,31 +40,30 @@
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Close ends the proxy with all connections.
+// Close closes the proxy and all its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.Reset()
 }
 
-// Delay holds up each piece of data from now on.
+// Delay sets the delay of each piece of data.
 func (p *Proxy) Delay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = d
 }
 
-// Drop loses what goes to the target, and what comes from it, until it is told
-// otherwise.
+// Drop sets whether data to the target, and from it, is dropped.
 func (p *Proxy) Drop(to, from bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dropToTarget, p.dropFromTarget = to, from
 }
 
-// Silence makes the open connections carry nothing any more. New ones work.
+// Silence makes all open connections silent for good. New ones work.
 func (p *Proxy) Silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,7 +72,7 @@
 	}
 }
 
-// Reset closes the open connections.
+// Reset closes all open connections.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,6 +1,5 @@
-// Package platform is a small stand-in for the platform: a transactional
-// table service, an object store and a lagging list of VMs, each of which can
-// be made to fail.
+// Package platform is a small stand-in for the platform: a transactional table service, an object
+// store, and a list of VMs that is published with a lag. Faults can be injected into each of them.
 package platform
 
 import (
@@ -27,22 +26,21 @@
 	DefaultListLag   = 500 * time.Millisecond
 )
 
-// Faults are the failures switched on at present.
+// Faults are the faults injected at present.
 type Faults struct {
-	// Outage refuses every call.
+	// Outage: every call fails.
 	Outage bool `json:"outage"`
-	// Hang accepts calls and answers none.
+	// Hang: calls are accepted and never answered.
 	Hang bool `json:"hang"`
-	// Delay is added to every call, in milliseconds.
+	// DelayMs is added to every call, in milliseconds.
 	DelayMs int `json:"delay_ms"`
-	// LoseReplies is the number of coming commits that take effect and whose
-	// reply is lost.
+	// LoseReplies is the number of next commits that take effect but whose reply is lost.
 	LoseReplies int `json:"lose_replies"`
 	// ThenOutage begins an outage with the last of the lost replies.
 	ThenOutage bool `json:"then_outage"`
 }
 
-// Counts is the number of calls served.
+// Counts are the numbers of calls served, and of rows stored.
 type Counts struct {
 	Reads   int `json:"reads"`
 	Commits int `json:"commits"`
@@ -66,7 +64,7 @@
 	mu     sync.Mutex
 	faults Faults
 	rows   map[string]*platformv1.Row
-	// expires holds when rows may be dropped; rows that are kept have no entry.
+	// expires is when a row expires; rows without an entry don't.
 	expires     map[string]time.Time
 	objects     map[string][]byte
 	memberLists []memberList
@@ -94,7 +92,7 @@
 	return s.Serve(l)
 }
 
-// Handler serves the calls and the controls.
+// Handler serves the platform's calls and the control endpoints.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(platformv1connect.NewTableServiceHandler(tableService{p}))
@@ -124,14 +122,14 @@
 	p.SetMembers(list)
 }
 
-// SetFaults replaces the failures switched on.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
 }
 
-// SetMembers changes the list; readers see it after the lag.
+// SetMembers replaces the list of VMs; readers see the change after the lag.
 func (p *Platform) SetMembers(list []*platformv1.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,7 +145,7 @@
 	return c
 }
 
-// fault applies outage, hanging and slowness to a call.
+// applyFaults applies an outage, hang or delay to a call.
 func (p *Platform) applyFaults(ctx context.Context) error {
 	p.mu.Lock()
 	f := p.faults
@@ -167,6 +165,7 @@
 	}
 }
 
+// occupy serializes calls through a mutex that each of them holds for d.
 func occupy(m *sync.Mutex, d time.Duration) {
 	m.Lock()
 	defer m.Unlock()
@@ -212,7 +211,7 @@
 	return connect.NewResponse(res), nil
 }
 
-// row finds a row that hasn't expired.
+// liveRow returns a row unless it has expired.
 func (p *Platform) liveRow(key string) *platformv1.Row {
 	if at, hasTTL := p.expires[key]; hasTTL && time.Now().After(at) {
 		delete(p.rows, key)
@@ -283,7 +282,7 @@
 
 type membershipService struct{ p *Platform }
 
-// List implements MembershipService: the list as it was before the lag.
+// List implements MembershipService. It returns the list as of the lag ago.
 func (m membershipService) List(ctx context.Context, req *connect.Request[platformv1.ListRequest]) (*connect.Response[platformv1.ListResponse], error) {
 	if err := m.p.applyFaults(ctx); err != nil {
 		return nil, err
@@ -304,7 +303,7 @@
 	return connect.NewResponse(res), nil
 }
 
-// PutSettings writes a first settings row, as an operator's apply would.
+// PutSettings writes the first settings row, as an operator's apply does.
 func (p *Platform) PutSettings(s *pb.Settings) error {
 	first := proto.Clone(s).(*pb.Settings)
 	first.Version = 1
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -13,9 +13,9 @@
 	"sapphirepoint.example/sapphirepoint/standin/platform"
 )
 
-// Every entry process reads settings and list once a second. Sent whole each
-// time, the list of a large deployment alone would exceed what a VM may spend
-// on control two hundred times over.
+// A reader that has the current version gets no data again. Every entry process reads the settings
+// and the list of VMs once a second. If the list of a large deployment were sent whole each time, it
+// alone would take 200 times the bandwidth that a VM may spend on control traffic.
 func TestUnchangedDataIsNotSentAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ctx := context.Background()
--- a/standin/runner/runner.go
+++ b/standin/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner is a small stand-in for an upstream: it runs tasks in slots,
-// keeps a ledger of what it started, and fails on request.
+// Package runner is a small stand-in for an upstream. It runs tasks in slots, counts in a ledger how
+// often it started each task, and injects faults on request.
 package runner
 
 import (
@@ -20,14 +20,14 @@
 )
 
 const (
-	// DefaultSlots and DefaultConnections are the sizes of today's runners.
+	// DefaultSlots and DefaultConnections are the limits of the runners in use today.
 	DefaultSlots       = 8
 	DefaultConnections = 64
 	defaultRunTime     = 20 * time.Millisecond
 	maxSettleWait      = 500 * time.Millisecond
 )
 
-// Mode is the way in which a runner behaves.
+// Mode is how a runner behaves.
 type Mode string
 
 // The modes of a runner.
@@ -36,18 +36,18 @@
 	Hang    Mode = "hang"
 	FailAll Mode = "fail"
 	Refuse  Mode = "refuse"
-	// Leave refuses new tasks and says that the runner is about to leave.
+	// Leave refuses new tasks and announces in each answer that the runner is leaving.
 	Leave Mode = "leave"
 )
 
-// Payload tells the runner what to do; any other payload is echoed.
+// Payload is a task's instructions to the runner. Any other payload is returned as the output.
 type Payload struct {
 	RunMs  int    `json:"run_ms"`
 	Output string `json:"output"`
 	Fail   string `json:"fail"`
 }
 
-// connKey finds the connection of a request in its context.
+// connContextKey is the context key of a request's connection.
 type connContextKey struct{}
 
 type taskRecord struct {
@@ -60,7 +60,7 @@
 	finished bool
 }
 
-// Runner is one upstream.
+// Runner is the stand-in for one upstream.
 type Runner struct {
 	runID    string
 	slots    int
@@ -73,7 +73,7 @@
 	tasks   map[string]*taskRecord
 }
 
-// New returns a runner with the given slots.
+// New returns a runner with the given number of slots.
 func New(slots int) *Runner {
 	return &Runner{
 		runID: strconv.FormatUint(rand.Uint64(), 16),
@@ -100,7 +100,7 @@
 	return s.Serve(r.listener)
 }
 
-// Handler serves the upstream calls and the controls.
+// Handler serves the upstream's calls and the control endpoints.
 func (r *Runner) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+upstream.PathStart, r.start)
@@ -115,7 +115,7 @@
 	return mux
 }
 
-// SetMode changes the behaviour from now on.
+// SetMode sets the runner's behaviour from now on.
 func (r *Runner) SetMode(m Mode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,14 +127,14 @@
 	return r.listener.Silence()
 }
 
-// Ledger is what a runner did.
+// Ledger is what a runner has started and refused.
 type Ledger struct {
-	// Starts counts for each task name how often it was started.
+	// Starts is how often each task was started, by the task's name.
 	Starts  map[string]int `json:"starts"`
 	Refused int            `json:"refused"`
 }
 
-// Ledger returns what the runner did.
+// Ledger returns the runner's ledger.
 func (r *Runner) Ledger() Ledger {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,7 +179,7 @@
 	r.answer(w, verdict, out)
 }
 
-// begin takes a slot for a task, or says why it isn't started.
+// admit takes a slot for a task, or returns the reason for which the task isn't started.
 func (r *Runner) admit(name string) (*taskRecord, context.Context, Mode, string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -196,7 +196,7 @@
 		t = &taskRecord{}
 		r.tasks[name] = t
 	}
-	// A second start is counted, not refused: the ledger is there to show it.
+	// A second start of a task is run and counted, so that tests find it in the ledger.
 	ctx, stop := context.WithCancel(context.Background())
 	t.started = true
 	t.starts++
