--- a/soak/checker_test.go
+++ b/soak/checker_test.go
@@ -16,7 +16,7 @@
 	"sapphirepoint.example/sapphirepoint/standin/deployment"
 )
 
-// truth checks the promises by what runners and callers see.
+// checker checks the guarantees by what runners and callers observe.
 type checker struct {
 	mu            sync.Mutex
 	violations    []string
@@ -25,10 +25,10 @@
 	doneTasks     map[string]bool
 	refusedJobs   map[string]bool
 	answers       map[string]int
-	// Of stored jobs: those accepted and not shown as completed yet, by their
-	// number of tasks, those shown,
-	// when each task was last started, and when it ended well by an end that was
-	// acknowledged and counts.
+	// The following concern stored jobs. acceptedJobs holds the number of tasks of jobs that were
+	// accepted and haven't been reported as completed; completedJobs those that have been.
+	// acknowledgedEnds is when a task first ended successfully by an end that was acknowledged while
+	// the runner's lease had not expired.
 	acceptedJobs     map[string]int
 	completedJobs    map[string]bool
 	lastStarts       map[string]time.Time
@@ -103,10 +103,10 @@
 		c.checkRestartAfterAcknowledgement(s.Task)
 	}
 	if c.completedJobs[job] {
-		c.addViolation("%s run %d starts though its job is shown as completed", s.Task, s.Run)
+		c.addViolation("%s run %d starts though its job was reported as completed", s.Task, s.Run)
 	}
 	if c.refusedJobs[job] {
-		c.addViolation("%s starts though its caller was told that it hasn't run", s.Task)
+		c.addViolation("%s starts though its caller was answered that it has not run", s.Task)
 	}
 }
 
@@ -120,18 +120,17 @@
 	}
 }
 
-// stored reports whether a job is one that is to be kept: every third caller
-// sends such jobs.
+// isStored reports whether a job is submitted as a stored job, as every third caller's are.
 func isStored(job string) bool {
 	caller, err := strconv.ParseUint(job[:8], 16, 64)
 	return err == nil && caller%3 == 0
 }
 
-// checkNoted is called with the lock held, when a task of a stored job was started
-// or its end acknowledged.
+// checkRestartAfterAcknowledgement checks that a task of a stored job wasn't started after an
+// acknowledged end. The caller holds the lock.
 func (c *checker) checkRestartAfterAcknowledgement(task string) {
 	if at, ok := c.acknowledgedEnds[task]; ok && c.lastStarts[task].After(at) {
-		c.addViolation("%s starts after it had ended at %v, which was acknowledged", task, at.UTC())
+		c.addViolation("%s starts again after its end at %v was acknowledged", task, at.UTC())
 	}
 }
 
@@ -148,16 +147,16 @@
 	c.checkRestartAfterAcknowledgement(e.Task)
 }
 
-// shown checks what the caller of an accepted job is told, and reports whether
-// the job has ended.
+// checkJobState checks the state of an accepted job that an entry process has returned to a caller,
+// and reports whether no further query is needed.
 func (c *checker) checkJobState(job string, status int, body string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case status == http.StatusGone:
-		c.addViolation("%s was accepted and isn't known", job)
+		c.addViolation("%s was accepted and is unknown now", job)
 	case status == http.StatusOK && strings.Contains(body, "failed"), status == http.StatusOK && strings.Contains(body, "cancelled"):
-		c.addViolation("%s is shown as %s", job, body)
+		c.addViolation("%s is reported as %s", job, body)
 	case status == http.StatusOK && strings.Contains(body, "completed"):
 		c.checkAllTasksDone(job, c.acceptedJobs[job])
 		c.completedJobs[job] = true
@@ -168,7 +167,7 @@
 	return true
 }
 
-// unfinished lists the accepted jobs that haven't been shown as completed.
+// unfinishedJobs lists the accepted jobs that haven't been reported as completed.
 func (c *checker) unfinishedJobs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,16 +181,17 @@
 	c.acceptedJobs[job] = tasks
 }
 
-// allDone is called with the lock held.
+// checkAllTasksDone checks that all tasks of a completed job have ended successfully. The caller holds
+// the lock.
 func (c *checker) checkAllTasksDone(job string, tasks int) {
 	for i := range tasks {
 		if task := fmt.Sprintf("%s.0.0.%d", job, i); !c.doneTasks[task] {
-			c.addViolation("%s is complete without %s", job, task)
+			c.addViolation("%s is reported as completed though %s has not ended", job, task)
 		}
 	}
 }
 
-// answered checks a caller's answer. tries counts how often the job was sent.
+// checkAnswer checks the answer to a submission. tries is how often the job has been sent.
 func (c *checker) checkAnswer(job string, tasks, status, tries int, body string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -200,14 +200,14 @@
 	case status == http.StatusServiceUnavailable && tries == 1:
 		c.refusedJobs[job] = true
 		if c.startsByJob[job] > 0 {
-			c.addViolation("%s: its caller is told that it hasn't run; %d runs were started", job, c.startsByJob[job])
+			c.addViolation("%s: its caller was answered that it has not run; %d runs were started", job, c.startsByJob[job])
 		}
 	case status == http.StatusOK && strings.Contains(body, "completed"):
 		c.checkAllTasksDone(job, tasks)
 	}
 }
 
-// crowd is callers that send jobs until they are told to stop.
+// callerGroup is a number of callers that submit jobs until they are stopped.
 type callerGroup struct {
 	stop chan struct{}
 	done sync.WaitGroup
@@ -219,8 +219,8 @@
 }
 
 const (
-	// callerPatience is how long a caller waits in all, resend how long after a
-	// broken connection it sends its job again.
+	// callerTimeout bounds all submissions of a job; resendInterval is the wait before a job is sent
+	// again after a broken connection.
 	callerTimeout  = 2500 * time.Millisecond
 	resendInterval = 1300 * time.Millisecond
 )
@@ -244,8 +244,8 @@
 	return c
 }
 
-// call sends one job, again by another entry VM if the connection breaks or
-// nobody knows what became of it.
+// callOnce submits one job, and submits it again through another entry VM if the connection breaks
+// or the outcome is unknown.
 func (w *world) callOnce(caller, k int) {
 	job := fmt.Sprintf("%08x%08x", caller+1, k)
 	tasks := 1 + (caller+k)%3
@@ -268,11 +268,11 @@
 	}
 }
 
-// followTime is how long a caller asks for its job before it sends the next one.
+// queryTime is how long a caller queries its job before it submits the next one.
 const queryTime = 3 * time.Second
 
-// follow asks for a job by one entry VM after the other until it has ended, or for
-// a while.
+// queryUntilEnded queries a job through one entry VM after another until it has ended or queryTime
+// is over.
 func (w *world) queryUntilEnded(caller int, job string) {
 	for begin, k := time.Now(), 0; time.Since(begin) < queryTime; k++ {
 		status, body := w.request(w.nodes[(caller+k)%len(w.nodes)], http.MethodGet, job, "", time.Second)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -1,6 +1,6 @@
-// Package soak runs the entry program as separate processes on one machine and
-// harms them from outside: by signals, and by proxies before the runners and
-// the platform's store. What runners and callers see is checked while it runs.
+// Package soak runs the entry program as separate processes on one machine and injects faults: by
+// signals, and by proxies in front of the runners and the platform's store. What runners and callers
+// observe is checked throughout.
 //
 //	go test ./soak -soak.seeds 50 -soak.first 100 -soak.seconds 30
 package soak
@@ -28,13 +28,13 @@
 	logDir  = flag.String("soak.logs", "", "directory for the logs of runs that broke a promise")
 )
 
-// regressions are seeds that once broke a promise, with the cause.
+// regressions are seeds that once broke a guarantee, with the cause.
 var regressions = map[uint64]string{
-	500: "a process that believed that there were no stored jobs denied one that another had just accepted",
-	501: "a process that had owned the stored jobs a moment before denied one that another had accepted since",
-	503: "the same",
-	900: "a leader that still counted a killed process as heard denied a job that the next process on its VM had accepted",
-	603: "three processes that didn't know their processor never connected after a restart, and took the stored jobs from each other",
+	500: "a process took it that there were no stored jobs, and answered that a job was unknown which another process had just accepted",
+	501: "a process that had lost the row ownership a moment before answered that a job was unknown which the new owner had accepted since",
+	503: "the same as 501",
+	900: "a leader that still counted a killed process as reachable answered that a job was unknown which the next process on that VM had accepted",
+	603: "three processes that didn't know their CPU never connected after a restart, and took the row ownership of the stored jobs from each other",
 }
 
 func TestSoak(t *testing.T) {
@@ -67,22 +67,21 @@
 			w.saveLogs(filepath.Join(*logDir, fmt.Sprint(seed)))
 		}
 	}()
-	g.Eventually(w.ready, time.Minute, 50*time.Millisecond).Should(BeTrue(), "no entry process came up")
+	g.Eventually(w.ready, time.Minute, 50*time.Millisecond).Should(BeTrue(), "no entry process became ready")
 	callers := w.startCallers(12)
 	injected := w.injectFaults(time.Duration(*seconds) * time.Second)
 	w.waitForFaults()
-	g.Eventually(w.ready, time.Minute, 50*time.Millisecond).Should(BeTrue(), "the system didn't recover: %v", injected)
+	g.Eventually(w.ready, time.Minute, 50*time.Millisecond).Should(BeTrue(), "no entry process became ready after: %v", injected)
 	before := w.checker.answerCount("200")
-	g.Eventually(func() int { return w.checker.answerCount("200") }, time.Minute, 50*time.Millisecond).Should(BeNumerically(">", before+20), "nothing is served after: %v", injected)
+	g.Eventually(func() int { return w.checker.answerCount("200") }, time.Minute, 50*time.Millisecond).Should(BeNumerically(">", before+20), "too few jobs are answered after the faults: %v", injected)
 	callers.stopAndWait()
-	g.Eventually(w.unfinishedJobs, time.Minute, 100*time.Millisecond).Should(BeEmpty(), "accepted jobs don't end: %v", injected)
+	g.Eventually(w.unfinishedJobs, time.Minute, 100*time.Millisecond).Should(BeEmpty(), "accepted jobs do not end after: %v", injected)
 	violations := w.checker.allViolations()
 	g.Expect(violations).To(BeEmpty(), "seed %d: %v", seed, injected)
 	t.Logf("answers %v, faults %d", w.checker.answerSummary(), len(injected))
 }
 
-// unfinished asks for the accepted jobs that haven't ended, and lists those that
-// still haven't.
+// unfinishedJobs queries the accepted jobs that haven't ended, and lists those that still haven't.
 func (w *world) unfinishedJobs() []string {
 	for i, job := range w.checker.unfinishedJobs() {
 		status, body := w.request(w.nodes[i%len(w.nodes)], http.MethodGet, job, "", time.Second)
@@ -91,7 +90,8 @@
 	return w.checker.unfinishedJobs()
 }
 
-// harm plays faults, one about every 400 ms, which overlap.
+// injectFaults injects random faults, one about every 400 ms, so that they overlap. It returns
+// their names.
 func (w *world) injectFaults(d time.Duration) []string {
 	var injected []string
 	end := time.Now().Add(d)
@@ -116,7 +116,7 @@
 func (w *world) randomNode() *node            { return w.nodes[w.rng.IntN(len(w.nodes))] }
 func (w *world) randomRunner() *proxiedRunner { return w.runners[w.rng.IntN(len(w.runners))] }
 
-// harms are in a fixed order, so that a seed plays the same ones again.
+// faultKinds has a fixed order, so that a seed injects the same faults each time.
 var faultKinds = []fault{
 	{"kill", func(w *world) { w.randomNode().signal(syscall.SIGKILL) }},
 	{"stop", func(w *world) { w.randomNode().signal(syscall.SIGTERM) }},
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -26,7 +26,7 @@
 	prefix      = "/spot/"
 	// graceS is the time between SIGTERM and SIGKILL, in seconds.
 	graceS = 4
-	// restartWait is how long the platform takes to start a process again.
+	// restartDelay is the time after which the platform restarts a process that has ended.
 	restartDelay = 200 * time.Millisecond
 )
 
@@ -48,13 +48,13 @@
 	timers         sync.WaitGroup
 }
 
-// worker is a runner behind a proxy.
+// proxiedRunner is a runner behind a proxy.
 type proxiedRunner struct {
 	runner *deployment.Runner
 	proxy  *faults.Proxy
 }
 
-// node is an entry VM, whose process is started again whenever it ends.
+// node is an entry VM. Its process is restarted whenever it ends.
 type node struct {
 	deployment.Node
 	name string
@@ -65,7 +65,7 @@
 	done chan struct{}
 }
 
-// logBuffer keeps a process's output.
+// logBuffer collects the output of a node's processes.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -129,14 +129,14 @@
 	return &proxiedRunner{runner: r, proxy: p}, w.store.Put("servers", id, info)
 }
 
-// replaceRunner crashes a runner; another lifetime comes after a while.
+// replaceRunner crashes a runner and starts another one in its place under a new id.
 func (w *world) replaceRunner(i int) {
 	old := w.runners[i]
 	old.runner.Close()
 	w.store.Remove("servers", old.runner.ID)
 	r, err := w.newRunner()
 	if err != nil {
-		w.checker.reportViolation("the soak itself: %v", err)
+		w.checker.reportViolation("the soak test itself failed: %v", err)
 		return
 	}
 	w.runners[i] = r
@@ -148,7 +148,7 @@
 	d := deployment.Declaration(w.configVersion, host, prefix, "spot", service, 60)
 	w.mu.Unlock()
 	if err := w.store.Put("op", "config", d); err != nil {
-		w.checker.reportViolation("the soak itself: %v", err)
+		w.checker.reportViolation("the soak test itself failed: %v", err)
 	}
 }
 
@@ -157,7 +157,7 @@
 	w.runAfter(d, func() { w.store.SetFaults(deployment.StoreFaults{}) })
 }
 
-// later does something after a while, unless the run is over.
+// runAfter calls f after a delay, or when the run ends.
 func (w *world) runAfter(d time.Duration, f func()) {
 	w.timers.Add(1)
 	go func() {
@@ -170,7 +170,7 @@
 	}()
 }
 
-// heal waits until all faults are over.
+// waitForFaults waits until all faults are over, and declares the configuration again.
 func (w *world) waitForFaults() {
 	w.timers.Wait()
 	w.declare()
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// supervise starts a process again and again, as the platform does.
+// restartForever starts a node's process again whenever it ends, as the platform does.
 func (w *world) restartForever(n *node, settings string) {
 	defer close(n.done)
 	for {
@@ -202,7 +202,7 @@
 		n.cmd = cmd
 		n.mu.Unlock()
 		if err != nil {
-			w.checker.reportViolation("the soak itself: %v", err)
+			w.checker.reportViolation("the soak test itself failed: %v", err)
 			return
 		}
 		_ = cmd.Wait()
@@ -214,8 +214,8 @@
 	}
 }
 
-// signal sends a signal to the process, and for SIGTERM a SIGKILL when the
-// grace is over.
+// signal sends a signal to the node's process. After SIGTERM it sends SIGKILL when the grace period
+// is over.
 func (n *node) signal(s syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -229,7 +229,7 @@
 	}
 }
 
-// ready reports whether any entry process serves.
+// ready reports whether any entry process is ready.
 func (w *world) ready() bool {
 	for _, n := range w.nodes {
 		res, err := w.http.Get("http://" + n.HealthAddress + "/ready")
--- a/standin/deployment/runner.go
+++ b/standin/deployment/runner.go
@@ -58,10 +58,10 @@
 	listener net.Listener
 	server   *http.Server
 
-	mu           sync.Mutex
-	token        uint64
-	leaseEnd     time.Time
-	running      map[RunID]*time.Timer
+	mu       sync.Mutex
+	token    uint64
+	leaseEnd time.Time
+	running  map[RunID]*time.Timer
 	// closedRuns holds for each task the highest run that can't be started any more.
 	closedRuns   map[string]int
 	endedRuns    []EndedRun
