--- a/e2e/harness_test.go
+++ b/e2e/harness_test.go
@@ -32,19 +32,19 @@
 )
 
 const (
-	patience      = 30 * time.Second
-	poll          = 50 * time.Millisecond
-	operatorToken = "e2e-operator"
+	eventualTimeout = 30 * time.Second
+	pollInterval    = 50 * time.Millisecond
+	operatorToken   = "e2e-operator"
 )
 
-var bin string
+var programDir string
 
 var _ = BeforeSuite(func() {
 	var err error
-	bin, err = os.MkdirTemp("", "sapphirepoint-e2e")
+	programDir, err = os.MkdirTemp("", "sapphirepoint-e2e")
 	Expect(err).NotTo(HaveOccurred())
-	DeferCleanup(os.RemoveAll, bin)
-	out, err := exec.Command("go", "build", "-o", bin, "sapphirepoint.example/sapphirepoint/cmd/...").CombinedOutput()
+	DeferCleanup(os.RemoveAll, programDir)
+	out, err := exec.Command("go", "build", "-o", programDir, "sapphirepoint.example/sapphirepoint/cmd/...").CombinedOutput()
 	Expect(err).NotTo(HaveOccurred(), string(out))
 })
 
@@ -56,7 +56,7 @@
 }
 
 func launch(program string, args ...string) *process {
-	p := &process{cmd: exec.Command(filepath.Join(bin, program), args...), log: &bytes.Buffer{}, done: make(chan struct{})}
+	p := &process{cmd: exec.Command(filepath.Join(programDir, program), args...), log: &bytes.Buffer{}, done: make(chan struct{})}
 	p.cmd.Stdout = p.log
 	p.cmd.Stderr = p.log
 	Expect(p.cmd.Start()).To(Succeed())
@@ -80,13 +80,13 @@
 // entry is an entry process with its addresses.
 type entry struct {
 	*process
-	name, domain              string
-	callers, operators, peers string
-	settings                  string
+	name, domain                                string
+	callerAddress, operatorAddress, peerAddress string
+	settings                                    string
 }
 
 func (e *entry) client() *client.Client {
-	return client.New(client.Config{URL: "http://" + e.callers, Token: standin.Token})
+	return client.New(client.Config{URL: "http://" + e.callerAddress, Token: standin.Token})
 }
 
 func (e *entry) start() {
@@ -94,7 +94,7 @@
 }
 
 func (e *entry) ready() bool {
-	res, err := controls.Get("http://" + e.callers + "/readyz")
+	res, err := controlClient.Get("http://" + e.callerAddress + "/readyz")
 	if err != nil {
 		return false
 	}
@@ -104,10 +104,10 @@
 
 // dump fetches the state of the process.
 func (e *entry) dump() map[string]any {
-	req, err := http.NewRequest(http.MethodGet, "http://"+e.operators+"/dump", nil)
+	req, err := http.NewRequest(http.MethodGet, "http://"+e.operatorAddress+"/dump", nil)
 	Expect(err).NotTo(HaveOccurred())
 	req.Header.Set("Authorization", "Bearer "+operatorToken)
-	res, err := controls.Do(req)
+	res, err := controlClient.Do(req)
 	if err != nil {
 		return nil
 	}
@@ -118,8 +118,8 @@
 }
 
 // inForce is what an operator is told of the settings in force.
-func (e *entry) inForce() *pb.GetSettingsResponse {
-	rpc := sapphirepointv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+e.operators)
+func (e *entry) settingsInForce() *pb.GetSettingsResponse {
+	rpc := sapphirepointv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+e.operatorAddress)
 	req := connect.NewRequest(&pb.GetSettingsRequest{})
 	req.Header().Set("Authorization", "Bearer "+operatorToken)
 	res, err := rpc.GetSettings(context.Background(), req)
@@ -129,13 +129,13 @@
 
 // quota is that of the first team in the settings in force.
 func (e *entry) quota() uint32 {
-	return e.inForce().GetSettings().GetInstitutions()[0].GetTeams()[0].GetQuotaSlots()
+	return e.settingsInForce().GetSettings().GetInstitutions()[0].GetTeams()[0].GetQuotaSlots()
 }
 
 // versions says for each node with version 1 in force whether it is connected.
-func (e *entry) versions() map[string]bool {
+func (e *entry) connectedNodes() map[string]bool {
 	connected := map[string]bool{}
-	for _, n := range e.inForce().GetNodes() {
+	for _, n := range e.settingsInForce().GetNodes() {
 		if n.GetVersion() == 1 {
 			connected[n.GetIncarnation().GetNode()] = n.GetConnected()
 		}
@@ -183,14 +183,14 @@
 		}
 		launch("standin", args...)
 	}
-	Eventually(d.publishMembers, patience, poll).Should(Succeed())
+	Eventually(d.publishMembers, eventualTimeout, pollInterval).Should(Succeed())
 	d.writeSettings(standin.Settings())
 	for _, e := range d.entries {
 		e.start()
 	}
 	for _, e := range d.entries {
-		Eventually(e.ready, patience, poll).Should(BeTrue(), e.name)
-		Eventually(e.peerCount, patience, poll).Should(Equal(len(d.entries)-1), e.name)
+		Eventually(e.ready, eventualTimeout, pollInterval).Should(BeTrue(), e.name)
+		Eventually(e.peerCount, eventualTimeout, pollInterval).Should(Equal(len(d.entries)-1), e.name)
 	}
 	return d
 }
@@ -198,7 +198,7 @@
 func (d *deployment) path(name string) string { return filepath.Join(d.dir, name) }
 
 func (d *deployment) addEntry(name, domain string) {
-	e := &entry{name: name, domain: domain, callers: freeAddress(), operators: freeAddress(), peers: freeAddress(), settings: d.path(name + ".yaml")}
+	e := &entry{name: name, domain: domain, callerAddress: freeAddress(), operatorAddress: freeAddress(), peerAddress: freeAddress(), settings: d.path(name + ".yaml")}
 	pair, err := keys.NewProcess(d.ca, name)
 	Expect(err).NotTo(HaveOccurred())
 	write(d.path(name+".pem"), pair.Cert)
@@ -209,9 +209,9 @@
 platform: {url: "http://%s"}
 peer_tls: {ca: %s, cert: %s, key: %s}
 operators: {token_file: %s}
-`, name, domain, e.callers, e.operators, e.peers, d.platform, d.path("ca.pem"), d.path(name+".pem"), d.path(name+".key"), d.path("operator.token")))
+`, name, domain, e.callerAddress, e.operatorAddress, e.peerAddress, d.platform, d.path("ca.pem"), d.path(name+".pem"), d.path(name+".key"), d.path("operator.token")))
 	d.entries = append(d.entries, e)
-	d.members = append(d.members, &platformv1.Member{Name: name, Role: platformv1.Role_ROLE_ENTRY, Address: e.peers, FailureDomain: domain})
+	d.members = append(d.members, &platformv1.Member{Name: name, Role: platformv1.Role_ROLE_ENTRY, Address: e.peerAddress, FailureDomain: domain})
 }
 
 func (d *deployment) addRunner(domain string, i int) string {
@@ -230,7 +230,7 @@
 }
 
 // leave announces that a runner's VM leaves.
-func (d *deployment) leave(i int) {
+func (d *deployment) announceLeaving(i int) {
 	for _, m := range d.members {
 		if m.GetAddress() == d.runners[i] {
 			m.Leaving = true
@@ -252,13 +252,13 @@
 }
 
 // faults replaces the failures switched on at the platform.
-func (d *deployment) faults(f platform.Faults) {
+func (d *deployment) setFaults(f platform.Faults) {
 	Expect(post("http://"+d.platform+"/control/faults", f)).To(Succeed())
 }
 
 // control switches a runner's behaviour.
-func (d *deployment) control(i int, command string) {
-	res, err := controls.Post("http://"+d.runners[i]+"/control/"+command, "", nil)
+func (d *deployment) controlRunner(i int, command string) {
+	res, err := controlClient.Post("http://"+d.runners[i]+"/control/"+command, "", nil)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(res.Body.Close()).To(Succeed())
 	Expect(res.StatusCode).To(Equal(http.StatusOK))
@@ -272,7 +272,7 @@
 }
 
 // ledgers adds up what all runners started, by task name.
-func (d *deployment) ledgers() map[string]int {
+func (d *deployment) totalStarts() map[string]int {
 	total := map[string]int{}
 	for i := range d.runners {
 		for name, n := range d.ledger(i).Starts {
@@ -285,7 +285,7 @@
 // expectNoSecondStart checks the promise that matters most against what the
 // runners saw.
 func (d *deployment) expectNoSecondStart() {
-	for name, n := range d.ledgers() {
+	for name, n := range d.totalStarts() {
 		Expect(n).To(Equal(1), name)
 	}
 }
@@ -295,7 +295,7 @@
 	if err != nil {
 		return err
 	}
-	res, err := controls.Post(url, "application/json", bytes.NewReader(raw))
+	res, err := controlClient.Post(url, "application/json", bytes.NewReader(raw))
 	if err != nil {
 		return err
 	}
@@ -308,10 +308,10 @@
 
 // controls reaches a stand-in on a connection of its own: one that is kept
 // could have gone silent.
-var controls = &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+var controlClient = &http.Client{Timeout: eventualTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
 func fetch(url string, into any) {
-	res, err := controls.Get(url)
+	res, err := controlClient.Get(url)
 	Expect(err).NotTo(HaveOccurred())
 	defer res.Body.Close()
 	Expect(json.NewDecoder(res.Body).Decode(into)).To(Succeed())
@@ -325,7 +325,7 @@
 	lastPort  = 32_000
 )
 
-var givenPorts = map[int]bool{}
+var usedPorts = map[int]bool{}
 
 // freeAddress finds a loopback port that is free for TCP and UDP and that no
 // earlier call has returned.
@@ -333,15 +333,15 @@
 	for {
 		port := firstPort + rand.IntN(lastPort-firstPort)
 		address := fmt.Sprintf("127.0.0.1:%d", port)
-		if givenPorts[port] || !bindable(address) {
+		if usedPorts[port] || !isFree(address) {
 			continue
 		}
-		givenPorts[port] = true
+		usedPorts[port] = true
 		return address
 	}
 }
 
-func bindable(address string) bool {
+func isFree(address string) bool {
 	tcp, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
@@ -359,7 +359,7 @@
 }
 
 // labels is a job of n label tasks that run for the given milliseconds.
-func labels(n, runMs int) *pb.Submission {
+func labelJob(n, runMs int) *pb.Submission {
 	s := &pb.Submission{Service: "labels", Team: "kitchens"}
 	for i := range n {
 		s.Tasks = append(s.Tasks, &pb.Task{Payload: fmt.Appendf(nil, `{"run_ms": %d, "output": "label %d"}`, runMs, i)})
--- a/e2e/lending_test.go
+++ b/e2e/lending_test.go
@@ -8,7 +8,7 @@
 )
 
 // stat reads a counter of the process's dump.
-func (e *entry) stat(name string) float64 {
+func (e *entry) dumpCounter(name string) float64 {
 	stats, _ := e.dump()["stats"].(map[string]any)
 	n, _ := stats[name].(float64)
 	return n
@@ -21,19 +21,19 @@
 	It("are lent to the other domain and come home", func(ctx SpecContext) {
 		d := deploy([]string{"loughborough", "melton"}, 1, 1)
 		busy, idle := d.entries[0], d.entries[1]
-		a, err := busy.client().Submit(ctx, labels(48, 300))
+		a, err := busy.client().Submit(ctx, labelJob(48, 300))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
-		Expect(busy.stat("borrowed_slots")).To(BeNumerically(">", 0))
-		Expect(idle.stat("lent_slots")).To(BeNumerically(">=", busy.stat("borrowed_slots")))
-		Expect(len(d.ledgers())).To(Equal(48))
+		Expect(busy.dumpCounter("borrowed_slots")).To(BeNumerically(">", 0))
+		Expect(idle.dumpCounter("lent_slots")).To(BeNumerically(">=", busy.dumpCounter("borrowed_slots")))
+		Expect(len(d.totalStarts())).To(Equal(48))
 		d.expectNoSecondStart()
-		Eventually(func() int { return idle.idleSlots() }, patience, poll).Should(Equal(idle.ownedSlots()))
+		Eventually(func() int { return idle.idleSlotCount() }, eventualTimeout, pollInterval).Should(Equal(idle.ownedSlotCount()))
 	})
 })
 
 // idleSlots is the number of own slots that stand idle.
-func (e *entry) idleSlots() int {
+func (e *entry) idleSlotCount() int {
 	n, _ := e.dump()["idle_slots"].(float64)
 	return int(n)
 }
--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -40,18 +40,18 @@
 	loadRunners = 16
 	// medianRunMs and runSpread make run times lognormal, cut to 50 ms and 5 s.
 	medianRunMs = 170
-	runSpread   = 0.6
+	runSigma    = 0.6
 	// One job in each largeEvery has 100 to 980 tasks, the others 1 to 19.
-	largeEvery = 200
-	maxTasks   = 980
-	downTime   = 2 * time.Second
-	ratioScale = 1000
+	largeJobInterval = 200
+	maxTasks         = 980
+	restartDelay     = 2 * time.Second
+	ratioScale       = 1000
 	// Metrics that the report adds up.
 	wastedMetric  = "sapphirepoint_wasted_messages_total"
 	answersMetric = "sapphirepoint_answers_total"
 	cpuMetric     = "process_cpu_seconds_total"
 	// oldJobMs is the age at which a job's wait is told.
-	oldJobMs = 8000
+	oldJobAgeMs = 8000
 )
 
 // loadJob is a job with the best response that the slots allow: that of its
@@ -63,13 +63,13 @@
 
 func drawJob(rng *rand.Rand, slots int) loadJob {
 	n := 1 + rng.IntN(19)
-	if rng.IntN(largeEvery) == 0 {
+	if rng.IntN(largeJobInterval) == 0 {
 		n = 100 + rng.IntN(maxTasks-99)
 	}
 	s := &pb.Submission{Service: "labels", Team: "kitchens"}
 	longest, sum := 0, 0
 	for i := range n {
-		ms := int(medianRunMs * math.Exp(runSpread*rng.NormFloat64()))
+		ms := int(medianRunMs * math.Exp(runSigma*rng.NormFloat64()))
 		ms = min(max(ms, 50), 5000)
 		longest = max(longest, ms)
 		sum += ms
@@ -79,7 +79,7 @@
 }
 
 // tally adds up what callers got.
-type tally struct {
+type loadTally struct {
 	mu       sync.Mutex
 	outcomes map[string]int
 	jobs     int
@@ -90,7 +90,7 @@
 	slowest time.Duration
 }
 
-func (t *tally) add(j loadJob, a *pb.Answer, err error, took time.Duration) {
+func (t *loadTally) add(j loadJob, a *pb.Answer, err error, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.jobs++
@@ -110,7 +110,7 @@
 		t.outcomes["PARTIAL"]++
 	}
 	t.slowest = max(t.slowest, took)
-	if took > j.ideal+oldJobMs*time.Millisecond {
+	if took > j.ideal+oldJobAgeMs*time.Millisecond {
 		fmt.Printf("%v for %d tasks, ideal %v\n", took, len(j.submission.GetTasks()), j.ideal)
 	}
 	_ = t.ratios.RecordValue(int64(float64(took) / float64(j.ideal) * ratioScale))
@@ -118,7 +118,7 @@
 
 // counters reads an entry's metrics that the report adds up.
 func (e *entry) counters() map[string]float64 {
-	res, err := controls.Get("http://" + e.operators + "/metrics")
+	res, err := controlClient.Get("http://" + e.operatorAddress + "/metrics")
 	if err != nil {
 		return nil
 	}
@@ -138,7 +138,7 @@
 }
 
 // peakMemory is the most memory that the process had resident, in MiB.
-func (e *entry) peakMemory() float64 {
+func (e *entry) peakMemoryMiB() float64 {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", e.cmd.Process.Pid))
 	Expect(err).NotTo(HaveOccurred())
 	_, rest, _ := strings.Cut(string(status), "VmHWM:")
@@ -149,23 +149,23 @@
 
 // loadRun is one run of the load.
 type loadRun struct {
-	d      *deployment
-	tally  *tally
-	totals map[string]float64
-	peak   float64
-	kills  int
+	d         *deployment
+	loadTally *loadTally
+	totals    map[string]float64
+	peak      float64
+	kills     int
 }
 
 // collect adds the counters of an entry whose process ends.
-func (r *loadRun) collect(e *entry) {
+func (r *loadRun) addCounters(e *entry) {
 	for name, v := range e.counters() {
 		r.totals[name] += v
 	}
-	r.peak = max(r.peak, e.peakMemory())
+	r.peak = max(r.peak, e.peakMemoryMiB())
 }
 
 // killInTurn kills or stops entries one after the other and starts them again.
-func (r *loadRun) killInTurn(ctx context.Context) {
+func (r *loadRun) restartInTurn(ctx context.Context) {
 	for i := 0; ; i++ {
 		select {
 		case <-ctx.Done():
@@ -173,7 +173,7 @@
 		case <-time.After(*loadKill):
 		}
 		e := r.d.entries[i%len(r.d.entries)]
-		r.collect(e)
+		r.addCounters(e)
 		if *loadStop {
 			e.signal(syscall.SIGTERM)
 		} else {
@@ -181,7 +181,7 @@
 		}
 		<-e.done
 		r.kills++
-		time.Sleep(downTime)
+		time.Sleep(restartDelay)
 		e.start()
 	}
 }
@@ -192,7 +192,7 @@
 	slots := 3 * loadRunners * runner.DefaultSlots
 	var urls []string
 	for _, e := range r.d.entries {
-		urls = append(urls, "http://"+e.callers)
+		urls = append(urls, "http://"+e.callerAddress)
 	}
 	callers := client.New(client.Config{URLs: urls, Token: standin.Token, NewIDs: 3})
 	defer callers.Close()
@@ -209,11 +209,11 @@
 		next = next.Add(time.Duration(float64(gap) * rng.ExpFloat64()))
 		time.Sleep(time.Until(next))
 		all.Go(func() {
-			answerBy, cancel := context.WithTimeout(context.Background(), time.Minute)
+			callCtx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
 			began := time.Now()
-			a, err := callers.Submit(answerBy, j.submission)
-			r.tally.add(j, a, err, time.Since(began))
+			a, err := callers.Submit(callCtx, j.submission)
+			r.loadTally.add(j, a, err, time.Since(began))
 		})
 	}
 	all.Wait()
@@ -221,7 +221,7 @@
 
 // applyOnce changes the settings amid the load and reports how long it takes
 // until every entry has the change in force.
-func (r *loadRun) applyOnce(ctx context.Context) {
+func (r *loadRun) measureSettingsChange(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 		return
@@ -233,15 +233,15 @@
 	Expect(apply(r.d.entries[0], 1, changed)).To(Succeed())
 	accepted := time.Since(began)
 	for _, e := range r.d.entries {
-		Eventually(e.version, patience, 5*time.Millisecond).Should(BeEquivalentTo(2))
+		Eventually(e.version, eventualTimeout, 5*time.Millisecond).Should(BeEquivalentTo(2))
 	}
 	fmt.Printf("\na change of settings was accepted after %v and in force at all entries after %v\n",
 		accepted.Round(time.Millisecond), time.Since(began).Round(time.Millisecond))
 }
 
 // watch prints what jobs wait for that are older than any task runs.
-func (r *loadRun) watch(ctx context.Context) {
-	told := map[string]bool{}
+func (r *loadRun) reportOldJobs(ctx context.Context) {
+	reported := map[string]bool{}
 	for ctx.Err() == nil {
 		time.Sleep(time.Second)
 		for _, e := range r.d.entries {
@@ -251,10 +251,10 @@
 				s, _ := each.(map[string]any)
 				age := number(state["now_ms"]) - number(s["arrived_ms"])
 				id, _ := s["id"].(string)
-				if age < oldJobMs || told[id] {
+				if age < oldJobAgeMs || reported[id] {
 					continue
 				}
-				told[id] = true
+				reported[id] = true
 				fmt.Printf("%s: %s waits for %.0f ms: %v\n", e.name, id, age, s)
 			}
 		}
@@ -269,19 +269,19 @@
 // report prints the figures and returns the number of tasks that the runners
 // started although their callers were told that they weren't run.
 func (r *loadRun) report(seconds float64) int {
-	t := r.tally
-	second, falseWords := 0, 0
-	for name, n := range r.d.ledgers() {
+	t := r.loadTally
+	second, falseNotRun := 0, 0
+	for name, n := range r.d.totalStarts() {
 		if n > 1 {
 			second++
 		}
 		if slices.ContainsFunc(t.notRun, func(id string) bool { return strings.HasPrefix(name, id) }) {
-			falseWords++
+			falseNotRun++
 		}
 	}
 	ratio := func(q float64) float64 { return float64(t.ratios.ValueAtQuantile(q)) / ratioScale }
 	fmt.Printf("\nseed %d, share %.2f of %d slots, %.0f s, %d entries killed or stopped\n", *loadSeed, *loadShare, 3*loadRunners*runner.DefaultSlots, seconds, r.kills)
-	fmt.Printf("jobs %d, tasks %d (%.0f/s), started twice %d, started after \"not run\" %d\n", t.jobs, t.tasks, float64(t.tasks)/seconds, second, falseWords)
+	fmt.Printf("jobs %d, tasks %d (%.0f/s), started twice %d, started after \"not run\" %d\n", t.jobs, t.tasks, float64(t.tasks)/seconds, second, falseNotRun)
 	for _, o := range sortedKeys(t.outcomes) {
 		fmt.Printf("  %6d %s\n", t.outcomes[o], o)
 	}
@@ -300,7 +300,7 @@
 	cpu := r.totals[cpuMetric]
 	fmt.Printf("entry processes: %.0f µs of processor time a task, %.1f%% of a core each, at most %.0f MiB resident\n",
 		cpu/float64(t.tasks)*1e6, cpu/seconds/float64(len(r.d.entries))*100, r.peak)
-	return falseWords
+	return falseNotRun
 }
 
 func sortedKeys[V any](m map[string]V) []string {
@@ -321,22 +321,22 @@
 	It("is carried by seven entries in three failure domains", func() {
 		Expect(os.Setenv("GOMAXPROCS", "2")).To(Succeed())
 		d := deployUneven([]string{"hinckley", "loughborough", "melton"}, []int{2, 3, 2}, loadRunners)
-		r := &loadRun{d: d, totals: map[string]float64{}, tally: &tally{outcomes: map[string]int{}, ratios: hdrhistogram.New(1, 10_000_000, 3)}}
+		r := &loadRun{d: d, totals: map[string]float64{}, loadTally: &loadTally{outcomes: map[string]int{}, ratios: hdrhistogram.New(1, 10_000_000, 3)}}
 		ctx, cancel := context.WithTimeout(context.Background(), *loadFor)
 		defer cancel()
 		var others sync.WaitGroup
 		others.Go(func() {
 			defer GinkgoRecover()
 			if *loadKill > 0 {
-				r.killInTurn(ctx)
+				r.restartInTurn(ctx)
 				return
 			}
-			r.applyOnce(ctx)
+			r.measureSettingsChange(ctx)
 		})
 		if *loadKill == 0 {
 			others.Go(func() {
 				defer GinkgoRecover()
-				r.watch(ctx)
+				r.reportOldJobs(ctx)
 			})
 		}
 		began := time.Now()
@@ -345,10 +345,10 @@
 		others.Wait()
 		for _, e := range d.entries {
 			Eventually(func() error {
-				_, err := http.Get("http://" + e.operators + "/healthz")
+				_, err := http.Get("http://" + e.operatorAddress + "/healthz")
 				return err
-			}, patience, poll).Should(Succeed())
-			r.collect(e)
+			}, eventualTimeout, pollInterval).Should(Succeed())
+			r.addCounters(e)
 		}
 		Expect(r.report(seconds)).To(BeZero())
 		d.expectNoSecondStart()
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -15,7 +15,7 @@
 
 // apply applies settings through an entry's operator listener.
 func apply(e *entry, expected uint64, s *pb.Settings) error {
-	rpc := sapphirepointv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+e.operators)
+	rpc := sapphirepointv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+e.operatorAddress)
 	req := connect.NewRequest(&pb.ApplySettingsRequest{ExpectedVersion: expected, Settings: s})
 	req.Header().Set("Authorization", "Bearer "+operatorToken)
 	_, err := rpc.ApplySettings(context.Background(), req)
@@ -26,12 +26,12 @@
 	It("returns whole answers through any entry, for both kinds of id", func(ctx SpecContext) {
 		d := deploy([]string{"loughborough", "melton"}, 1, 2)
 		for _, e := range d.entries {
-			a, err := e.client().Submit(ctx, labels(40, 10))
+			a, err := e.client().Submit(ctx, labelJob(40, 10))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(a.GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
 			Expect(a.GetResults()).To(HaveLen(40))
 		}
-		s := labels(1, 10)
+		s := labelJob(1, 10)
 		s.Service = "settle"
 		s.Id = client.OwnKey("lot-17")
 		first, err := d.entries[0].client().Submit(ctx, s)
@@ -40,7 +40,7 @@
 		again, err := d.entries[1].client().Submit(ctx, s)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again.GetResults()).To(HaveLen(1))
-		Expect(d.ledgers()).To(HaveLen(81))
+		Expect(d.totalStarts()).To(HaveLen(81))
 		d.expectNoSecondStart()
 	})
 })
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -26,18 +26,18 @@
 	// caller's time runs out without a final word; when it sends the same key
 	// again after the outage, the settlement runs, once.
 	It("fails in the middle of a claim", func() {
-		s := settlement("lot-3", 3, 20)
+		s := settlementJob("lot-3", 3, 20)
 		s.TimeoutMs = 1500
-		d.faults(platform.Faults{LoseReplies: 1, ThenOutage: true})
-		word := d.entries[0].ask(s)
-		Expect(word.GetOutcome()).To(Equal(pb.Outcome_OUTCOME_UNKNOWN), word.String())
-		Expect(word.GetRetryAfterMs()).NotTo(BeZero())
-		Expect(d.ledgers()).To(BeEmpty())
-		d.faults(platform.Faults{})
+		d.setFaults(platform.Faults{LoseReplies: 1, ThenOutage: true})
+		answer := d.entries[0].submitOnce(s)
+		Expect(answer.GetOutcome()).To(Equal(pb.Outcome_OUTCOME_UNKNOWN), answer.String())
+		Expect(answer.GetRetryAfterMs()).NotTo(BeZero())
+		Expect(d.totalStarts()).To(BeEmpty())
+		d.setFaults(platform.Faults{})
 		for _, e := range d.entries {
-			Expect(e.askUntilFinal(s).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
+			Expect(e.resubmitUntilFinal(s).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
 		}
-		Expect(d.ledgers()).To(HaveLen(3))
+		Expect(d.totalStarts()).To(HaveLen(3))
 		d.expectNoSecondStart()
 	})
 
@@ -45,20 +45,20 @@
 	// as somebody else's claim and never run the settlement, or run it without
 	// a claim.
 	It("loses the reply to a claim that took effect", func() {
-		d.faults(platform.Faults{LoseReplies: 2})
-		s := settlement("lot-4", 3, 20)
-		Expect(d.entries[0].ask(s).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
-		Expect(d.entries[1].askUntilFinal(s).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
-		Expect(d.ledgers()).To(HaveLen(3))
+		d.setFaults(platform.Faults{LoseReplies: 2})
+		s := settlementJob("lot-4", 3, 20)
+		Expect(d.entries[0].submitOnce(s).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
+		Expect(d.entries[1].resubmitUntilFinal(s).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
+		Expect(d.totalStarts()).To(HaveLen(3))
 		d.expectNoSecondStart()
 	})
 
 	// Calls to the platform are taken and never answered. Jobs under issued ids
 	// go on as if nothing were wrong.
 	It("hangs, and issued ids go on", func() {
-		d.faults(platform.Faults{Hang: true})
+		d.setFaults(platform.Faults{Hang: true})
 		for _, e := range d.entries {
-			a, err := e.client().Submit(GinkgoT().Context(), labels(10, 5))
+			a, err := e.client().Submit(GinkgoT().Context(), labelJob(10, 5))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(a.GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
 		}
@@ -71,7 +71,7 @@
 			quota uint32
 			err   error
 		}
-		d.faults(platform.Faults{LoseReplies: 1, DelayMs: 50})
+		d.setFaults(platform.Faults{LoseReplies: 1, DelayMs: 50})
 		attempts := make(chan attempt, 2)
 		for i, e := range d.entries {
 			changed := standin.Settings()
@@ -81,7 +81,7 @@
 		var won []uint32
 		for range 2 {
 			var a attempt
-			Eventually(attempts, patience).Should(Receive(&a))
+			Eventually(attempts, eventualTimeout).Should(Receive(&a))
 			if a.err == nil {
 				won = append(won, a.quota)
 				continue
@@ -90,7 +90,7 @@
 		}
 		Expect(won).To(HaveLen(1))
 		for _, e := range d.entries {
-			Eventually(e.version, patience, poll).Should(BeEquivalentTo(2))
+			Eventually(e.version, eventualTimeout, pollInterval).Should(BeEquivalentTo(2))
 			Expect(e.quota()).To(Equal(won[0]))
 		}
 	})
@@ -102,18 +102,18 @@
 		changed := standin.Settings()
 		changed.Institutions[0].Teams[0].QuotaSlots = 77
 		Expect(apply(d.entries[0], 1, changed)).To(Succeed())
-		Eventually(d.entries[1].version, patience, poll).Should(BeEquivalentTo(2))
-		d.faults(platform.Faults{Outage: true})
+		Eventually(d.entries[1].version, eventualTimeout, pollInterval).Should(BeEquivalentTo(2))
+		d.setFaults(platform.Faults{Outage: true})
 		d.entries[1].signal(syscall.SIGSTOP)
 		d.entries[0].signal(syscall.SIGKILL)
 		<-d.entries[0].done
 		d.entries[0].start()
-		Eventually(d.entries[0].dump, patience, poll).Should(HaveKeyWithValue("settings_version", BeEquivalentTo(0)))
+		Eventually(d.entries[0].dump, eventualTimeout, pollInterval).Should(HaveKeyWithValue("settings_version", BeEquivalentTo(0)))
 		Expect(d.entries[0].ready()).To(BeFalse())
 		d.entries[1].signal(syscall.SIGCONT)
-		Eventually(d.entries[0].ready, patience, poll).Should(BeTrue())
+		Eventually(d.entries[0].ready, eventualTimeout, pollInterval).Should(BeTrue())
 		Expect(d.entries[0].version()).To(BeEquivalentTo(2))
 		Expect(d.entries[0].quota()).To(BeEquivalentTo(77))
-		Expect(d.entries[0].askUntilFinal(d.entries[0].job(5, 5)).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
+		Expect(d.entries[0].resubmitUntilFinal(d.entries[0].issuedIDJob(5, 5)).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
 	})
 })
--- a/e2e/slopes_test.go
+++ b/e2e/slopes_test.go
@@ -22,19 +22,19 @@
 
 // slopes turns on the measurement of processor time by load, which checks
 // nothing: go test ./e2e -count=1 -args -slopes
-var slopes = flag.Bool("slopes", false, "measure processor time a task at several rates")
+var measureSlopes = flag.Bool("slopes", false, "measure processor time a task at several rates")
 
 const (
-	slopeSpan     = 8 * time.Second
-	slopeTasks    = 10
-	slopeRunMs    = 20
-	processorTime = "process_cpu_seconds_total"
-	residentBytes = "process_resident_memory_bytes"
+	measureDuration     = 8 * time.Second
+	tasksPerJob         = 10
+	taskRunMs           = 20
+	cpuSecondsMetric    = "process_cpu_seconds_total"
+	residentBytesMetric = "process_resident_memory_bytes"
 )
 
 // metric reads one plain metric of a process.
-func (e *entry) metric(name string) float64 {
-	res, err := http.Get("http://" + e.operators + "/metrics")
+func (e *entry) readMetric(name string) float64 {
+	res, err := http.Get("http://" + e.operatorAddress + "/metrics")
 	Expect(err).NotTo(HaveOccurred())
 	defer res.Body.Close()
 	lines := bufio.NewScanner(res.Body)
@@ -48,43 +48,43 @@
 	return 0
 }
 
-func processorSeconds(entries []*entry) float64 {
+func cpuSeconds(entries []*entry) float64 {
 	sum := 0.0
 	for _, e := range entries {
-		sum += e.metric(processorTime)
+		sum += e.readMetric(cpuSecondsMetric)
 	}
 	return sum
 }
 
 // offer submits jobs at a steady rate, in turn through the entries, and
 // returns the number that came back whole.
-func offer(ctx context.Context, entries []*entry, tasksPerSecond int) int {
+func submitAtRate(ctx context.Context, entries []*entry, tasksPerSecond int) int {
 	clients := make([]*client.Client, len(entries))
 	for i, e := range entries {
 		clients[i] = e.client()
 	}
-	jobs := tasksPerSecond / slopeTasks * int(slopeSpan.Seconds())
-	interval := slopeSpan / time.Duration(jobs)
-	var whole sync.Map
+	jobs := tasksPerSecond / tasksPerJob * int(measureDuration.Seconds())
+	interval := measureDuration / time.Duration(jobs)
+	var completed sync.Map
 	var group sync.WaitGroup
 	began := time.Now()
 	for i := range jobs {
 		time.Sleep(time.Until(began.Add(time.Duration(i) * interval)))
 		group.Go(func() {
-			a, err := clients[i%len(clients)].Submit(ctx, labels(slopeTasks, slopeRunMs))
+			a, err := clients[i%len(clients)].Submit(ctx, labelJob(tasksPerJob, taskRunMs))
 			if err == nil && a.GetOutcome() == pb.Outcome_OUTCOME_COMPLETE {
-				whole.Store(i, true)
+				completed.Store(i, true)
 			}
 		})
 	}
 	group.Wait()
 	n := 0
-	whole.Range(func(any, any) bool { n++; return true })
+	completed.Range(func(any, any) bool { n++; return true })
 	return n
 }
 
 var _ = Describe("processor time by load", func() {
-	if !*slopes {
+	if !*measureSlopes {
 		return
 	}
 	for _, domains := range [][]string{{"loughborough"}, {"loughborough", "melton", "hinckley"}} {
@@ -92,14 +92,14 @@
 			d := deploy(domains, 1, 48/len(domains))
 			var xs, ys []float64
 			for _, rate := range []int{200, 500, 1000, 2000, 4000} {
-				before, began := processorSeconds(d.entries), time.Now()
-				whole := offer(ctx, d.entries, rate)
+				before, began := cpuSeconds(d.entries), time.Now()
+				completed := submitAtRate(ctx, d.entries, rate)
 				seconds := time.Since(began).Seconds()
-				used := (processorSeconds(d.entries) - before) / seconds
-				tasks := float64(whole*slopeTasks) / seconds
+				used := (cpuSeconds(d.entries) - before) / seconds
+				tasks := float64(completed*tasksPerJob) / seconds
 				xs, ys = append(xs, tasks), append(ys, used)
 				fmt.Fprintf(os.Stderr, "entries %d: %.0f tasks/s, %.4f cores in all, %.0f MiB resident at the first\n",
-					len(domains), tasks, used, d.entries[0].metric(residentBytes)/(1<<20))
+					len(domains), tasks, used, d.entries[0].readMetric(residentBytesMetric)/(1<<20))
 			}
 			intercept, slope := stat.LinearRegression(xs, ys, nil, false)
 			fmt.Fprintf(os.Stderr, "entries %d: %.1f µs a task, %.4f cores at rest, R² %.4f\n",
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -19,39 +19,39 @@
 		d := deploy([]string{"hinckley", "melton"}, 2, 2)
 		const jobsEach = 5
 		var all sync.WaitGroup
-		words := make([]*pb.Answer, jobsEach*len(d.entries))
-		jobs := make([]*pb.Submission, len(words))
+		answers := make([]*pb.Answer, jobsEach*len(d.entries))
+		jobs := make([]*pb.Submission, len(answers))
 		for i := range jobs {
-			jobs[i] = d.entries[i%len(d.entries)].job(8, 600)
+			jobs[i] = d.entries[i%len(d.entries)].issuedIDJob(8, 600)
 		}
 		for i, s := range jobs {
 			all.Go(func() {
-				words[i], _ = d.entries[i%len(d.entries)].client().SubmitOnce(GinkgoT().Context(), s)
+				answers[i], _ = d.entries[i%len(d.entries)].client().SubmitOnce(GinkgoT().Context(), s)
 			})
 		}
-		d.running(4)
+		d.waitForStarts(4)
 		for _, e := range d.entries {
 			Eventually(func() int {
 				list, _ := e.dump()["submissions"].([]any)
 				return len(list)
-			}, patience, poll).Should(Equal(jobsEach), e.name)
+			}, eventualTimeout, pollInterval).Should(Equal(jobsEach), e.name)
 		}
 		for _, e := range d.entries {
 			e.signal(syscall.SIGTERM)
 		}
 		all.Wait()
-		for _, w := range words {
+		for _, w := range answers {
 			Expect(w.GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE), w.String())
 		}
 		for _, e := range d.entries {
-			Eventually(e.done, patience).Should(BeClosed(), e.name)
+			Eventually(e.done, eventualTimeout).Should(BeClosed(), e.name)
 			Expect(e.cmd.ProcessState.ExitCode()).To(Equal(0), e.name)
 			e.start()
 		}
 		for _, e := range d.entries {
-			Eventually(e.ready, patience, poll).Should(BeTrue(), e.name)
-			Eventually(e.peerCount, patience, poll).Should(Equal(len(d.entries)-1), e.name)
-			Expect(e.askUntilFinal(e.job(20, 5)).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
+			Eventually(e.ready, eventualTimeout, pollInterval).Should(BeTrue(), e.name)
+			Eventually(e.peerCount, eventualTimeout, pollInterval).Should(Equal(len(d.entries)-1), e.name)
+			Expect(e.resubmitUntilFinal(e.issuedIDJob(20, 5)).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
 		}
 		d.expectNoSecondStart()
 	})
--- a/e2e/upstreams_test.go
+++ b/e2e/upstreams_test.go
@@ -11,8 +11,8 @@
 )
 
 // job is a job of labels under an id of the entry's own.
-func (e *entry) job(n, runMs int) *pb.Submission {
-	s := labels(n, runMs)
+func (e *entry) issuedIDJob(n, runMs int) *pb.Submission {
+	s := labelJob(n, runMs)
 	id, err := e.client().NewID(GinkgoT().Context())
 	Expect(err).NotTo(HaveOccurred())
 	s.Id = id
@@ -20,7 +20,7 @@
 }
 
 // ownedSlots is the number of slots that the process owns.
-func (e *entry) ownedSlots() int {
+func (e *entry) ownedSlotCount() int {
 	n, _ := e.dump()["owned_slots"].(float64)
 	return int(n)
 }
@@ -32,18 +32,18 @@
 	// that are there, or get its labels printed twice.
 	It("has connections go silent while new ones work", func() {
 		d := deploy([]string{"hinckley"}, 1, 2)
-		s := d.entries[0].job(16, 1000)
-		words := make(chan *pb.Answer, 1)
+		s := d.entries[0].issuedIDJob(16, 1000)
+		answers := make(chan *pb.Answer, 1)
 		go func() {
 			defer GinkgoRecover()
-			words <- d.entries[0].askUntilFinal(s)
+			answers <- d.entries[0].resubmitUntilFinal(s)
 		}()
-		d.running(16)
-		d.control(0, "silence")
-		var word *pb.Answer
-		Eventually(words, patience).Should(Receive(&word))
-		Expect(word.GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE), word.String())
-		Expect(d.entries[0].askUntilFinal(d.entries[0].job(16, 5)).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
+		d.waitForStarts(16)
+		d.controlRunner(0, "silence")
+		var answer *pb.Answer
+		Eventually(answers, eventualTimeout).Should(Receive(&answer))
+		Expect(answer.GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE), answer.String())
+		Expect(d.entries[0].resubmitUntilFinal(d.entries[0].issuedIDJob(16, 5)).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
 		d.expectNoSecondStart()
 	})
 
@@ -52,19 +52,19 @@
 	// no task that ran is run again elsewhere.
 	It("has a runner that fails everything", func() {
 		d := deploy([]string{"hinckley"}, 1, 3)
-		d.control(0, "mode?mode=fail")
+		d.controlRunner(0, "mode?mode=fail")
 		for range 20 {
-			word := d.entries[0].askUntilFinal(d.entries[0].job(4, 5))
-			if word.GetOutcome() == pb.Outcome_OUTCOME_COMPLETE {
-				Expect(word.GetResults()).To(HaveLen(4))
+			answer := d.entries[0].resubmitUntilFinal(d.entries[0].issuedIDJob(4, 5))
+			if answer.GetOutcome() == pb.Outcome_OUTCOME_COMPLETE {
+				Expect(answer.GetResults()).To(HaveLen(4))
 				continue
 			}
-			Expect(word.GetReason()).To(Equal(pb.Reason_REASON_TASK_FAILED))
-			Expect(word.GetResults()).To(BeEmpty())
-			d.expectTruth(word)
+			Expect(answer.GetReason()).To(Equal(pb.Reason_REASON_TASK_FAILED))
+			Expect(answer.GetResults()).To(BeEmpty())
+			d.expectNoFalseNotRun(answer)
 		}
 		d.expectNoSecondStart()
-		d.control(0, "mode?mode=normal")
+		d.controlRunner(0, "mode?mode=normal")
 	})
 
 	// The platform announces that a VM leaves. What it runs is finished and
@@ -72,23 +72,23 @@
 	// cut off when the VM goes.
 	It("has a leaving VM, which finishes and gets nothing new", func() {
 		d := deploy([]string{"hinckley"}, 1, 2)
-		s := d.entries[0].job(16, 1500)
-		words := make(chan *pb.Answer, 1)
+		s := d.entries[0].issuedIDJob(16, 1500)
+		answers := make(chan *pb.Answer, 1)
 		go func() {
 			defer GinkgoRecover()
-			words <- d.entries[0].askUntilFinal(s)
+			answers <- d.entries[0].resubmitUntilFinal(s)
 		}()
-		d.running(16)
-		d.leave(0)
-		Eventually(d.entries[0].ownedSlots, patience, poll).Should(Equal(8))
+		d.waitForStarts(16)
+		d.announceLeaving(0)
+		Eventually(d.entries[0].ownedSlotCount, eventualTimeout, pollInterval).Should(Equal(8))
 		before := len(d.ledger(0).Starts)
 		Expect(before).To(Equal(8))
 		for range 3 {
-			Expect(d.entries[0].askUntilFinal(d.entries[0].job(8, 5)).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
+			Expect(d.entries[0].resubmitUntilFinal(d.entries[0].issuedIDJob(8, 5)).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
 		}
-		var word *pb.Answer
-		Eventually(words, patience).Should(Receive(&word))
-		Expect(word.GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE), word.String())
+		var answer *pb.Answer
+		Eventually(answers, eventualTimeout).Should(Receive(&answer))
+		Expect(answer.GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE), answer.String())
 		Expect(d.ledger(0).Starts).To(HaveLen(before))
 		d.expectNoSecondStart()
 	})
@@ -97,13 +97,13 @@
 	// does. Work that is still sent to it costs a refusal each time.
 	It("has an upstream that says itself that it leaves", func() {
 		d := deploy([]string{"hinckley"}, 1, 2)
-		d.control(0, "mode?mode=leave")
-		Expect(d.entries[0].askUntilFinal(d.entries[0].job(16, 5)).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
-		Expect(d.entries[0].ownedSlots()).To(Equal(8))
+		d.controlRunner(0, "mode?mode=leave")
+		Expect(d.entries[0].resubmitUntilFinal(d.entries[0].issuedIDJob(16, 5)).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
+		Expect(d.entries[0].ownedSlotCount()).To(Equal(8))
 		refused := d.ledger(0).Refused
 		Expect(refused).To(BeNumerically(">", 0))
 		for range 3 {
-			Expect(d.entries[0].askUntilFinal(d.entries[0].job(16, 5)).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
+			Expect(d.entries[0].resubmitUntilFinal(d.entries[0].issuedIDJob(16, 5)).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
 		}
 		Expect(d.ledger(0).Refused).To(Equal(refused))
 		Expect(d.ledger(0).Starts).To(BeEmpty())
@@ -115,28 +115,28 @@
 		d := deploy([]string{"hinckley"}, 2, 2)
 		const callers = 20
 		var all sync.WaitGroup
-		words := make([]*pb.Answer, callers)
+		answers := make([]*pb.Answer, callers)
 		jobs := make([]*pb.Submission, callers)
 		for i := range jobs {
-			jobs[i] = d.entries[0].job(10, 400)
+			jobs[i] = d.entries[0].issuedIDJob(10, 400)
 		}
 		for i, s := range jobs {
 			all.Go(func() {
 				ctx := GinkgoT().Context()
-				words[i], _ = d.entries[0].client().SubmitOnce(ctx, s)
+				answers[i], _ = d.entries[0].client().SubmitOnce(ctx, s)
 			})
 		}
 		Eventually(func() int {
 			list, _ := d.entries[0].dump()["submissions"].([]any)
 			return len(list)
-		}, patience, poll).Should(Equal(callers))
+		}, eventualTimeout, pollInterval).Should(Equal(callers))
 		d.entries[0].signal(syscall.SIGTERM)
 		all.Wait()
-		for _, w := range words {
+		for _, w := range answers {
 			Expect(w.GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE), w.String())
 			Expect(w.GetResults()).To(HaveLen(10))
 		}
-		Eventually(d.entries[0].done, patience).Should(BeClosed())
+		Eventually(d.entries[0].done, eventualTimeout).Should(BeClosed())
 		Expect(d.entries[0].cmd.ProcessState.ExitCode()).To(Equal(0))
 		d.expectNoSecondStart()
 	})
--- a/soak/checker_test.go
+++ b/soak/checker_test.go
@@ -186,7 +186,7 @@
 func (c *checker) checkAllTasksDone(job string, tasks int) {
 	for i := range tasks {
 		if task := fmt.Sprintf("%s.0.0.%d", job, i); !c.doneTasks[task] {
-			c.addViolation("%s is reported as completed though %s has not ended", job, task)
+			c.addViolation("%s is reported as completed though %s has not completed", job, task)
 		}
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -30,11 +30,11 @@
 
 // regressions are seeds that once broke a guarantee, with the cause.
 var regressions = map[uint64]string{
-	500: "a process took it that there were no stored jobs, and answered that a job was unknown which another process had just accepted",
+	500: "a process assumed that there were no stored jobs, and answered that a job was unknown which another process had just accepted",
 	501: "a process that had lost the row ownership a moment before answered that a job was unknown which the new owner had accepted since",
 	503: "the same as 501",
 	900: "a leader that still counted a killed process as reachable answered that a job was unknown which the next process on that VM had accepted",
-	603: "three processes that didn't know their CPU never connected after a restart, and took the row ownership of the stored jobs from each other",
+	603: "three processes whose settings did not give the VM's CPU never connected after a restart, and took the row ownership of the stored jobs from each other",
 }
 
 func TestSoak(t *testing.T) {
