--- a/e2e/harness_test.go
+++ b/e2e/harness_test.go
@@ -48,7 +48,7 @@
 	Expect(err).NotTo(HaveOccurred(), string(out))
 })
 
-// process is a program under test.
+// process is a running program under test.
 type process struct {
 	cmd  *exec.Cmd
 	log  *bytes.Buffer
@@ -117,7 +117,7 @@
 	return state
 }
 
-// inForce is what an operator is told of the settings in force.
+// settingsInForce returns an operator's view of the settings in force.
 func (e *entry) settingsInForce() *pb.GetSettingsResponse {
 	rpc := sapphirepointv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+e.operatorAddress)
 	req := connect.NewRequest(&pb.GetSettingsRequest{})
@@ -127,12 +127,12 @@
 	return res.Msg
 }
 
-// quota is that of the first team in the settings in force.
+// quota returns the quota of the first team in the settings in force.
 func (e *entry) quota() uint32 {
 	return e.settingsInForce().GetSettings().GetInstitutions()[0].GetTeams()[0].GetQuotaSlots()
 }
 
-// versions says for each node with version 1 in force whether it is connected.
+// connectedNodes returns, for each node that has version 1 in force, whether it is connected.
 func (e *entry) connectedNodes() map[string]bool {
 	connected := map[string]bool{}
 	for _, n := range e.settingsInForce().GetNodes() {
@@ -148,7 +148,7 @@
 	return len(list)
 }
 
-// deployment is a set of processes: a platform, runners and entries.
+// deployment is a set of processes: a platform stand-in, runners and entries.
 type deployment struct {
 	dir      string
 	ca       keys.Pair
@@ -164,7 +164,7 @@
 	return deployUneven(domains, slices.Repeat([]int{entriesEach}, len(domains)), runnersEach)
 }
 
-// deployUneven takes the number of entries for each failure domain.
+// deployUneven is like deploy with a number of entries for each failure domain.
 func deployUneven(domains []string, entries []int, runnersEach int) *deployment {
 	d := &deployment{dir: GinkgoT().TempDir(), platform: freeAddress()}
 	var err error
@@ -229,7 +229,7 @@
 	return post("http://"+d.platform+"/control/members", d.members)
 }
 
-// leave announces that a runner's VM leaves.
+// announceLeaving publishes on the list of VMs that a runner's VM is leaving.
 func (d *deployment) announceLeaving(i int) {
 	for _, m := range d.members {
 		if m.GetAddress() == d.runners[i] {
@@ -239,8 +239,7 @@
 	Expect(d.publishMembers()).To(Succeed())
 }
 
-// writeSettings writes the first settings row, so that entries find it at
-// their start.
+// writeSettings writes the first settings row, so that entries find it when they start.
 func (d *deployment) writeSettings(s *pb.Settings) {
 	s.Version = 1
 	value, err := proto.Marshal(s)
@@ -251,12 +250,12 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// faults replaces the failures switched on at the platform.
+// setFaults replaces the faults injected at the platform.
 func (d *deployment) setFaults(f platform.Faults) {
 	Expect(post("http://"+d.platform+"/control/faults", f)).To(Succeed())
 }
 
-// control switches a runner's behaviour.
+// controlRunner sends a control command to a runner.
 func (d *deployment) controlRunner(i int, command string) {
 	res, err := controlClient.Post("http://"+d.runners[i]+"/control/"+command, "", nil)
 	Expect(err).NotTo(HaveOccurred())
@@ -264,14 +263,14 @@
 	Expect(res.StatusCode).To(Equal(http.StatusOK))
 }
 
-// ledger is what one runner started.
+// ledger returns the ledger of one runner.
 func (d *deployment) ledger(i int) runner.Ledger {
 	var l runner.Ledger
 	fetch("http://"+d.runners[i]+"/ledger", &l)
 	return l
 }
 
-// ledgers adds up what all runners started, by task name.
+// totalStarts returns how often each task was started on all runners, by the task's name.
 func (d *deployment) totalStarts() map[string]int {
 	total := map[string]int{}
 	for i := range d.runners {
@@ -282,8 +281,7 @@
 	return total
 }
 
-// expectNoSecondStart checks the promise that matters most against what the
-// runners saw.
+// expectNoSecondStart checks by the runners' ledgers that no task was started twice.
 func (d *deployment) expectNoSecondStart() {
 	for name, n := range d.totalStarts() {
 		Expect(n).To(Equal(1), name)
@@ -306,8 +304,8 @@
 	return nil
 }
 
-// controls reaches a stand-in on a connection of its own: one that is kept
-// could have gone silent.
+// controlClient uses a new connection for each request to a stand-in, since a connection that is kept
+// open could have been silenced by a test.
 var controlClient = &http.Client{Timeout: eventualTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
 func fetch(url string, into any) {
@@ -317,9 +315,9 @@
 	Expect(json.NewDecoder(res.Body).Decode(into)).To(Succeed())
 }
 
-// Ports are drawn below the range from which the kernel takes the local ports
-// of outgoing connections: one taken from within it and released again may be
-// in use by the time that the program under test listens on it.
+// Ports are chosen below the range from which the kernel takes the local ports of outgoing
+// connections. A port from that range which was free a moment ago could be in use when the program
+// under test listens on it.
 const (
 	firstPort = 15_000
 	lastPort  = 32_000
@@ -327,8 +325,8 @@
 
 var usedPorts = map[int]bool{}
 
-// freeAddress finds a loopback port that is free for TCP and UDP and that no
-// earlier call has returned.
+// freeAddress returns a loopback address whose port is free for TCP and UDP and was not returned
+// before.
 func freeAddress() string {
 	for {
 		port := firstPort + rand.IntN(lastPort-firstPort)
@@ -358,7 +356,7 @@
 	Expect(os.WriteFile(path, data, 0o600)).To(Succeed())
 }
 
-// labels is a job of n label tasks that run for the given milliseconds.
+// labelJob returns a job of n label tasks that run for the given number of milliseconds.
 func labelJob(n, runMs int) *pb.Submission {
 	s := &pb.Submission{Service: "labels", Team: "kitchens"}
 	for i := range n {
--- a/e2e/holders_test.go
+++ b/e2e/holders_test.go
@@ -13,11 +13,11 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// askTimeout bounds one request through one entry; the entry behind may be
-// paused or gone.
+// submitTimeout bounds one request through one entry. The entry that holds the claim may be paused or
+// gone.
 const submitTimeout = 4 * time.Second
 
-// settlement is a job of n tasks that must run at most once, under an own key.
+// settlementJob returns a job of n tasks that aren't idempotent, under a key of the caller's own.
 func settlementJob(key string, n, runMs int) *pb.Submission {
 	s := labelJob(n, runMs)
 	s.Service = "settle"
@@ -25,7 +25,7 @@
 	return s
 }
 
-// ask submits once and returns the word, or nil if no word came back.
+// submitOnce submits a job once and returns the answer, or nil if none came.
 func (e *entry) submitOnce(s *pb.Submission) *pb.Answer {
 	ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
 	defer cancel()
@@ -36,7 +36,7 @@
 	return a
 }
 
-// askUntilFinal resubmits until the word is final.
+// resubmitUntilFinal resubmits a job until the answer is final.
 func (e *entry) resubmitUntilFinal(s *pb.Submission) *pb.Answer {
 	var answer *pb.Answer
 	Eventually(func() pb.Outcome {
@@ -46,8 +46,8 @@
 	return answer
 }
 
-// askAll resubmits through several entries at once until each has the final
-// word.
+// resubmitThroughAll resubmits a job through several entries at once until each has returned a final
+// answer.
 func resubmitThroughAll(s *pb.Submission, entries ...*entry) []*pb.Answer {
 	answers := make([]*pb.Answer, len(entries))
 	var all sync.WaitGroup
@@ -61,12 +61,13 @@
 	return answers
 }
 
-// running waits until the runners have started n tasks in all.
+// waitForStarts waits until the runners have started at least n tasks in all.
 func (d *deployment) waitForStarts(n int) {
 	Eventually(func() int { return len(d.totalStarts()) }, eventualTimeout, pollInterval).Should(BeNumerically(">=", n))
 }
 
-// expectTruth checks words on a submission whose tasks were started.
+// expectNoFalseNotRun checks answers to a job whose tasks were started: none may say that nothing ran,
+// and no task may have been started twice.
 func (d *deployment) expectNoFalseNotRun(answers ...*pb.Answer) {
 	for _, w := range answers {
 		Expect(w.GetOutcome()).NotTo(Equal(pb.Outcome_OUTCOME_NOT_RUN), w.String())
@@ -81,11 +82,10 @@
 	var d *deployment
 	BeforeEach(func() { d = deploy([]string{"hinckley", "melton"}, 2, 2) })
 
-	// The process that took a settlement is killed while the settlement runs.
-	// The caller sees its connection break and sends the settlement again
-	// through every other entry and through the dead one's successor. A family
-	// would wait weeks for its money if it ran twice, and "not run" would make
-	// the caller pay it by hand as well.
+	// The process that accepted a settlement is killed while the settlement runs. The caller's
+	// connection breaks, and it resubmits the settlement through all other entries and through the
+	// killed process's successor. A second run would pay twice, which takes weeks to put right;
+	// after a false "not run" the caller would pay it once more by hand.
 	It("is killed between resubmissions", func() {
 		own, issued := settlementJob("lot-1", 4, 800), labelJob(4, 800)
 		id, err := d.entries[0].client().NewID(context.Background())
@@ -107,11 +107,10 @@
 		Expect(d.totalStarts()).To(HaveLen(8))
 	})
 
-	// An entry process is frozen, by its hypervisor say, until every lease and
-	// timeout has passed, and wakes with its timers due at once. Callers that
-	// resubmit meanwhile and afterwards must neither get a second run nor the
-	// word that nothing ran.
-	It("is paused past every timeout and woken, between resubmissions", func() {
+	// An entry process is paused, for example by its hypervisor, until all leases and timeouts have
+	// expired, and resumes with all its timers due at once. Callers that resubmit meanwhile and
+	// afterwards must get neither a second run nor the answer that nothing ran.
+	It("is paused past every timeout and resumed, between resubmissions", func() {
 		own, issued := settlementJob("lot-2", 3, 800), labelJob(3, 800)
 		id, err := d.entries[0].client().NewID(context.Background())
 		Expect(err).NotTo(HaveOccurred())
@@ -133,9 +132,9 @@
 		Expect(d.totalStarts()).To(HaveLen(6))
 	})
 
-	// A VM is replaced and its successor gets the same name and address. An id
-	// that the old process issued and never used reaches the new one, which
-	// can't know whether it was used: a start could print a label twice.
+	// A VM is replaced and its successor gets the same name and address. It receives an id that the
+	// old process issued and never used. The successor can't know whether the id was used, so it must
+	// not start the job: a label could be printed twice.
 	It("is replaced under the same address and is another incarnation", func() {
 		s := labelJob(2, 10)
 		id, err := d.entries[0].client().NewID(context.Background())
--- a/e2e/lending_test.go
+++ b/e2e/lending_test.go
@@ -7,7 +7,7 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// stat reads a counter of the process's dump.
+// dumpCounter returns a counter of the process's dump.
 func (e *entry) dumpCounter(name string) float64 {
 	stats, _ := e.dump()["stats"].(map[string]any)
 	n, _ := stats[name].(float64)
@@ -15,10 +15,9 @@
 }
 
 var _ = Describe("idle slots", func() {
-	// All callers of one domain press at once while the other domain is idle.
-	// Without loans the job would go through its own VM's slots one lot after
-	// the other, and the kitchen would wait several times as long.
-	It("are lent to the other domain and come home", func(ctx SpecContext) {
+	// All callers of one domain submit at once while the other domain is idle. Without loans the job
+	// would run on its own VM's slots only, in several rounds, and take several times as long.
+	It("are lent to the other domain and returned", func(ctx SpecContext) {
 		d := deploy([]string{"loughborough", "melton"}, 1, 1)
 		busy, idle := d.entries[0], d.entries[1]
 		a, err := busy.client().Submit(ctx, labelJob(48, 300))
@@ -32,7 +31,7 @@
 	})
 })
 
-// idleSlots is the number of own slots that stand idle.
+// idleSlotCount returns the number of the process's own slots that are idle.
 func (e *entry) idleSlotCount() int {
 	n, _ := e.dump()["idle_slots"].(float64)
 	return int(n)
--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -27,7 +27,7 @@
 	"sapphirepoint.example/sapphirepoint/standin/runner"
 )
 
-// The load runs only when a duration is given, see docs/MEASUREMENTS-processes.md.
+// The load runs only if a duration is given; see docs/MEASUREMENTS-processes.md.
 var (
 	loadFor   = flag.Duration("load", 0, "run a load for this long, with no other spec wanted")
 	loadShare = flag.Float64("load-share", 0.5, "part of all slots that the load keeps busy")
@@ -38,24 +38,24 @@
 
 const (
 	loadRunners = 16
-	// medianRunMs and runSpread make run times lognormal, cut to 50 ms and 5 s.
+	// Run times are lognormal with medianRunMs and runSigma, limited to 50 ms to 5 s.
 	medianRunMs = 170
 	runSigma    = 0.6
-	// One job in each largeEvery has 100 to 980 tasks, the others 1 to 19.
+	// One job in largeJobInterval has 100 to 980 tasks, the others 1 to 19.
 	largeJobInterval = 200
 	maxTasks         = 980
 	restartDelay     = 2 * time.Second
 	ratioScale       = 1000
-	// Metrics that the report adds up.
+	// Metrics that the report sums up.
 	wastedMetric  = "sapphirepoint_wasted_messages_total"
 	answersMetric = "sapphirepoint_answers_total"
 	cpuMetric     = "process_cpu_seconds_total"
-	// oldJobMs is the age at which a job's wait is told.
+	// oldJobAgeMs is the age from which on a job that waits is printed.
 	oldJobAgeMs = 8000
 )
 
-// loadJob is a job with the best response that the slots allow: that of its
-// slowest task, or of all its tasks on all slots.
+// loadJob is a job with its ideal response time: the longest run time of its tasks, or its total work
+// divided by all slots if that takes longer.
 type loadJob struct {
 	submission *pb.Submission
 	ideal      time.Duration
@@ -78,14 +78,14 @@
 	return loadJob{s, time.Duration(max(longest, sum/slots)) * time.Millisecond}
 }
 
-// tally adds up what callers got.
+// loadTally counts the answers that callers got.
 type loadTally struct {
 	mu       sync.Mutex
 	outcomes map[string]int
 	jobs     int
 	tasks    int
 	ratios   *hdrhistogram.Histogram
-	// notRun holds the submissions of which no task may be in a ledger.
+	// notRun holds the ids of jobs answered "not run", whose tasks must not be in any ledger.
 	notRun  []string
 	slowest time.Duration
 }
@@ -116,7 +116,7 @@
 	_ = t.ratios.RecordValue(int64(float64(took) / float64(j.ideal) * ratioScale))
 }
 
-// counters reads an entry's metrics that the report adds up.
+// counters returns the metrics of an entry that the report sums up.
 func (e *entry) counters() map[string]float64 {
 	res, err := controlClient.Get("http://" + e.operatorAddress + "/metrics")
 	if err != nil {
@@ -137,7 +137,7 @@
 	return values
 }
 
-// peakMemory is the most memory that the process had resident, in MiB.
+// peakMemoryMiB returns the process's peak resident memory in MiB.
 func (e *entry) peakMemoryMiB() float64 {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", e.cmd.Process.Pid))
 	Expect(err).NotTo(HaveOccurred())
@@ -156,7 +156,7 @@
 	kills     int
 }
 
-// collect adds the counters of an entry whose process ends.
+// addCounters adds an entry's counters to the totals before its process ends.
 func (r *loadRun) addCounters(e *entry) {
 	for name, v := range e.counters() {
 		r.totals[name] += v
@@ -164,7 +164,7 @@
 	r.peak = max(r.peak, e.peakMemoryMiB())
 }
 
-// killInTurn kills or stops entries one after the other and starts them again.
+// restartInTurn kills or stops one entry after another and starts it again.
 func (r *loadRun) restartInTurn(ctx context.Context) {
 	for i := 0; ; i++ {
 		select {
@@ -186,7 +186,7 @@
 	}
 }
 
-// submit sends the load: jobs arrive at random, whatever the answers.
+// submit submits the load. Arrivals are random and don't depend on the answers (open loop).
 func (r *loadRun) submit(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(*loadSeed, 0))
 	slots := 3 * loadRunners * runner.DefaultSlots
@@ -204,7 +204,7 @@
 		for _, t := range j.submission.GetTasks() {
 			work += int(t.GetRunTimeMs())
 		}
-		// The time that the job's work takes from the share of the slots.
+		// gap is the time that the share of the slots takes for the job's work.
 		gap := time.Duration(float64(work) / (float64(slots) * *loadShare) * float64(time.Millisecond))
 		next = next.Add(time.Duration(float64(gap) * rng.ExpFloat64()))
 		time.Sleep(time.Until(next))
@@ -219,8 +219,8 @@
 	all.Wait()
 }
 
-// applyOnce changes the settings amid the load and reports how long it takes
-// until every entry has the change in force.
+// measureSettingsChange changes the settings in the middle of the load and prints how long it takes
+// until the change is in force at every entry.
 func (r *loadRun) measureSettingsChange(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -239,7 +239,7 @@
 		accepted.Round(time.Millisecond), time.Since(began).Round(time.Millisecond))
 }
 
-// watch prints what jobs wait for that are older than any task runs.
+// reportOldJobs prints jobs that have waited for longer than any task runs.
 func (r *loadRun) reportOldJobs(ctx context.Context) {
 	reported := map[string]bool{}
 	for ctx.Err() == nil {
@@ -266,8 +266,8 @@
 	return n
 }
 
-// report prints the figures and returns the number of tasks that the runners
-// started although their callers were told that they weren't run.
+// report prints the figures and returns the number of tasks that runners started although the callers
+// were answered that the job was not run.
 func (r *loadRun) report(seconds float64) int {
 	t := r.loadTally
 	second, falseNotRun := 0, 0
@@ -312,8 +312,7 @@
 	return keys
 }
 
-// The load is a measurement, see docs/MEASUREMENTS-processes.md; it is a spec
-// only when it is asked for.
+// The load is a measurement, see docs/MEASUREMENTS-processes.md; it runs only on request.
 var _ = Describe("load", func() {
 	if *loadFor == 0 {
 		return
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -23,7 +23,7 @@
 }
 
 var _ = Describe("the whole path", func() {
-	It("returns whole answers through any entry, for both kinds of id", func(ctx SpecContext) {
+	It("returns complete answers through any entry, for both kinds of id", func(ctx SpecContext) {
 		d := deploy([]string{"loughborough", "melton"}, 1, 2)
 		for _, e := range d.entries {
 			a, err := e.client().Submit(ctx, labelJob(40, 10))
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -12,7 +12,7 @@
 	"sapphirepoint.example/sapphirepoint/standin/platform"
 )
 
-// version is the settings version in force at the process.
+// version returns the settings version in force at the process.
 func (e *entry) version() uint64 {
 	v, _ := e.dump()["settings_version"].(float64)
 	return uint64(v)
@@ -22,9 +22,9 @@
 	var d *deployment
 	BeforeEach(func() { d = deploy([]string{"hinckley", "melton"}, 1, 2) })
 
-	// The table service takes a claim and goes down before it says so. The
-	// caller's time runs out without a final word; when it sends the same key
-	// again after the outage, the settlement runs, once.
+	// The table service commits a claim, loses the reply and goes down. The caller's deadline passes
+	// without a final answer. When the caller resubmits the key after the outage, the settlement must
+	// run exactly once.
 	It("fails in the middle of a claim", func() {
 		s := settlementJob("lot-3", 3, 20)
 		s.TimeoutMs = 1500
@@ -41,9 +41,8 @@
 		d.expectNoSecondStart()
 	})
 
-	// A claim is written and its reply is lost. The entry would see its own row
-	// as somebody else's claim and never run the settlement, or run it without
-	// a claim.
+	// A claim is written and its reply is lost. An entry that took its own row for another process's
+	// claim would never run the settlement; one that ignored the row would run it without a claim.
 	It("loses the reply to a claim that took effect", func() {
 		d.setFaults(platform.Faults{LoseReplies: 2})
 		s := settlementJob("lot-4", 3, 20)
@@ -53,9 +52,9 @@
 		d.expectNoSecondStart()
 	})
 
-	// Calls to the platform are taken and never answered. Jobs under issued ids
-	// go on as if nothing were wrong.
-	It("hangs, and issued ids go on", func() {
+	// Calls to the platform are accepted and never answered. Jobs under issued ids must not depend on
+	// them.
+	It("hangs, and jobs under issued ids complete", func() {
 		d.setFaults(platform.Faults{Hang: true})
 		for _, e := range d.entries {
 			a, err := e.client().Submit(GinkgoT().Context(), labelJob(10, 5))
@@ -64,9 +63,9 @@
 		}
 	})
 
-	// Two operators change the settings at the same moment through different
-	// entries. If both were told that theirs is in force, one would be wrong.
-	It("takes one of two operators' settings, also when the reply is lost", func() {
+	// Two operators change the settings at the same moment through different entries. Only one of
+	// them may be answered that its settings are accepted.
+	It("accepts one of two operators' settings, also when the reply is lost", func() {
 		type attempt struct {
 			quota uint32
 			err   error
@@ -95,9 +94,9 @@
 		}
 	})
 
-	// An entry VM is replaced while the platform is down, so the new process
-	// can read neither settings nor the list. Alone it must not serve, for it
-	// knows no limits; with a peer it takes the peer's.
+	// An entry VM is replaced while the platform is down, so that the new process can read neither the
+	// settings nor the list of VMs. Without peers it must not serve, since it has no limits to apply;
+	// with a peer it takes the peer's settings.
 	It("is down while a process starts", func() {
 		changed := standin.Settings()
 		changed.Institutions[0].Teams[0].QuotaSlots = 77
--- a/e2e/slopes_test.go
+++ b/e2e/slopes_test.go
@@ -20,9 +20,9 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// slopes turns on the measurement of processor time by load, which checks
-// nothing: go test ./e2e -count=1 -args -slopes
-var measureSlopes = flag.Bool("slopes", false, "measure processor time a task at several rates")
+// measureSlopes enables a measurement of the CPU time per task at several rates, which checks nothing:
+// go test ./e2e -count=1 -args -slopes
+var measureSlopes = flag.Bool("slopes", false, "measure CPU time per task at several rates")
 
 const (
 	measureDuration     = 8 * time.Second
@@ -32,7 +32,7 @@
 	residentBytesMetric = "process_resident_memory_bytes"
 )
 
-// metric reads one plain metric of a process.
+// readMetric returns the value of a metric without labels.
 func (e *entry) readMetric(name string) float64 {
 	res, err := http.Get("http://" + e.operatorAddress + "/metrics")
 	Expect(err).NotTo(HaveOccurred())
@@ -56,8 +56,8 @@
 	return sum
 }
 
-// offer submits jobs at a steady rate, in turn through the entries, and
-// returns the number that came back whole.
+// submitAtRate submits jobs at a steady rate through the entries in turn, and returns the number of
+// complete answers.
 func submitAtRate(ctx context.Context, entries []*entry, tasksPerSecond int) int {
 	clients := make([]*client.Client, len(entries))
 	for i, e := range entries {
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -11,10 +11,9 @@
 )
 
 var _ = Describe("entries", func() {
-	// All entry VMs are stopped as planned at the same moment, as by a careless
-	// rollout, with callers at each. No peer is left to hand answers to; each
-	// caller must still get its whole answer, and each process must end. Started
-	// again, they serve as before.
+	// All entry VMs are stopped as planned at the same moment, as by a faulty rollout, with callers at
+	// each. There is no peer left to hand answers over to. Each caller must still get its complete
+	// answer and each process must end. After a restart the processes must serve as before.
 	It("all stop at the same moment under load and start again", func() {
 		d := deploy([]string{"hinckley", "melton"}, 2, 2)
 		const jobsEach = 5
--- a/e2e/upstreams_test.go
+++ b/e2e/upstreams_test.go
@@ -10,7 +10,7 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// job is a job of labels under an id of the entry's own.
+// issuedIDJob returns a label job under an id issued by this entry.
 func (e *entry) issuedIDJob(n, runMs int) *pb.Submission {
 	s := labelJob(n, runMs)
 	id, err := e.client().NewID(GinkgoT().Context())
@@ -19,17 +19,16 @@
 	return s
 }
 
-// ownedSlots is the number of slots that the process owns.
+// ownedSlotCount returns the number of slots that the process owns.
 func (e *entry) ownedSlotCount() int {
 	n, _ := e.dump()["owned_slots"].(float64)
 	return int(n)
 }
 
 var _ = Describe("upstreams", func() {
-	// Something between an entry and a runner forgets their connection while
-	// tasks run over it: nothing arrives any more, nothing fails, and new
-	// connections work. The caller would wait until its deadline for results
-	// that are there, or get its labels printed twice.
+	// A network element between an entry and a runner loses its connection table while tasks run:
+	// data is dropped without an error, and new connections work. Callers must neither wait until
+	// their deadlines for results that exist nor get labels printed twice.
 	It("has connections go silent while new ones work", func() {
 		d := deploy([]string{"hinckley"}, 1, 2)
 		s := d.entries[0].issuedIDJob(16, 1000)
@@ -47,9 +46,8 @@
 		d.expectNoSecondStart()
 	})
 
-	// A worker with a broken disk fails each task at once and so always looks
-	// idle. Callers get "failed, may have run", never a part of an answer, and
-	// no task that ran is run again elsewhere.
+	// A runner with a broken disk fails each task at once and so always looks idle. Callers get
+	// "failed, may have run", never a partial answer, and no task that ran is run again elsewhere.
 	It("has a runner that fails everything", func() {
 		d := deploy([]string{"hinckley"}, 1, 3)
 		d.controlRunner(0, "mode?mode=fail")
@@ -67,10 +65,10 @@
 		d.controlRunner(0, "mode?mode=normal")
 	})
 
-	// The platform announces that a VM leaves. What it runs is finished and
-	// its callers get their whole answer; work sent to it afterwards would be
-	// cut off when the VM goes.
-	It("has a leaving VM, which finishes and gets nothing new", func() {
+	// The platform announces that a VM is leaving. The tasks that run there are finished and their
+	// callers get complete answers. No new tasks may be sent there: they would be cut off when the VM
+	// ends.
+	It("has a leaving VM, which finishes its tasks and gets no new ones", func() {
 		d := deploy([]string{"hinckley"}, 1, 2)
 		s := d.entries[0].issuedIDJob(16, 1500)
 		answers := make(chan *pb.Answer, 1)
@@ -93,9 +91,9 @@
 		d.expectNoSecondStart()
 	})
 
-	// An upstream is told to stop and says so itself, seconds before the list
-	// does. Work that is still sent to it costs a refusal each time.
-	It("has an upstream that says itself that it leaves", func() {
+	// An upstream is told to stop and announces it in its answers, seconds before the list of VMs
+	// does. Each task still sent to it costs a refusal.
+	It("has an upstream that announces that it is leaving", func() {
 		d := deploy([]string{"hinckley"}, 1, 2)
 		d.controlRunner(0, "mode?mode=leave")
 		Expect(d.entries[0].resubmitUntilFinal(d.entries[0].issuedIDJob(16, 5)).GetOutcome()).To(Equal(pb.Outcome_OUTCOME_COMPLETE))
@@ -109,9 +107,9 @@
 		Expect(d.ledger(0).Starts).To(BeEmpty())
 	})
 
-	// An entry VM is stopped as planned in the rush before service. A caller
-	// whose request is in progress must get its whole answer.
-	It("are given up by an entry that stops under load", func() {
+	// An entry VM is stopped as planned at peak load. A caller whose request is in progress must get
+	// its complete answer.
+	It("are released by an entry that stops under load", func() {
 		d := deploy([]string{"hinckley"}, 2, 2)
 		const callers = 20
 		var all sync.WaitGroup
