--- a/bench/clock.go
+++ b/bench/clock.go
@@ -62,13 +62,13 @@
 }
 
 // wakeUp ticks a core when its next timer is due.
-type wakeUp struct {
+type coreTicker struct {
 	// at is the tick that stands; 0 if none does.
 	at time.Duration
 }
 
 // schedule sets the tick for the core's next timer unless one stands already.
-func (w *wakeUp) schedule(c *clock, core *dispatch.Core, carryOut func()) {
+func (w *coreTicker) schedule(c *clock, core *dispatch.Core, executeCommands func()) {
 	at, ok := core.NextTimer()
 	if !ok || w.at > c.now && w.at <= at {
 		return
@@ -81,6 +81,6 @@
 		}
 		w.at = 0
 		core.Tick(c.now)
-		carryOut()
+		executeCommands()
 	})
 }
--- a/bench/cmd/live/main.go
+++ b/bench/cmd/live/main.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	slots    = 4 * 8
-	tasks    = 5
-	runMs    = 100
-	limitMs  = 2000
-	patience = 8 * time.Second
+	slots           = 4 * 8
+	tasks           = 5
+	runMs           = 100
+	responseLimitMs = 2000
+	callerTimeout   = 8 * time.Second
 	// capacity is the jobs a second that all slots can do.
-	capacity = slots * 1000.0 / (tasks * runMs)
+	capacityJobsPerSecond = slots * 1000.0 / (tasks * runMs)
 )
 
 func main() {
@@ -66,7 +66,7 @@
 		r := &run{begin: time.Now(), length: length}
 		r.offer(ctx, clients, load)
 		fmt.Printf("| %.0f%% | %d | %.1f%% | %d | %d | %d | %.2f |\n", load*100, r.jobs,
-			100*float64(r.inTime)/length.Seconds()/capacity, r.complete, r.gone, r.other, float64(r.refusals)/float64(r.jobs))
+			100*float64(r.inTime)/length.Seconds()/capacityJobsPerSecond, r.complete, r.gaveUp, r.other, float64(r.refusals)/float64(r.jobs))
 	}
 	return nil
 }
@@ -79,11 +79,11 @@
 
 	mu sync.Mutex
 	// inTime are the whole answers that came while jobs still arrived.
-	complete, inTime, gone, other, refusals int
+	complete, inTime, gaveUp, other, refusals int
 }
 
 func (r *run) offer(ctx context.Context, clients []*client.Client, load float64) {
-	ticker := time.NewTicker(time.Duration(float64(time.Second) / capacity / load))
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / capacityJobsPerSecond / load))
 	defer ticker.Stop()
 	var all sync.WaitGroup
 	for time.Since(r.begin) < r.length {
@@ -102,7 +102,7 @@
 	for {
 		a, err := submit(ctx, c)
 		wait := time.Duration(a.GetRetryAfterMs()) * time.Millisecond
-		again := a.GetOutcome() == pb.Outcome_OUTCOME_NOT_RUN && wait > 0 && time.Since(arrived)+wait < patience
+		again := a.GetOutcome() == pb.Outcome_OUTCOME_NOT_RUN && wait > 0 && time.Since(arrived)+wait < callerTimeout
 		r.count(a, err, again)
 		if !again {
 			return
@@ -123,7 +123,7 @@
 			r.inTime++
 		}
 	case a.GetOutcome() == pb.Outcome_OUTCOME_NOT_RUN:
-		r.gone++
+		r.gaveUp++
 	default:
 		r.other++
 	}
@@ -134,7 +134,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &pb.Submission{Id: id, Service: "labels", TimeoutMs: limitMs}
+	s := &pb.Submission{Id: id, Service: "labels", TimeoutMs: responseLimitMs}
 	for range tasks {
 		s.Tasks = append(s.Tasks, &pb.Task{Payload: fmt.Appendf(nil, `{"run_ms": %d}`, runMs), RunTimeMs: runMs})
 	}
--- a/bench/compare.go
+++ b/bench/compare.go
@@ -10,7 +10,7 @@
 )
 
 // parallel bounds the policies that run at the same time.
-const parallel = 4
+const maxParallel = 4
 
 // Compare runs the references and policies over the same stream.
 func Compare(site Site, workload Workload, limit time.Duration, policies []Policy) []*Result {
@@ -25,7 +25,7 @@
 	}
 	results := make([]*Result, len(runs))
 	var group errgroup.Group
-	group.SetLimit(parallel)
+	group.SetLimit(maxParallel)
 	for i, run := range runs {
 		group.Go(func() error {
 			results[i] = run()
--- a/bench/overload.go
+++ b/bench/overload.go
@@ -28,10 +28,10 @@
 )
 
 const (
-	failTime   = time.Millisecond
-	slowFactor = 5
+	taskFailureTime = time.Millisecond
+	slowFactor      = 5
 	// patience is how long a caller goes on coming back.
-	patience = 30 * time.Second
+	callerTimeout = 30 * time.Second
 )
 
 // Scenario is a run of the real decision code under load and faults, with
@@ -59,12 +59,12 @@
 type Run struct {
 	clock
 	Scenario
-	rng     *rand.Rand
-	entries []*stressEntry
-	runners map[string]*stressRunner
-	calls   map[uint64]*call
-	jobs    []*call
-	last    uint64
+	rng         *rand.Rand
+	entries     []*scenarioEntry
+	runners     map[string]*scenarioRunner
+	calls       map[uint64]*callerJob
+	jobs        []*callerJob
+	lastRequest uint64
 
 	// Total counts from Workload.Warmup to the end of arrivals; PerSecond the jobs
 	// that arrived in each second.
@@ -75,12 +75,12 @@
 	ratios                                     *Result
 	// held is the slots of running tasks, most the most there were, and area
 	// its integral over time since Workload.Warmup.
-	held, most int
-	area       time.Duration
-	changed    time.Duration
+	heldSlots, maxHeldSlots int
+	heldSlotTime            time.Duration
+	heldChangedAt           time.Duration
 	// doubled counts tasks that an upstream began twice.
-	doubled int
-	began   map[string]bool
+	startedTwice int
+	startedTasks map[string]bool
 }
 
 // JobCounts is what became of jobs.
@@ -96,44 +96,44 @@
 }
 
 // call is one job of a caller with its requests.
-type call struct {
+type callerJob struct {
 	job   Job
 	index int
 	id    *pb.SubmissionId
 	ended bool
 }
 
-type stressEntry struct {
-	run    *Run
-	core   *dispatch.Core
-	self   task.Incarnation
-	domain string
-	wakeUp wakeUp
-	ids    idSource
+type scenarioEntry struct {
+	run        *Run
+	core       *dispatch.Core
+	self       task.Incarnation
+	domain     string
+	coreTicker coreTicker
+	ids        idSource
 }
 
-type stressRunner struct {
+type scenarioRunner struct {
 	domain  string
 	slots   int
 	busy    int
 	fault   Fault
-	running map[string]*stressTask
+	running map[string]*runningTask
 }
 
-type stressTask struct{ stop func() }
+type runningTask struct{ stop func() }
 
 // NewRun prepares a run.
 func NewRun(s Scenario) *Run {
 	r := &Run{
-		Scenario: s, rng: rand.New(rand.NewPCG(s.Workload.Seed, 3)), runners: make(map[string]*stressRunner),
-		calls: make(map[uint64]*call), began: make(map[string]bool), ratios: newResult(s.Policy),
+		Scenario: s, rng: rand.New(rand.NewPCG(s.Workload.Seed, 3)), runners: make(map[string]*scenarioRunner),
+		calls: make(map[uint64]*callerJob), startedTasks: make(map[string]bool), ratios: newResult(s.Policy),
 		PerSecond: make([]JobCounts, int(s.Workload.Length/time.Second)+1),
 	}
 	for _, u := range r.members().Upstreams {
-		r.runners[u.Name] = &stressRunner{domain: u.FailureDomain, slots: int(u.Slots), running: make(map[string]*stressTask)}
+		r.runners[u.Name] = &scenarioRunner{domain: u.FailureDomain, slots: int(u.Slots), running: make(map[string]*runningTask)}
 	}
 	for i := range s.Site.Entries {
-		e := &stressEntry{run: r, self: task.Incarnation{Node: entryName(i), Run: 1}, domain: s.Site.entryDomain(i)}
+		e := &scenarioEntry{run: r, self: task.Incarnation{Node: entryName(i), Run: 1}, domain: s.Site.entryDomain(i)}
 		cfg := dispatch.DefaultConfig(e.self, e.domain)
 		cfg.Seed = s.Workload.Seed
 		if s.ChangeConfig != nil {
@@ -180,7 +180,7 @@
 		if r.OneEntry {
 			j.Entry = 0
 		}
-		c := &call{job: j, index: i}
+		c := &callerJob{job: j, index: i}
 		r.jobs = append(r.jobs, c)
 		r.at(j.At, func() { r.arrive(c) })
 	}
@@ -200,7 +200,7 @@
 	return list
 }
 
-func (j Job) work() time.Duration {
+func (j Job) totalRunTime() time.Duration {
 	var d time.Duration
 	for _, t := range j.Tasks {
 		d += t.Run
@@ -208,24 +208,24 @@
 	return d
 }
 
-func (r *Run) arrive(c *call) {
+func (r *Run) arrive(c *callerJob) {
 	for _, n := range r.counts(c.job.At) {
 		n.Jobs++
-		n.OfferedTime += c.job.work()
+		n.OfferedTime += c.job.totalRunTime()
 	}
-	r.try(c, c.job.Entry)
+	r.submitNew(c, c.job.Entry)
 }
 
 // try submits a job under a new id.
-func (r *Run) try(c *call, entry int) {
+func (r *Run) submitNew(c *callerJob, entry int) {
 	e := r.entries[entry]
 	c.id = e.nextID()
 	r.request(c, e)
 }
 
-func (r *Run) request(c *call, e *stressEntry) {
-	r.last++
-	n := r.last
+func (r *Run) request(c *callerJob, e *scenarioEntry) {
+	r.lastRequest++
+	n := r.lastRequest
 	r.calls[n] = c
 	s := &pb.Submission{Id: c.id, Service: "labels"}
 	for i, t := range c.job.Tasks {
@@ -260,8 +260,8 @@
 		}
 		n++
 		c.ended = true
-		r.last++
-		request := r.last
+		r.lastRequest++
+		request := r.lastRequest
 		e := r.entries[c.job.Entry]
 		r.after(r.Site.ClientDelay, func() {
 			e.step(dispatch.Cancel{Request: request, Institution: r.Site.Name, ID: c.id})
@@ -295,7 +295,7 @@
 		return
 	}
 	again := time.Duration(a.GetRetryAfterMs()) * time.Millisecond
-	gaveUp := r.CallersLeave || again == 0 || r.now+again > c.job.At+patience
+	gaveUp := r.CallersLeave || again == 0 || r.now+again > c.job.At+callerTimeout
 	refused := a.GetOutcome() == pb.Outcome_OUTCOME_NOT_RUN
 	if refused {
 		for _, n := range r.counts(r.now) {
@@ -303,7 +303,7 @@
 		}
 	}
 	if refused && !gaveUp {
-		r.after(r.Site.ClientDelay+again, func() { r.try(c, c.job.Entry) })
+		r.after(r.Site.ClientDelay+again, func() { r.submitNew(c, c.job.Entry) })
 		return
 	}
 	c.ended = true
@@ -325,26 +325,26 @@
 	}
 	// Work done counts when it is done, for goodput.
 	for _, n := range r.counts(r.now) {
-		n.CompletedTime += c.job.work()
+		n.CompletedTime += c.job.totalRunTime()
 	}
 	if c.job.At >= r.Workload.Warmup {
 		r.ratios.complete(r.now+r.Site.ClientDelay-c.job.At, r.Site.ideal(c.job))
 	}
 }
 
-func (e *stressEntry) nextID() *pb.SubmissionId {
+func (e *scenarioEntry) nextID() *pb.SubmissionId {
 	if e.run.now%(5*time.Minute) == 0 {
 		e.ids = idSource{}
 	}
 	return e.ids.next(e.core, e.run.now)
 }
 
-func (e *stressEntry) step(ev dispatch.Event) {
+func (e *scenarioEntry) step(ev dispatch.Event) {
 	e.core.Step(e.run.now, ev)
-	e.carryOut()
+	e.executeCommands()
 }
 
-func (e *stressEntry) carryOut() {
+func (e *scenarioEntry) executeCommands() {
 	r := e.run
 	for _, cmd := range e.core.TakeCommands() {
 		switch cmd := cmd.(type) {
@@ -360,10 +360,10 @@
 			r.answered(cmd.Request, cmd.Answer)
 		}
 	}
-	e.wakeUp.schedule(&e.run.clock, e.core, e.carryOut)
+	e.coreTicker.schedule(&e.run.clock, e.core, e.executeCommands)
 }
 
-func (e *stressEntry) send(cmd dispatch.Send) {
+func (e *scenarioEntry) send(cmd dispatch.Send) {
 	r := e.run
 	switch cmd.Message.GetBody().(type) {
 	case *pb.PeerMessage_Forward, *pb.PeerMessage_ForwardAnswer:
@@ -380,25 +380,25 @@
 	}
 }
 
-func (e *stressEntry) start(cmd dispatch.StartTask) {
+func (e *scenarioEntry) start(cmd dispatch.StartTask) {
 	r := e.run
 	u := r.runners[cmd.Upstream]
 	delay := r.Site.delay(e.domain, u.domain)
-	back := func(res task.Result) {
+	respond := func(res task.Result) {
 		r.after(delay, func() { e.step(dispatch.StartResult{Start: cmd.Start, Result: res}) })
 	}
-	r.after(delay, func() { u.begin(r, cmd, back) })
+	r.after(delay, func() { u.begin(r, cmd, respond) })
 }
 
-func (u *stressRunner) begin(r *Run, cmd dispatch.StartTask, back func(task.Result)) {
+func (u *scenarioRunner) begin(r *Run, cmd dispatch.StartTask, respond func(task.Result)) {
 	switch {
 	case u.fault == Unreachable:
 		r.Refusals++
-		back(task.Result{Verdict: task.NotStarted})
+		respond(task.Result{Verdict: task.NotStarted})
 		return
 	case u.fault == Refuses || u.busy >= u.slots:
 		r.Refusals++
-		back(task.Result{Verdict: task.NotStarted, Refused: true})
+		respond(task.Result{Verdict: task.NotStarted, Refused: true})
 		return
 	}
 	field, _, _ := strings.Cut(string(cmd.Payload), " ")
@@ -406,29 +406,29 @@
 	took, verdict := time.Duration(ns), task.Finished
 	switch u.fault {
 	case FailsAll:
-		took, verdict = failTime, task.Failed
+		took, verdict = taskFailureTime, task.Failed
 	case Slow:
 		took *= slowFactor
 	}
 	u.busy++
-	r.hold(1)
-	if r.began[cmd.Name] {
-		r.doubled++
+	r.addHeldSlots(1)
+	if r.startedTasks[cmd.Name] {
+		r.startedTwice++
 	}
-	r.began[cmd.Name] = true
+	r.startedTasks[cmd.Name] = true
 	began := r.now
-	t := &stressTask{}
+	t := &runningTask{}
 	end := func(v task.Verdict) {
 		if u.running[cmd.Name] != t {
 			return
 		}
 		delete(u.running, cmd.Name)
 		u.busy--
-		r.hold(-1)
+		r.addHeldSlots(-1)
 		for _, n := range r.counts(r.now) {
 			n.UsedTime += r.now - began
 		}
-		back(task.Result{Verdict: v})
+		respond(task.Result{Verdict: v})
 	}
 	t.stop = func() { end(task.Failed) }
 	u.running[cmd.Name] = t
@@ -436,21 +436,21 @@
 }
 
 // hold counts a slot taken or given back.
-func (r *Run) hold(n int) {
+func (r *Run) addHeldSlots(n int) {
 	if r.now > r.Workload.Warmup && r.now <= r.Workload.Length {
-		r.area += time.Duration(r.held) * (r.now - max(r.changed, r.Workload.Warmup))
+		r.heldSlotTime += time.Duration(r.heldSlots) * (r.now - max(r.heldChangedAt, r.Workload.Warmup))
 	}
-	r.changed = r.now
-	r.held += n
-	r.most = max(r.most, r.held)
+	r.heldChangedAt = r.now
+	r.heldSlots += n
+	r.maxHeldSlots = max(r.maxHeldSlots, r.heldSlots)
 }
 
 // MeanHeld is the mean number of slots held from Workload.Warmup on.
 func (r *Run) MeanHeld() float64 {
-	return r.area.Seconds() / (r.Workload.Length - r.Workload.Warmup).Seconds()
+	return r.heldSlotTime.Seconds() / (r.Workload.Length - r.Workload.Warmup).Seconds()
 }
 
-func (e *stressEntry) stop(cmd dispatch.StopTask) {
+func (e *scenarioEntry) stop(cmd dispatch.StopTask) {
 	r := e.run
 	u := r.runners[cmd.Upstream]
 	r.after(r.Site.delay(e.domain, u.domain), func() {
--- a/bench/overload_test.go
+++ b/bench/overload_test.go
@@ -11,7 +11,7 @@
 )
 
 // small is a quarter of a site, so that these runs stay short.
-func small() Scenarios {
+func smallSite() Scenarios {
 	s := Scenarios{Site: Hollowell, Seed: 1, Length: 20 * time.Second}
 	s.Site.Upstreams = 12
 	s.Site.Entries = 3
@@ -22,7 +22,7 @@
 // miss their time, fewer kitchens get their labels than at full load.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	g := gomega.NewWithT(t)
-	runs := all([]Scenario{small().stress("", 1, nil), small().stress("", 1.3, nil), small().stress("", 3, nil)})
+	runs := runAll([]Scenario{smallSite().scenario("", 1, nil), smallSite().scenario("", 1.3, nil), smallSite().scenario("", 3, nil)})
 	for _, r := range runs[1:] {
 		g.Expect(r.Goodput()).To(gomega.BeNumerically(">=", 0.95*runs[0].Goodput()))
 	}
@@ -32,7 +32,7 @@
 // trials, but not a part of all jobs.
 func TestFailingUpstreamCostsFewJobs(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := small().stress("", 0.8, nil)
+	s := smallSite().scenario("", 0.8, nil)
 	s.Events = map[time.Duration]func(*Run){5 * time.Second: func(r *Run) {
 		r.SetFault(FailsAll, func(i int, _ task.Upstream) bool { return i == 5 })
 	}}
@@ -47,14 +47,14 @@
 func TestCeilingIsKeptAndUsed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, one := range []bool{false, true} {
-		s := small().stress("", 1, nil)
+		s := smallSite().scenario("", 1, nil)
 		s.OneEntry = one
 		s.ChangeSettings = func(d *pb.Settings) {
 			d.EntryVms = 3
 			d.Institutions[0].CeilingSlots = 48
 		}
 		r := NewRun(s).Do()
-		g.Expect(r.most).To(gomega.BeNumerically("<=", 48))
+		g.Expect(r.maxHeldSlots).To(gomega.BeNumerically("<=", 48))
 		g.Expect(r.MeanHeld()).To(gomega.BeNumerically(">=", 40))
 	}
 }
@@ -63,7 +63,7 @@
 // each running task must do, and none for those that wait.
 func TestCancellationWaveCostsOneMessageATask(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := small().stress("", 1.3, nil)
+	s := smallSite().scenario("", 1.3, nil)
 	var running, cancelled, before, after int
 	s.Events = map[time.Duration]func(*Run){
 		10 * time.Second:                     func(r *Run) { running, before, cancelled = r.Running(), r.Stops, r.CancelAll() },
--- a/bench/reference.go
+++ b/bench/reference.go
@@ -7,25 +7,25 @@
 )
 
 // waiting is a task in the ideal queue.
-type waiting struct {
-	rank time.Duration
-	seq  int
-	job  int
-	task int
+type queuedTask struct {
+	priority time.Duration
+	seq      int
+	job      int
+	task     int
 }
 
-type waitingHeap []waiting
+type taskHeap []queuedTask
 
-func (h waitingHeap) Len() int { return len(h) }
-func (h waitingHeap) Less(i, j int) bool {
-	if h[i].rank != h[j].rank {
-		return h[i].rank < h[j].rank
+func (h taskHeap) Len() int { return len(h) }
+func (h taskHeap) Less(i, j int) bool {
+	if h[i].priority != h[j].priority {
+		return h[i].priority < h[j].priority
 	}
 	return h[i].seq < h[j].seq
 }
-func (h waitingHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *waitingHeap) Push(x any)   { *h = append(*h, x.(waiting)) }
-func (h *waitingHeap) Pop() any {
+func (h taskHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *taskHeap) Push(x any)   { *h = append(*h, x.(queuedTask)) }
+func (h *taskHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -35,19 +35,19 @@
 // reference is the state that the reference policies share.
 type reference struct {
 	clock
-	site   Site
-	limit  time.Duration
-	jobs   []Job
-	left   []int
-	missed []bool
-	result *Result
-	warmup time.Duration
+	site       Site
+	limit      time.Duration
+	jobs       []Job
+	unfinished []int
+	missed     []bool
+	result     *Result
+	warmup     time.Duration
 }
 
 func newReference(name string, site Site, workload Workload, limit time.Duration, jobs []Job) *reference {
-	r := &reference{site: site, limit: limit, jobs: jobs, left: make([]int, len(jobs)), missed: make([]bool, len(jobs)), result: newResult(name), warmup: workload.Warmup}
+	r := &reference{site: site, limit: limit, jobs: jobs, unfinished: make([]int, len(jobs)), missed: make([]bool, len(jobs)), result: newResult(name), warmup: workload.Warmup}
 	for i, j := range jobs {
-		r.left[i] = len(j.Tasks)
+		r.unfinished[i] = len(j.Tasks)
 		if j.At >= workload.Warmup {
 			r.result.Jobs++
 			r.result.Tasks += len(j.Tasks)
@@ -57,16 +57,16 @@
 }
 
 // late says whether a job's time has passed.
-func (r *reference) late(job int) bool {
+func (r *reference) pastDeadline(job int) bool {
 	return r.now > r.jobs[job].At+r.limit
 }
 
 // done records the end of a task at its upstream.
-func (r *reference) done(job int, back time.Duration) {
-	r.left[job]--
+func (r *reference) done(job int, respond time.Duration) {
+	r.unfinished[job]--
 	j := r.jobs[job]
-	response := r.now + back + r.site.ClientDelay - j.At
-	if r.left[job] > 0 || j.At < r.warmup || response > r.limit+2*r.site.ClientDelay {
+	response := r.now + respond + r.site.ClientDelay - j.At
+	if r.unfinished[job] > 0 || j.At < r.warmup || response > r.limit+2*r.site.ClientDelay {
 		return
 	}
 	r.result.complete(response, r.site.ideal(j))
@@ -76,13 +76,13 @@
 // knows at once of every arrival and every end, and sends no message for it.
 func IdealQueue(site Site, workload Workload, limit time.Duration, jobs []Job) *Result {
 	r := newReference("one ideal first-come queue", site, workload, limit, jobs)
-	var queue waitingHeap
+	var queue taskHeap
 	idle := site.totalSlots()
 	var serve func()
 	serve = func() {
 		for idle > 0 && len(queue) > 0 {
-			w := heap.Pop(&queue).(waiting)
-			if r.late(w.job) {
+			w := heap.Pop(&queue).(queuedTask)
+			if r.pastDeadline(w.job) {
 				continue
 			}
 			idle--
@@ -98,7 +98,7 @@
 		r.at(j.At+site.ClientDelay, func() {
 			for t := range j.Tasks {
 				seq++
-				heap.Push(&queue, waiting{j.At, seq, i, t})
+				heap.Push(&queue, queuedTask{j.At, seq, i, t})
 			}
 			serve()
 		})
@@ -109,13 +109,13 @@
 
 // choice is the state of the policies that pick an upstream without owning a
 // slot.
-type choice struct {
+type randomPolicy struct {
 	*reference
 	rng  *rand.Rand
 	busy []int
 	// known is what each entry last heard of each upstream's load.
-	known [][]int
-	pick  func(entry int) int
+	knownLoad [][]int
+	pick      func(entry int) int
 }
 
 const (
@@ -126,7 +126,7 @@
 // RandomChoice sends each task to a random upstream, and again to another
 // after a back-off when it is refused.
 func RandomChoice(site Site, workload Workload, limit time.Duration, jobs []Job) *Result {
-	c := newChoice("random, refused and retried", site, workload, limit, jobs)
+	c := newRandomPolicy("random, refused and retried", site, workload, limit, jobs)
 	c.pick = func(int) int { return c.rng.IntN(site.Upstreams) }
 	return c.measure(workload)
 }
@@ -134,10 +134,10 @@
 // LeastOfTwo sends each task to the less loaded of two random upstreams, by
 // the load that came with the last answer.
 func LeastOfTwo(site Site, workload Workload, limit time.Duration, jobs []Job) *Result {
-	c := newChoice("least loaded of two", site, workload, limit, jobs)
+	c := newRandomPolicy("least loaded of two", site, workload, limit, jobs)
 	c.pick = func(entry int) int {
 		a, b := c.rng.IntN(site.Upstreams), c.rng.IntN(site.Upstreams)
-		if c.known[entry][b] < c.known[entry][a] {
+		if c.knownLoad[entry][b] < c.knownLoad[entry][a] {
 			return b
 		}
 		return a
@@ -145,20 +145,20 @@
 	return c.measure(workload)
 }
 
-func newChoice(name string, site Site, workload Workload, limit time.Duration, jobs []Job) *choice {
-	c := &choice{
+func newRandomPolicy(name string, site Site, workload Workload, limit time.Duration, jobs []Job) *randomPolicy {
+	c := &randomPolicy{
 		reference: newReference(name, site, workload, limit, jobs),
 		rng:       rand.New(rand.NewPCG(workload.Seed, 2)),
 		busy:      make([]int, site.Upstreams),
-		known:     make([][]int, site.Entries),
+		knownLoad: make([][]int, site.Entries),
 	}
-	for i := range c.known {
-		c.known[i] = make([]int, site.Upstreams)
+	for i := range c.knownLoad {
+		c.knownLoad[i] = make([]int, site.Upstreams)
 	}
 	return c
 }
 
-func (c *choice) measure(workload Workload) *Result {
+func (c *randomPolicy) measure(workload Workload) *Result {
 	for i, j := range c.jobs {
 		c.at(j.At+c.site.ClientDelay, func() {
 			for t := range j.Tasks {
@@ -170,13 +170,13 @@
 	return c.result
 }
 
-func (c *choice) send(job, index, attempt int) {
-	if c.late(job) {
+func (c *randomPolicy) send(job, index, attempt int) {
+	if c.pastDeadline(job) {
 		return
 	}
 	j := c.jobs[job]
 	u := c.pick(j.Entry)
-	c.known[j.Entry][u]++
+	c.knownLoad[j.Entry][u]++
 	delay := c.site.delay(c.site.entryDomain(j.Entry), c.site.upstreamDomain(u))
 	c.after(delay, func() {
 		if c.busy[u] >= c.site.Slots {
@@ -188,20 +188,20 @@
 			c.busy[u]--
 			load := c.busy[u]
 			c.after(delay, func() {
-				c.known[j.Entry][u] = load
+				c.knownLoad[j.Entry][u] = load
 				c.done(job, 0)
 			})
 		})
 	})
 }
 
-func (c *choice) refuse(job, index, attempt, u int, delay time.Duration) {
+func (c *randomPolicy) refuse(job, index, attempt, u int, delay time.Duration) {
 	if c.jobs[job].At >= c.warmup {
 		c.result.Waste.Refusals += 2
 	}
 	load := c.busy[u]
 	backOff := min(retryBase<<min(attempt, 8), retryMax)
 	backOff = backOff/2 + time.Duration(c.rng.Int64N(int64(backOff)))/2
-	c.after(delay, func() { c.known[c.jobs[job].Entry][u] = load })
+	c.after(delay, func() { c.knownLoad[c.jobs[job].Entry][u] = load })
 	c.after(delay+backOff, func() { c.send(job, index, attempt+1) })
 }
--- a/bench/result.go
+++ b/bench/result.go
@@ -9,9 +9,9 @@
 
 // ratioScale is the resolution of recorded ratios: a thousandth.
 const (
-	ratioScale = 1000
-	maxRatio   = 100_000
-	digits     = 4
+	ratioScale        = 1000
+	maxRatio          = 100_000
+	significantDigits = 4
 )
 
 // Waste counts messages beyond one request and one answer for each task and
@@ -47,7 +47,7 @@
 }
 
 func newResult(policy string) *Result {
-	return &Result{Policy: policy, ratios: hdr.New(1, maxRatio*ratioScale, digits)}
+	return &Result{Policy: policy, ratios: hdr.New(1, maxRatio*ratioScale, significantDigits)}
 }
 
 // complete records a whole answer.
--- a/bench/scenarios.go
+++ b/bench/scenarios.go
@@ -21,11 +21,11 @@
 }
 
 // stressLimit is the contracted response time in these runs.
-const stressLimit = 5 * time.Second
+const responseLimit = 5 * time.Second
 
-func (s Scenarios) stress(policy string, load float64, change func(*dispatch.Config)) Scenario {
+func (s Scenarios) scenario(policy string, load float64, change func(*dispatch.Config)) Scenario {
 	return Scenario{
-		Policy: policy, Site: s.Site, Limit: stressLimit, ChangeConfig: change,
+		Policy: policy, Site: s.Site, Limit: responseLimit, ChangeConfig: change,
 		Workload: Workload{Load: load, Stragglers: DefaultStragglers, Length: s.Length, Warmup: s.Length / 6, Seed: s.Seed},
 	}
 }
@@ -35,19 +35,19 @@
 	c.AdmissionPolicy.StartInfeasible = true
 }
 
-func longWaits(c *dispatch.Config) {
+func longQueueing(c *dispatch.Config) {
 	c.AdmissionPolicy.OverloadWaitPercent = c.AdmissionPolicy.WaitPercent
 }
 
-func alone(c *dispatch.Config) { c.Health.Alone = true }
+func ownHealthOnly(c *dispatch.Config) { c.Health.Alone = true }
 
-func noHealth(c *dispatch.Config) { c.Health.Off = true }
+func withoutHealth(c *dispatch.Config) { c.Health.Off = true }
 
 // all runs stresses side by side.
-func all(list []Scenario) []*Run {
+func runAll(list []Scenario) []*Run {
 	runs := make([]*Run, len(list))
 	var group errgroup.Group
-	group.SetLimit(parallel)
+	group.SetLimit(maxParallel)
 	for i, s := range list {
 		group.Go(func() error {
 			runs[i] = NewRun(s).Do()
@@ -58,21 +58,21 @@
 	return runs
 }
 
-func share(n, of int) float64 { return 100 * float64(n) / float64(max(of, 1)) }
+func percent(n, of int) float64 { return 100 * float64(n) / float64(max(of, 1)) }
 
 // Overload is goodput by load, with admission and without.
 func (s Scenarios) Overload() {
 	var list []Scenario
 	for _, load := range []float64{0.8, 0.95, 1.0, 1.3, 3.0} {
-		list = append(list, s.stress("short waits when they stand", load, nil))
-		list = append(list, s.stress("waits up to half of the time", load, longWaits))
-		list = append(list, s.stress("every job taken on", load, admitAll))
+		list = append(list, s.scenario("short waits when they stand", load, nil))
+		list = append(list, s.scenario("waits up to half of the time", load, longQueueing))
+		list = append(list, s.scenario("every job taken on", load, admitAll))
 	}
 	fmt.Fprint(s.Out, "| load | policy | goodput | whole answers | failed | refused for good | refusals a job | slot time spent for nothing | mean | p99 | wasted starts a task |\n|---|---|---|---|---|---|---|---|---|---|---|\n")
-	for _, r := range all(list) {
+	for _, r := range runAll(list) {
 		t := r.Total
 		fmt.Fprintf(s.Out, "| %.0f%% | %s | %.1f%% | %.1f%% | %.2f%% | %.1f%% | %.2f | %.1f%% | %.2f | %.1f | %.4f |\n",
-			100*r.Workload.Load, r.Policy, 100*r.Goodput(), share(t.Complete, t.Jobs), share(t.Failed, t.Jobs), share(t.GaveUp, t.Jobs),
+			100*r.Workload.Load, r.Policy, 100*r.Goodput(), percent(t.Complete, t.Jobs), percent(t.Failed, t.Jobs), percent(t.GaveUp, t.Jobs),
 			float64(t.RefusedRequests)/float64(max(1, t.Jobs)), 100*(1-t.CompletedTime.Seconds()/t.UsedTime.Seconds()), r.ratios.Mean(), r.ratios.Quantile(99), float64(r.Refusals)/float64(r.Starts))
 	}
 }
@@ -88,13 +88,13 @@
 	}
 	var list []Scenario
 	for _, leave := range []bool{true, false} {
-		for _, p := range []Scenario{s.stress("short waits when they stand", 3, nil), s.stress("every job taken on", 3, admitAll)} {
+		for _, p := range []Scenario{s.scenario("short waits when they stand", 3, nil), s.scenario("every job taken on", 3, admitAll)} {
 			p.LoadAt, p.CallersLeave = load, leave
 			list = append(list, p)
 		}
 	}
 	fmt.Fprint(s.Out, "| policy | refused callers | whole answers of jobs arriving in the burst | in the 1st second after it | 2nd | 3rd | 5th | 10th | 20th |\n|---|---|---|---|---|---|---|---|---|\n")
-	for _, r := range all(list) {
+	for _, r := range runAll(list) {
 		callers := "come back when told"
 		if r.CallersLeave {
 			callers = "leave"
@@ -106,10 +106,10 @@
 			burst.Jobs += n.Jobs
 			burst.Complete += n.Complete
 		}
-		fmt.Fprintf(s.Out, " %.1f%% |", share(burst.Complete, burst.Jobs))
+		fmt.Fprintf(s.Out, " %.1f%% |", percent(burst.Complete, burst.Jobs))
 		for _, after := range []int{0, 1, 2, 4, 9, 19} {
 			n := r.PerSecond[first+after]
-			fmt.Fprintf(s.Out, " %.1f%% |", share(n.Complete, n.Jobs))
+			fmt.Fprintf(s.Out, " %.1f%% |", percent(n.Complete, n.Jobs))
 		}
 		fmt.Fprintln(s.Out)
 	}
@@ -132,14 +132,14 @@
 	}
 	var list []Scenario
 	for _, f := range faults {
-		for _, p := range []Scenario{s.stress("health, shared", 0.8, nil), s.stress("health, each alone", 0.8, alone), s.stress("no health", 0.8, noHealth)} {
+		for _, p := range []Scenario{s.scenario("health, shared", 0.8, nil), s.scenario("health, each alone", 0.8, ownHealthOnly), s.scenario("no health", 0.8, withoutHealth)} {
 			p.Policy = f.name + " | " + p.Policy
 			p.Events = map[time.Duration]func(*Run){at: func(r *Run) { r.SetFault(f.f, f.pick) }}
 			list = append(list, p)
 		}
 	}
 	fmt.Fprint(s.Out, "| fault | policy | jobs since | failed by a task | share | failed otherwise | refused for good | mean | p99 | wasted starts a task |\n|---|---|---|---|---|---|---|---|---|---|\n")
-	for _, r := range all(list) {
+	for _, r := range runAll(list) {
 		var n JobCounts
 		for _, c := range r.PerSecond[int(at/time.Second):] {
 			n.Jobs += c.Jobs
@@ -148,7 +148,7 @@
 			n.GaveUp += c.GaveUp
 		}
 		fmt.Fprintf(s.Out, "| %s | %d | %d | %.2f%% | %d | %d | %.3f | %.2f | %.4f |\n",
-			r.Policy, n.Jobs, n.TaskFailures, share(n.TaskFailures, n.Jobs), n.Failed-n.TaskFailures, n.GaveUp, r.ratios.Mean(), r.ratios.Quantile(99), float64(r.Refusals)/float64(r.Starts))
+			r.Policy, n.Jobs, n.TaskFailures, percent(n.TaskFailures, n.Jobs), n.Failed-n.TaskFailures, n.GaveUp, r.ratios.Mean(), r.ratios.Quantile(99), float64(r.Refusals)/float64(r.Starts))
 	}
 }
 
@@ -158,7 +158,7 @@
 	ceiling := s.Site.totalSlots() / 2
 	var list []Scenario
 	for _, skewed := range []bool{false, true} {
-		p := s.stress("jobs at all entry processes alike", 1, nil)
+		p := s.scenario("jobs at all entry processes alike", 1, nil)
 		p.ChangeSettings = func(d *pb.Settings) {
 			d.EntryVms = uint32(s.Site.Entries)
 			d.Institutions[0].CeilingSlots = uint32(ceiling)
@@ -169,8 +169,8 @@
 		list = append(list, p)
 	}
 	fmt.Fprint(s.Out, "| jobs | ceiling | most slots held at once | mean | of the ceiling | control messages a second a process |\n|---|---|---|---|---|---|\n")
-	for _, r := range all(list) {
-		fmt.Fprintf(s.Out, "| %s | %d | %d | %.1f | %.1f%% | %.1f |\n", r.Policy, ceiling, r.most, r.MeanHeld(),
+	for _, r := range runAll(list) {
+		fmt.Fprintf(s.Out, "| %s | %d | %d | %.1f | %.1f%% | %.1f |\n", r.Policy, ceiling, r.maxHeldSlots, r.MeanHeld(),
 			100*r.MeanHeld()/float64(ceiling), float64(r.Control)/(s.Length+drainTime).Seconds()/float64(s.Site.Entries))
 	}
 }
@@ -193,7 +193,7 @@
 	}{{"every open job cancelled", cancel}, {"every open job sent again, five times", resubmit}}
 	for _, w := range waves {
 		var before, after wave
-		p := s.stress(w.name, 1.3, nil)
+		p := s.scenario(w.name, 1.3, nil)
 		p.Workload.Length = at + 5*time.Second
 		p.Events = map[time.Duration]func(*Run){
 			at: func(r *Run) {
@@ -203,6 +203,6 @@
 			at + 20*time.Millisecond: func(r *Run) { after = wave{0, 0, r.Stops, r.Forwards, r.Starts} },
 		}
 		r := NewRun(p).Do()
-		fmt.Fprintf(s.Out, "| %s | %d | %d | %d | %d | %d |\n", w.name, before.jobs, before.running, after.stops-before.stops, after.forwards-before.forwards, r.doubled)
+		fmt.Fprintf(s.Out, "| %s | %d | %d | %d | %d | %d |\n", w.name, before.jobs, before.running, after.stops-before.stops, after.forwards-before.forwards, r.startedTwice)
 	}
 }
--- a/bench/cores.go
+++ b/bench/simulate.go
@@ -34,17 +34,17 @@
 	byName  map[string]*entry
 	runners map[string]*runner
 	// apart says that the first domain is cut off from the others.
-	apart bool
+	partitioned bool
 }
 
 // entry is one entry process.
 type entry struct {
-	fleet  *fleet
-	core   *dispatch.Core
-	self   task.Incarnation
-	domain string
-	ids    idSource
-	wakeUp wakeUp
+	fleet      *fleet
+	core       *dispatch.Core
+	self       task.Incarnation
+	domain     string
+	ids        idSource
+	coreTicker coreTicker
 }
 
 // runner is one upstream.
@@ -65,21 +65,21 @@
 		f.at(j.At+site.ClientDelay, func() { f.submit(i) })
 	}
 	if workload.PartitionUntil > workload.PartitionFrom {
-		f.at(workload.PartitionFrom, func() { f.cut(true) })
-		f.at(workload.PartitionUntil, func() { f.cut(false) })
+		f.at(workload.PartitionFrom, func() { f.setPartitioned(true) })
+		f.at(workload.PartitionUntil, func() { f.setPartitioned(false) })
 	}
 	f.run(workload.Length + drainTime)
 	return f.result
 }
 
 // cut parts the first domain from the others, or joins them again.
-func (f *fleet) cut(apart bool) {
-	f.apart = apart
+func (f *fleet) setPartitioned(partitioned bool) {
+	f.partitioned = partitioned
 	for _, e := range f.entries {
 		for _, o := range f.entries {
 			switch {
-			case !f.across(e, o):
-			case apart:
+			case !f.crossesPartition(e, o):
+			case partitioned:
 				e.step(dispatch.PeerDown{Peer: o.self})
 			default:
 				e.step(dispatch.PeerUp{Peer: o.self, FailureDomain: o.domain})
@@ -88,7 +88,7 @@
 	}
 }
 
-func (f *fleet) across(a, b *entry) bool {
+func (f *fleet) crossesPartition(a, b *entry) bool {
 	first := f.site.Domains[0]
 	return (a.domain == first) != (b.domain == first)
 }
@@ -166,10 +166,10 @@
 
 func (e *entry) step(ev dispatch.Event) {
 	e.core.Step(e.fleet.now, ev)
-	e.carryOut()
+	e.executeCommands()
 }
 
-func (e *entry) carryOut() {
+func (e *entry) executeCommands() {
 	for _, cmd := range e.core.TakeCommands() {
 		switch cmd := cmd.(type) {
 		case dispatch.StartTask:
@@ -179,31 +179,31 @@
 		case dispatch.Reply:
 			e.fleet.reply(int(cmd.Request)-1, cmd.Answer)
 		case dispatch.Settle:
-			e.fleet.waste().Other += 2
+			e.fleet.currentWaste().Other += 2
 		case dispatch.StopTask:
-			e.fleet.waste().Other++
+			e.fleet.currentWaste().Other++
 		}
 	}
-	e.wakeUp.schedule(&e.fleet.clock, e.core, e.carryOut)
+	e.coreTicker.schedule(&e.fleet.clock, e.core, e.executeCommands)
 }
 
 func (e *entry) start(cmd dispatch.StartTask) {
 	f := e.fleet
 	r := f.runners[cmd.Upstream]
 	delay := f.site.delay(e.domain, r.domain)
-	back := func(res task.Result) {
+	respond := func(res task.Result) {
 		f.after(delay, func() { e.step(dispatch.StartResult{Start: cmd.Start, Result: res}) })
 	}
 	f.after(delay, func() {
 		if r.busy >= r.slots {
-			f.waste().Refusals += 2
-			back(task.Result{Verdict: task.NotStarted, Refused: true})
+			f.currentWaste().Refusals += 2
+			respond(task.Result{Verdict: task.NotStarted, Refused: true})
 			return
 		}
 		r.busy++
 		f.after(f.taskOf(cmd.Payload).Run, func() {
 			r.busy--
-			back(task.Result{Verdict: task.Finished})
+			respond(task.Result{Verdict: task.Finished})
 		})
 	})
 }
@@ -212,19 +212,19 @@
 	f := e.fleet
 	switch cmd.Message.GetBody().(type) {
 	case nil:
-		f.waste().Control++
+		f.currentWaste().Control++
 	case *pb.PeerMessage_BorrowRequest:
-		f.waste().Requests++
+		f.currentWaste().Requests++
 	case *pb.PeerMessage_LendGrant:
-		f.waste().Grants++
+		f.currentWaste().Grants++
 	case *pb.PeerMessage_LendReturn:
-		f.waste().Returns++
+		f.currentWaste().Returns++
 	default:
-		f.waste().Other++
+		f.currentWaste().Other++
 	}
 	to := f.byName[cmd.Peer.Node]
 	f.after(f.site.delay(e.domain, to.domain), func() {
-		if f.apart && f.across(e, to) {
+		if f.partitioned && f.crossesPartition(e, to) {
 			return
 		}
 		to.step(dispatch.PeerMessage{Peer: e.self, Message: cmd.Message})
@@ -233,7 +233,7 @@
 
 // waste is where a message is counted: nowhere while the run warms up or when
 // no more jobs arrive.
-func (f *fleet) waste() *Waste {
+func (f *fleet) currentWaste() *Waste {
 	if f.now < f.warmup || f.now > f.jobs[len(f.jobs)-1].At {
 		return &Waste{}
 	}
--- a/bench/slopes/control.go
+++ b/bench/slopes/control.go
@@ -18,12 +18,12 @@
 
 const (
 	// controlSpan is how long each idle deployment is watched.
-	controlSpan = 8 * time.Second
+	measureDuration = 8 * time.Second
 	// controlSettle lets the handshakes and QUIC's search for the path's
 	// packet size end first.
-	controlSettle = 5 * time.Second
-	udpIPHeader   = 28
-	changes       = 20
+	settleDuration  = 5 * time.Second
+	udpIPHeader     = 28
+	settingsChanges = 20
 )
 
 // control is the cost of one idle node among others.
@@ -51,26 +51,26 @@
 		return control{}, errors.Wrapf(err, "start %d nodes", nodes)
 	}
 	defer cluster.Close()
-	time.Sleep(controlSettle)
-	processor, bytes, platform := processorTime(), traffic(cluster), cluster.PlatformBytes()
-	time.Sleep(controlSpan)
-	seconds := controlSpan.Seconds() * float64(nodes)
+	time.Sleep(settleDuration)
+	processor, bytes, platform := processCPUTime(), peerTraffic(cluster), cluster.PlatformBytes()
+	time.Sleep(measureDuration)
+	seconds := measureDuration.Seconds() * float64(nodes)
 	c := control{
 		nodes: nodes,
-		core:  (processorTime() - processor).Seconds() / seconds,
-		bytes: (traffic(cluster) - bytes) / seconds,
+		core:  (processCPUTime() - processor).Seconds() / seconds,
+		bytes: (peerTraffic(cluster) - bytes) / seconds,
 
 		platform: float64(cluster.PlatformBytes()-platform) / seconds,
 	}
-	c.inForce, err = slowestChange(ctx, cluster)
+	c.inForce, err = slowestSettingsChange(ctx, cluster)
 	return c, err
 }
 
 // slowestChange applies settings at one node after another and watches the
 // others.
-func slowestChange(ctx context.Context, cluster *standin.Cluster) (time.Duration, error) {
+func slowestSettingsChange(ctx context.Context, cluster *standin.Cluster) (time.Duration, error) {
 	var slowest time.Duration
-	for i := range changes {
+	for i := range settingsChanges {
 		entry := cluster.Entries[i%len(cluster.Entries)]
 		expected := entry.SettingsVersion()
 		rpc := sapphirepointv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+entry.OperatorAddress())
@@ -90,7 +90,7 @@
 	return slowest, nil
 }
 
-func processorTime() time.Duration {
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -99,7 +99,7 @@
 }
 
 // traffic is the bytes of all nodes, sent and received, with headers.
-func traffic(c *standin.Cluster) float64 {
+func peerTraffic(c *standin.Cluster) float64 {
 	total := 0.0
 	for _, e := range c.Entries {
 		t := e.PeerTraffic()
@@ -110,10 +110,10 @@
 
 // controlSlopes measures idle deployments of growing size.
 func controlSlopes() ([]series, error) {
-	inForce := series{what: "slowest of 20 settings changes, in force everywhere", per: "peer", unit: "ms"}
-	core := series{what: "idle node among peers, real sockets", per: "peer", unit: "% of a core"}
-	platform := series{what: "reading list and settings once a second, TCP payload both ways", per: "peer", unit: "B/s"}
-	bytes := series{what: "idle peer links, UDP and IP bytes both ways", per: "peer", unit: "B/s"}
+	inForce := series{name: "slowest of 20 settings changes, in force everywhere", per: "peer", unit: "ms"}
+	core := series{name: "idle node among peers, real sockets", per: "peer", unit: "% of a core"}
+	platform := series{name: "reading list and settings once a second, TCP payload both ways", per: "peer", unit: "B/s"}
+	bytes := series{name: "idle peer links, UDP and IP bytes both ways", per: "peer", unit: "B/s"}
 	for _, nodes := range []int{2, 4, 8, 16, 24} {
 		c, err := measureControl(nodes)
 		if err != nil {
--- a/bench/slopes/main.go
+++ b/bench/slopes/main.go
@@ -21,24 +21,24 @@
 
 // series is a measurement over several sizes.
 type series struct {
-	what, per, unit string
+	name, per, unit string
 	points          []point
 }
 
 // line is a fitted straight line with its error.
-type line struct {
+type fittedLine struct {
 	intercept, slope, r2 float64
 	// worst is the largest deviation from the line over the measured value.
-	worst float64
+	maxDeviation float64
 }
 
-func (s series) fit() line {
+func (s series) fit() fittedLine {
 	xs := make([]float64, len(s.points))
 	ys := make([]float64, len(s.points))
 	for i, p := range s.points {
 		xs[i], ys[i] = p.x, p.y
 	}
-	l := line{}
+	l := fittedLine{}
 	// Weighting by the inverse square makes the relative errors comparable, so
 	// that the small sizes count as much as the large ones.
 	weights := make([]float64, len(ys))
@@ -48,8 +48,8 @@
 	l.intercept, l.slope = stat.LinearRegression(xs, ys, weights, false)
 	l.r2 = stat.RSquared(xs, ys, weights, l.intercept, l.slope)
 	for _, p := range s.points {
-		off := math.Abs(l.intercept+l.slope*p.x-p.y) / p.y
-		l.worst = math.Max(l.worst, off)
+		deviation := math.Abs(l.intercept+l.slope*p.x-p.y) / p.y
+		l.maxDeviation = math.Max(l.maxDeviation, deviation)
 	}
 	return l
 }
@@ -65,21 +65,21 @@
 		r2 = fmt.Sprintf("%.4f", l.r2)
 	}
 	fmt.Printf("| %s | %s | %.4g %s | %.4g %s | %s | %.0f%% | %s |\n",
-		s.what, s.per, l.slope, s.unit, l.intercept, s.unit, r2, 100*l.worst, points)
+		s.name, s.per, l.slope, s.unit, l.intercept, s.unit, r2, 100*l.maxDeviation, points)
 }
 
 // best is the least of several runs: noise on a shared machine only adds.
-func best(runs int, f func() time.Duration) time.Duration {
-	least := time.Duration(math.MaxInt64)
+func fastest(runs int, f func() time.Duration) time.Duration {
+	shortest := time.Duration(math.MaxInt64)
 	for range runs {
 		runtime.GC()
-		least = min(least, f())
+		shortest = min(shortest, f())
 	}
-	return least
+	return shortest
 }
 
 // heap is the live heap in bytes.
-func heap() float64 {
+func liveHeapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -105,7 +105,7 @@
 // printCore measures the decision code alone.
 func printCore() {
 	for _, measure := range []func() series{
-		taskTime, keptAnswers, membersTime, membersMemory, membersBytes, placementTime,
+		taskTime, retainedResults, membersTime, membersMemory, membersBytes, placementTime,
 		statusTime, peersTime, peersBytes, quotasTime, quotasBytes, teamsTime, teamsBytes, institutionsTime, claimBytes,
 	} {
 		measure().print()
--- a/bench/slopes/measure.go
+++ b/bench/slopes/measure.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	institution  = "hollowell"
-	service      = "labels"
-	domain       = "loughborough"
-	slotsEach    = 8
-	runs         = 5
-	payloadBytes = 200
-	day          = 24 * time.Hour
+	institution      = "hollowell"
+	service          = "labels"
+	domain           = "loughborough"
+	slotsPerUpstream = 8
+	runs             = 5
+	payloadBytes     = 200
+	day              = 24 * time.Hour
 	// teamQuota is below the slots of the upstreams, so that it binds.
 	teamQuota = 100
 )
 
 var self = task.Incarnation{Node: "entry-0", Run: 1}
 
-func declared(institutions, teams int) *pb.Settings {
+func declaredSettings(institutions, teams int) *pb.Settings {
 	s := &pb.Settings{Version: 1}
 	for i := range institutions {
 		name := institution
@@ -51,15 +51,15 @@
 	return s
 }
 
-func listed(upstreams, nodes int) task.Members {
+func membersOf(upstreams, nodes int) task.Members {
 	m := task.Members{Version: 1}
 	for i := range nodes {
 		m.Nodes = append(m.Nodes, task.Node{Name: fmt.Sprintf("entry-%d", i), FailureDomain: domain})
 	}
 	for i := range upstreams {
 		m.Upstreams = append(m.Upstreams, task.Upstream{
-			Name: fmt.Sprintf("upstream-%05d", i), FailureDomain: domain, Institution: institution, Slots: slotsEach,
-			Worker: fmt.Sprintf("worker-%05d", i), Rack: fmt.Sprintf("rack-%04d", i/slotsEach),
+			Name: fmt.Sprintf("upstream-%05d", i), FailureDomain: domain, Institution: institution, Slots: slotsPerUpstream,
+			Worker: fmt.Sprintf("worker-%05d", i), Rack: fmt.Sprintf("rack-%04d", i/slotsPerUpstream),
 		})
 	}
 	return m
@@ -70,8 +70,8 @@
 	cfg := dispatch.DefaultConfig(self, domain)
 	cfg.MaxQueuedTasks = 1 << 30
 	c := dispatch.New(cfg)
-	c.Step(0, dispatch.SettingsRead{Settings: declared(1, 1)})
-	c.Step(0, dispatch.MembersChanged{Members: listed(upstreams, 1)})
+	c.Step(0, dispatch.SettingsRead{Settings: declaredSettings(1, 1)})
+	c.Step(0, dispatch.MembersChanged{Members: membersOf(upstreams, 1)})
 	c.TakeCommands()
 	return c
 }
@@ -90,20 +90,20 @@
 
 // driver runs jobs through a core whose tasks finish at once.
 type driver struct {
-	core *dispatch.Core
-	now  task.Time
-	last uint64
+	core       *dispatch.Core
+	now        task.Time
+	lastNumber uint64
 }
 
 func (d *driver) run(jobs, tasks int) {
 	output := make([]byte, payloadBytes)
 	for range jobs {
-		d.last++
-		if d.last%1024 == 1 {
+		d.lastNumber++
+		if d.lastNumber%1024 == 1 {
 			d.core.IssueIDs(d.now, 1024)
 		}
 		d.now += time.Millisecond
-		d.core.Step(d.now, dispatch.Submit{Request: d.last, Institution: institution, Submission: submission(d.last, tasks)})
+		d.core.Step(d.now, dispatch.Submit{Request: d.lastNumber, Institution: institution, Submission: submission(d.lastNumber, tasks)})
 		for {
 			commands := d.core.TakeCommands()
 			if len(commands) == 0 {
@@ -128,32 +128,32 @@
 	return time.Since(began)
 }
 
-func micros(d time.Duration, n int) float64 {
+func microseconds(d time.Duration, n int) float64 {
 	return float64(d.Nanoseconds()) / 1e3 / float64(n)
 }
 
 // taskTime: a job's whole course through the core, by its tasks.
 func taskTime() series {
-	s := series{what: "dispatch core, one job", per: "task", unit: "µs"}
+	s := series{name: "dispatch core, one job", per: "task", unit: "µs"}
 	for _, tasks := range []int{1, 10, 50, 200, 980} {
 		jobs := 40_000 / (tasks + 10)
-		took := best(runs, func() time.Duration {
+		took := fastest(runs, func() time.Duration {
 			d := &driver{core: newCore(48)}
 			return timed(func() { d.run(jobs, tasks) })
 		})
-		s.points = append(s.points, point{float64(tasks), micros(took, jobs)})
+		s.points = append(s.points, point{float64(tasks), microseconds(took, jobs)})
 	}
 	return s
 }
 
 // keptAnswers: the memory of ended jobs of one task whose answers are kept.
-func keptAnswers() series {
-	s := series{what: "kept answers (200 B of output)", per: "answer", unit: "B"}
+func retainedResults() series {
+	s := series{name: "kept answers (200 B of output)", per: "answer", unit: "B"}
 	for _, jobs := range []int{2_000, 10_000, 20_000, 40_000} {
 		d := &driver{core: newCore(48)}
-		before := heap()
+		before := liveHeapBytes()
 		d.run(jobs, 1)
-		s.points = append(s.points, point{float64(jobs), heap() - before})
+		s.points = append(s.points, point{float64(jobs), liveHeapBytes() - before})
 		runtime.KeepAlive(d)
 	}
 	return s
@@ -163,28 +163,28 @@
 
 // membersTime: taking in a changed list of VMs.
 func membersTime() series {
-	s := series{what: "taking in the list of VMs", per: "upstream", unit: "µs"}
+	s := series{name: "taking in the list of VMs", per: "upstream", unit: "µs"}
 	for _, n := range upstreamCounts {
 		c := newCore(n)
 		version := uint64(1)
-		took := best(runs, func() time.Duration {
+		took := fastest(runs, func() time.Duration {
 			version++
-			m := listed(n, 1)
+			m := membersOf(n, 1)
 			m.Version = version
 			return timed(func() { c.Step(0, dispatch.MembersChanged{Members: m}) })
 		})
-		s.points = append(s.points, point{float64(n), micros(took, 1)})
+		s.points = append(s.points, point{float64(n), microseconds(took, 1)})
 	}
 	return s
 }
 
 // membersMemory: the account of slots and upstreams.
 func membersMemory() series {
-	s := series{what: "account of upstreams and their 8 slots", per: "upstream", unit: "B"}
+	s := series{name: "account of upstreams and their 8 slots", per: "upstream", unit: "B"}
 	for _, n := range upstreamCounts {
-		before := heap()
+		before := liveHeapBytes()
 		c := newCore(n)
-		s.points = append(s.points, point{float64(n), heap() - before})
+		s.points = append(s.points, point{float64(n), liveHeapBytes() - before})
 		runtime.KeepAlive(c)
 	}
 	return s
@@ -192,10 +192,10 @@
 
 // membersBytes: the list on the wire.
 func membersBytes() series {
-	s := series{what: "list of VMs on the wire", per: "upstream", unit: "B"}
+	s := series{name: "list of VMs on the wire", per: "upstream", unit: "B"}
 	for _, n := range upstreamCounts {
 		list := &platformv1.ListResponse{Version: 1}
-		for _, u := range listed(n, 0).Upstreams {
+		for _, u := range membersOf(n, 0).Upstreams {
 			list.Members = append(list.Members, &platformv1.Member{
 				Name: u.Name, Role: platformv1.Role_ROLE_UPSTREAM, Address: "10.100.200.30:8080", FailureDomain: u.FailureDomain,
 				Worker: u.Worker, Rack: u.Rack, Institution: u.Institution, Slots: u.Slots,
@@ -208,15 +208,15 @@
 
 // placementTime: one task of a single-task job, by upstreams.
 func placementTime() series {
-	s := series{what: "one job of one task, whole course", per: "doubling of upstreams", unit: "µs"}
+	s := series{name: "one job of one task, whole course", per: "doubling of upstreams", unit: "µs"}
 	const jobs = 5_000
 	doublings := 0.0
 	for n := 50; n <= 6400; n *= 2 {
-		took := best(runs, func() time.Duration {
+		took := fastest(runs, func() time.Duration {
 			d := &driver{core: newCore(n)}
 			return timed(func() { d.run(jobs, 1) })
 		})
-		s.points = append(s.points, point{doublings, micros(took, jobs)})
+		s.points = append(s.points, point{doublings, microseconds(took, jobs)})
 		doublings++
 	}
 	return s
@@ -229,7 +229,7 @@
 func statusRound(peers, teams int) (time.Duration, int) {
 	cfg := dispatch.DefaultConfig(self, domain)
 	c := newCore(48)
-	quotas := declared(1, teams)
+	quotas := declaredSettings(1, teams)
 	quotas.Version = 2
 	for _, t := range quotas.Institutions[0].Teams {
 		t.QuotaSlots = teamQuota
@@ -267,11 +267,11 @@
 
 // statusTime: receiving one status, by listed upstreams.
 func statusTime() series {
-	s := series{what: "one status received", per: "upstream", unit: "µs"}
+	s := series{name: "one status received", per: "upstream", unit: "µs"}
 	const statuses = 2_000
 	peer := task.Incarnation{Node: "entry-1", Run: 1}
 	for _, n := range upstreamCounts {
-		took := best(runs, func() time.Duration {
+		took := fastest(runs, func() time.Duration {
 			c := newCore(n)
 			c.Step(0, dispatch.PeerUp{Peer: peer, FailureDomain: domain})
 			return timed(func() {
@@ -282,27 +282,27 @@
 				}
 			})
 		})
-		s.points = append(s.points, point{float64(n), micros(took, statuses)})
+		s.points = append(s.points, point{float64(n), microseconds(took, statuses)})
 	}
 	return s
 }
 
 // peersTime: sending and receiving one round of statuses.
 func peersTime() series {
-	s := series{what: "one round of statuses, core", per: "peer", unit: "µs"}
+	s := series{name: "one round of statuses, core", per: "peer", unit: "µs"}
 	for _, n := range peerCounts {
-		took := best(runs, func() time.Duration {
+		took := fastest(runs, func() time.Duration {
 			d, _ := statusRound(n, 1)
 			return d
 		})
-		s.points = append(s.points, point{float64(n), micros(took, 1)})
+		s.points = append(s.points, point{float64(n), microseconds(took, 1)})
 	}
 	return s
 }
 
 // peersBytes: the statuses sent in one round, before QUIC's own bytes.
 func peersBytes() series {
-	s := series{what: "one round of statuses, payload sent", per: "peer", unit: "B"}
+	s := series{name: "one round of statuses, payload sent", per: "peer", unit: "B"}
 	for _, n := range peerCounts {
 		_, b := statusRound(n, 1)
 		s.points = append(s.points, point{float64(n), float64(b)})
@@ -312,20 +312,20 @@
 
 // quotasTime: one status interval among six peers, by teams with a quota.
 func quotasTime() series {
-	s := series{what: "one status interval among 6 peers, core", per: "team with a quota", unit: "µs"}
+	s := series{name: "one status interval among 6 peers, core", per: "team with a quota", unit: "µs"}
 	for _, n := range teamCounts {
-		took := best(runs, func() time.Duration {
+		took := fastest(runs, func() time.Duration {
 			d, _ := statusRound(6, n)
 			return d
 		})
-		s.points = append(s.points, point{float64(n), micros(took, 1)})
+		s.points = append(s.points, point{float64(n), microseconds(took, 1)})
 	}
 	return s
 }
 
 // quotasBytes: the statuses of one interval to six peers, by teams.
 func quotasBytes() series {
-	s := series{what: "statuses of one interval to 6 peers, payload sent", per: "team with a quota", unit: "B"}
+	s := series{name: "statuses of one interval to 6 peers, payload sent", per: "team with a quota", unit: "B"}
 	for _, n := range teamCounts {
 		_, b := statusRound(6, n)
 		s.points = append(s.points, point{float64(n), float64(b)})
@@ -337,47 +337,47 @@
 
 // teamsTime: checking and putting in force one change of settings.
 func teamsTime() series {
-	s := series{what: "check and put in force one settings change", per: "team", unit: "µs"}
+	s := series{name: "check and put in force one settings change", per: "team", unit: "µs"}
 	for _, n := range teamCounts {
-		d := declared(1, n)
-		took := best(runs, func() time.Duration {
+		d := declaredSettings(1, n)
+		took := fastest(runs, func() time.Duration {
 			return timed(func() { settings.NewState().Offer(d) })
 		})
-		s.points = append(s.points, point{float64(n), micros(took, 1)})
+		s.points = append(s.points, point{float64(n), microseconds(took, 1)})
 	}
 	return s
 }
 
 // teamsBytes: the settings on the wire.
 func teamsBytes() series {
-	s := series{what: "settings on the wire", per: "team", unit: "B"}
+	s := series{name: "settings on the wire", per: "team", unit: "B"}
 	for _, n := range teamCounts {
-		s.points = append(s.points, point{float64(n), float64(proto.Size(declared(1, n)))})
+		s.points = append(s.points, point{float64(n), float64(proto.Size(declaredSettings(1, n)))})
 	}
 	return s
 }
 
 // institutionsTime: one job of one task, by declared institutions.
 func institutionsTime() series {
-	s := series{what: "one job of one task, whole course", per: "institution", unit: "µs"}
+	s := series{name: "one job of one task, whole course", per: "institution", unit: "µs"}
 	const jobs = 5_000
 	for _, n := range []int{1, 5, 20, 50} {
-		took := best(runs, func() time.Duration {
+		took := fastest(runs, func() time.Duration {
 			d := &driver{core: newCore(48)}
-			next := declared(n, 1)
+			next := declaredSettings(n, 1)
 			next.Version = 2
 			d.core.Step(0, dispatch.SettingsRead{Settings: next})
 			d.core.TakeCommands()
 			return timed(func() { d.run(jobs, 1) })
 		})
-		s.points = append(s.points, point{float64(n), micros(took, jobs)})
+		s.points = append(s.points, point{float64(n), microseconds(took, jobs)})
 	}
 	return s
 }
 
 // claimBytes: a transaction of claim rows on the wire.
 func claimBytes() series {
-	s := series{what: "claim transaction on the wire", per: "claim", unit: "B"}
+	s := series{name: "claim transaction on the wire", per: "claim", unit: "B"}
 	for _, n := range []int{1, 10, 50, 100} {
 		req := &platformv1.CommitRequest{}
 		for i := range n {
--- a/bench/stream.go
+++ b/bench/stream.go
@@ -38,16 +38,16 @@
 }
 
 const (
-	maxTasks    = 19
-	medianRun   = 170 * time.Millisecond
-	runSigma    = 0.6
-	minRun      = 20 * time.Millisecond
-	minLong     = 2 * time.Second
-	maxLong     = 5 * time.Second
-	declSigma   = 0.7
-	burstFactor = 3
-	burstEvery  = 10 * time.Second
-	burstLength = time.Second
+	maxTasks      = 19
+	medianRun     = 170 * time.Millisecond
+	runSigma      = 0.6
+	minRun        = 20 * time.Millisecond
+	minStraggler  = 2 * time.Second
+	maxStraggler  = 5 * time.Second
+	declaredSigma = 0.7
+	burstFactor   = 3
+	burstInterval = 10 * time.Second
+	burstLength   = time.Second
 	// DefaultStragglers is the usual part of tasks that take several seconds.
 	DefaultStragglers = 0.03
 )
@@ -55,7 +55,7 @@
 // meanRun is the mean run time of a task.
 func (s Workload) meanRun() float64 {
 	usual := medianRun.Seconds() * math.Exp(runSigma*runSigma/2)
-	long := (minLong + maxLong).Seconds() / 2
+	long := (minStraggler + maxStraggler).Seconds() / 2
 	return (1-s.Stragglers)*usual + s.Stragglers*long
 }
 
@@ -70,8 +70,8 @@
 	if !s.Bursts {
 		return 1
 	}
-	part := burstLength.Seconds() / burstEvery.Seconds()
-	if at%burstEvery < burstLength {
+	part := burstLength.Seconds() / burstInterval.Seconds()
+	if at%burstInterval < burstLength {
 		return burstFactor
 	}
 	return (1 - burstFactor*part) / (1 - part)
@@ -112,12 +112,12 @@
 	usual := max(minRun, lognormal(rng, medianRun, runSigma))
 	run, declared := usual, usual
 	if rng.Float64() < s.Stragglers {
-		run = minLong + time.Duration(rng.Int64N(int64(maxLong-minLong)))
+		run = minStraggler + time.Duration(rng.Int64N(int64(maxStraggler-minStraggler)))
 		if rng.IntN(2) == 0 {
 			declared = run
 		}
 	}
-	return Task{run, max(time.Millisecond, lognormal(rng, declared, declSigma))}
+	return Task{run, max(time.Millisecond, lognormal(rng, declared, declaredSigma))}
 }
 
 func lognormal(rng *rand.Rand, median time.Duration, sigma float64) time.Duration {
--- a/e2e/holders_test.go
+++ b/e2e/holders_test.go
@@ -84,8 +84,8 @@
 
 	// The process that accepted a settlement is killed while the settlement runs. The caller's
 	// connection breaks, and it resubmits the settlement through all other entries and through the
-	// killed process's successor. A second run would pay twice, which takes weeks to put right;
-	// after a false "not run" the caller would pay it once more by hand.
+	// killed process's successor. If the settlement ran twice, a family would wait weeks for its
+	// money; after a false "not run" the caller would pay it by hand as well.
 	It("is killed between resubmissions", func() {
 		own, issued := settlementJob("lot-1", 4, 800), labelJob(4, 800)
 		id, err := d.entries[0].client().NewID(context.Background())
