--- a/bench/reference.go
+++ b/bench/reference.go
@@ -62,10 +62,10 @@
 }
 
 // done records the end of a task at its upstream.
-func (r *reference) done(job int, respond time.Duration) {
+func (r *reference) done(job int, returnDelay time.Duration) {
 	r.unfinished[job]--
 	j := r.jobs[job]
-	response := r.now + respond + r.site.ClientDelay - j.At
+	response := r.now + returnDelay + r.site.ClientDelay - j.At
 	if r.unfinished[job] > 0 || j.At < r.warmup || response > r.limit+2*r.site.ClientDelay {
 		return
 	}
