--- a/bench/clock.go
+++ b/bench/clock.go
@@ -1,7 +1,6 @@
-// Package bench measures policies against each other in virtual time: the
-// same stream of jobs goes to the real decision code of several entry
-// processes, driven by small fakes of the network and the upstreams, and to
-// reference policies that stand in this package alone.
+// Package bench compares scheduling policies in virtual time. The same stream of jobs is given to the
+// real decision code of several entry processes, with small fakes of the network and the upstreams,
+// and to reference policies that exist only in this package.
 package bench
 
 import (
@@ -52,7 +51,7 @@
 	heap.Push(&c.events, event{at, c.seq, run})
 }
 
-// run goes on until a time, or until nothing is left to do.
+// run executes events until the given time, or until none is left.
 func (c *clock) run(until time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		e := heap.Pop(&c.events).(event)
@@ -61,13 +60,13 @@
 	}
 }
 
-// wakeUp ticks a core when its next timer is due.
+// coreTicker calls a core's Tick when its next timer is due.
 type coreTicker struct {
-	// at is the tick that stands; 0 if none does.
+	// at is when the next tick is scheduled; 0 if none is.
 	at time.Duration
 }
 
-// schedule sets the tick for the core's next timer unless one stands already.
+// schedule schedules a tick for the core's next timer unless an earlier or equal one is scheduled.
 func (w *coreTicker) schedule(c *clock, core *dispatch.Core, executeCommands func()) {
 	at, ok := core.NextTimer()
 	if !ok || w.at > c.now && w.at <= at {
--- a/bench/cmd/live/main.go
+++ b/bench/cmd/live/main.go
@@ -1,6 +1,6 @@
-// Command live measures goodput under overload over real sockets: two entry
-// processes' nodes and four runners with the platform's stand-in, all in this
-// process, and callers that come back when they are told to.
+// Command live measures goodput under overload over real sockets. Two entry nodes, four runners and
+// the platform's stand-in run in this process. Callers that are refused submit their jobs again when
+// the answer tells them to.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	runMs           = 100
 	responseLimitMs = 2000
 	callerTimeout   = 8 * time.Second
-	// capacity is the jobs a second that all slots can do.
+	// capacityJobsPerSecond is the number of jobs per second that all slots can run.
 	capacityJobsPerSecond = slots * 1000.0 / (tasks * runMs)
 )
 
@@ -71,14 +71,14 @@
 	return nil
 }
 
-// run is one load with what became of its jobs.
+// run is the measurement of one load, with the outcomes of its jobs.
 type run struct {
 	begin  time.Time
 	length time.Duration
 	jobs   int
 
 	mu sync.Mutex
-	// inTime are the whole answers that came while jobs still arrived.
+	// inTime counts the complete answers that came while jobs still arrived.
 	complete, inTime, gaveUp, other, refusals int
 }
 
@@ -95,8 +95,8 @@
 	all.Wait()
 }
 
-// call submits a job and comes back with it, under a new id, while it is told
-// when.
+// call submits a job. While the job is refused and the answer tells when to retry, it submits the job
+// again under a new id.
 func (r *run) call(ctx context.Context, c *client.Client) {
 	arrived := time.Now()
 	for {
--- a/bench/cmd/overload/main.go
+++ b/bench/cmd/overload/main.go
@@ -1,5 +1,5 @@
-// Command overload measures overload, upstream faults and waves of requests in
-// virtual time and prints Markdown tables.
+// Command overload measures overload, upstream faults, and mass cancellations and resubmissions in
+// virtual time, and prints Markdown tables.
 package main
 
 import (
--- a/bench/compare.go
+++ b/bench/compare.go
@@ -9,10 +9,10 @@
 	"sapphirepoint.example/sapphirepoint/core/dispatch"
 )
 
-// parallel bounds the policies that run at the same time.
+// maxParallel bounds the simulations that run at the same time.
 const maxParallel = 4
 
-// Compare runs the references and policies over the same stream.
+// Compare runs the reference policies and the given policies over the same stream.
 func Compare(site Site, workload Workload, limit time.Duration, policies []Policy) []*Result {
 	jobs := workload.Stream(site)
 	runs := []func() *Result{
@@ -36,8 +36,8 @@
 	return results
 }
 
-// TolerancePolicies is the curve that the institution's terms move along, with the
-// policies that its parts are measured against.
+// TolerancePolicies returns policies with increasing borrow tolerance, and two for comparison: without
+// lending, and with tasks served in the order of their jobs' arrival.
 func TolerancePolicies() []Policy {
 	list := []Policy{
 		{Name: "slots divided, never lent", ChangeConfig: func(c *dispatch.Config) { c.Lending.Off = true }},
--- a/bench/ids.go
+++ b/bench/ids.go
@@ -9,7 +9,7 @@
 
 const idBlock = 1000
 
-// idSource hands out the ids that a core issues, a block at a time.
+// idSource returns the ids that a core issues, in blocks.
 type idSource struct {
 	block *pb.IdBlock
 	used  uint32
--- a/bench/overload.go
+++ b/bench/overload.go
@@ -11,51 +11,51 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// Fault is what an upstream does instead of running its tasks.
+// Fault is a fault of an upstream.
 type Fault uint8
 
-// The faults.
+// The faults of upstreams.
 const (
 	Healthy Fault = iota
-	// FailsAll fails every task within failTime.
+	// FailsAll: every task fails within taskFailureTime.
 	FailsAll
-	// Slow takes slowFactor times as long.
+	// Slow: every task takes slowFactor times as long.
 	Slow
-	// Unreachable can't be reached.
+	// Unreachable: every start fails before it reaches the upstream.
 	Unreachable
-	// Refuses turns every start away.
+	// Refuses: every start is refused.
 	Refuses
 )
 
 const (
 	taskFailureTime = time.Millisecond
 	slowFactor      = 5
-	// patience is how long a caller goes on coming back.
+	// callerTimeout is how long after its arrival a refused job may be submitted again.
 	callerTimeout = 30 * time.Second
 )
 
-// Scenario is a run of the real decision code under load and faults, with
-// callers that come back when they are told to.
+// Scenario is a run of the real decision code under load and faults. Callers that are refused submit
+// their jobs again when the answer tells them to.
 type Scenario struct {
 	Policy   string
 	Site     Site
 	Workload Workload
-	// LoadAt is the offered load at a time, at most Workload.Load; nil means that.
+	// LoadAt returns the offered load at a time, at most Workload.Load; nil means Workload.Load.
 	LoadAt func(at time.Duration) float64
 	// Limit is the contracted response time.
 	Limit time.Duration
-	// OneEntry sends all jobs to one entry process.
+	// OneEntry: all jobs are submitted to one entry process.
 	OneEntry bool
-	// CallersLeave makes refused callers go away instead of coming back.
+	// CallersLeave: refused callers don't submit their jobs again.
 	CallersLeave bool
 	ChangeConfig func(*dispatch.Config)
-	// ChangeSettings alters the declared settings.
+	// ChangeSettings changes the declared settings.
 	ChangeSettings func(*pb.Settings)
-	// Events happen at their times.
+	// Events are actions by the time at which they happen.
 	Events map[time.Duration]func(*Run)
 }
 
-// Run is the state and result of one stress run.
+// Run is the state and result of a Scenario.
 type Run struct {
 	clock
 	Scenario
@@ -66,36 +66,36 @@
 	jobs        []*callerJob
 	lastRequest uint64
 
-	// Total counts from Workload.Warmup to the end of arrivals; PerSecond the jobs
-	// that arrived in each second.
+	// Total counts jobs that arrived between Workload.Warmup and Workload.Length; PerSecond those that
+	// arrived in each second.
 	Total     JobCounts
 	PerSecond []JobCounts
-	// Stops, Forwards and Control count messages since the start.
+	// Stops, Forwards and Control count messages since the start of the run.
 	Stops, Forwards, Control, Refusals, Starts int
 	ratios                                     *Result
-	// held is the slots of running tasks, most the most there were, and area
+	// heldSlots is the number of slots of running tasks, maxHeldSlots its maximum, and heldSlotTime
 	// its integral over time since Workload.Warmup.
 	heldSlots, maxHeldSlots int
 	heldSlotTime            time.Duration
 	heldChangedAt           time.Duration
-	// doubled counts tasks that an upstream began twice.
+	// startedTwice counts starts of tasks that had been started before.
 	startedTwice int
 	startedTasks map[string]bool
 }
 
-// JobCounts is what became of jobs.
+// JobCounts are the outcomes of jobs.
 type JobCounts struct {
 	Jobs, Complete, Failed, GaveUp int
-	// TaskFailures are those of the failed jobs that a failing task ended.
+	// TaskFailures are those of the Failed jobs that failed because a task did.
 	TaskFailures int
-	// RefusedRequests is the requests that were refused.
+	// RefusedRequests is the number of refused requests; a job may be submitted several times.
 	RefusedRequests int
-	// OfferedTime and CompletedTime are the slot time of all and of completed jobs, UsedTime that
-	// of all tasks run.
+	// OfferedTime is the slot time of all jobs, CompletedTime that of completed jobs, and UsedTime
+	// that of all tasks that were run.
 	OfferedTime, CompletedTime, UsedTime time.Duration
 }
 
-// call is one job of a caller with its requests.
+// callerJob is a job of a caller with its requests.
 type callerJob struct {
 	job   Job
 	index int
@@ -122,7 +122,7 @@
 
 type runningTask struct{ stop func() }
 
-// NewRun prepares a run.
+// NewRun prepares a run of a scenario.
 func NewRun(s Scenario) *Run {
 	r := &Run{
 		Scenario: s, rng: rand.New(rand.NewPCG(s.Workload.Seed, 3)), runners: make(map[string]*scenarioRunner),
@@ -158,7 +158,8 @@
 	return r
 }
 
-// members puts each rack's eight upstreams into one failure domain.
+// members returns the site's members with eight upstreams in each rack and each rack in one failure
+// domain.
 func (r *Run) members() task.Members {
 	m := r.Site.members()
 	for i := range m.Upstreams {
@@ -168,7 +169,7 @@
 	return m
 }
 
-// Do runs to the end.
+// Do runs the scenario to the end.
 func (r *Run) Do() *Run {
 	for at, event := range r.Events {
 		r.at(at, func() { event(r) })
@@ -188,7 +189,7 @@
 	return r
 }
 
-// counts are those that a job or a moment belongs to.
+// counts returns the counters for a time: those of its second, and the total if the time is measured.
 func (r *Run) counts(at time.Duration) []*JobCounts {
 	list := []*JobCounts{}
 	if s := int(at / time.Second); s < len(r.PerSecond) {
@@ -216,7 +217,7 @@
 	r.submitNew(c, c.job.Entry)
 }
 
-// try submits a job under a new id.
+// submitNew submits a job under a new id.
 func (r *Run) submitNew(c *callerJob, entry int) {
 	e := r.entries[entry]
 	c.id = e.nextID()
@@ -239,7 +240,7 @@
 	})
 }
 
-// Resubmit sends every open job again, through a random entry process.
+// Resubmit resubmits every unfinished job through a random entry process and returns their number.
 func (r *Run) Resubmit() int {
 	n := 0
 	for _, c := range r.jobs {
@@ -251,7 +252,8 @@
 	return n
 }
 
-// CancelAll cancels every open job where it was submitted.
+// CancelAll cancels every unfinished job through the entry where it was submitted and returns their
+// number.
 func (r *Run) CancelAll() int {
 	n := 0
 	for _, c := range r.jobs {
@@ -270,7 +272,7 @@
 	return n
 }
 
-// Running is the number of tasks that run at present.
+// Running returns the number of tasks that run at present.
 func (r *Run) Running() int {
 	n := 0
 	for _, u := range r.runners {
@@ -279,7 +281,7 @@
 	return n
 }
 
-// SetFault gives upstreams a fault, picked by their place on the list.
+// SetFault sets a fault for the upstreams that pick selects.
 func (r *Run) SetFault(f Fault, pick func(i int, u task.Upstream) bool) {
 	for i, u := range r.members().Upstreams {
 		if pick(i, u) {
@@ -323,7 +325,7 @@
 	if a.GetOutcome() != pb.Outcome_OUTCOME_COMPLETE {
 		return
 	}
-	// Work done counts when it is done, for goodput.
+	// For goodput, the work of a job counts at the time of its completion.
 	for _, n := range r.counts(r.now) {
 		n.CompletedTime += c.job.totalRunTime()
 	}
@@ -435,7 +437,7 @@
 	r.after(took, func() { end(verdict) })
 }
 
-// hold counts a slot taken or given back.
+// addHeldSlots records that slots are taken (n > 0) or released (n < 0).
 func (r *Run) addHeldSlots(n int) {
 	if r.now > r.Workload.Warmup && r.now <= r.Workload.Length {
 		r.heldSlotTime += time.Duration(r.heldSlots) * (r.now - max(r.heldChangedAt, r.Workload.Warmup))
@@ -445,7 +447,7 @@
 	r.maxHeldSlots = max(r.maxHeldSlots, r.heldSlots)
 }
 
-// MeanHeld is the mean number of slots held from Workload.Warmup on.
+// MeanHeld returns the mean number of held slots since Workload.Warmup.
 func (r *Run) MeanHeld() float64 {
 	return r.heldSlotTime.Seconds() / (r.Workload.Length - r.Workload.Warmup).Seconds()
 }
@@ -460,7 +462,7 @@
 	})
 }
 
-// Goodput is the slot time of completed jobs over that of all slots.
+// Goodput returns the slot time of completed jobs divided by that of all slots.
 func (r *Run) Goodput() float64 {
 	span := (r.Workload.Length - r.Workload.Warmup).Seconds()
 	return r.Total.CompletedTime.Seconds() / span / float64(r.Site.totalSlots())
--- a/bench/overload_test.go
+++ b/bench/overload_test.go
@@ -10,7 +10,7 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// small is a quarter of a site, so that these runs stay short.
+// smallSite is a quarter of a site, so that these runs are short.
 func smallSite() Scenarios {
 	s := Scenarios{Site: Hollowell, Seed: 1, Length: 20 * time.Second}
 	s.Site.Upstreams = 12
@@ -18,8 +18,8 @@
 	return s
 }
 
-// Three times as many jobs arrive as can be done. If slots go to jobs that
-// miss their time, fewer kitchens get their labels than at full load.
+// Three times as many jobs arrive as the slots can run. If slots were given to jobs that miss their
+// deadline, fewer jobs would be completed than at full load.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	g := gomega.NewWithT(t)
 	runs := runAll([]Scenario{smallSite().scenario("", 1, nil), smallSite().scenario("", 1.3, nil), smallSite().scenario("", 3, nil)})
@@ -28,8 +28,8 @@
 	}
 }
 
-// One runner fails everything at once. It may cost its first few tasks and the
-// trials, but not a part of all jobs.
+// One runner fails everything at once. Only its first few tasks and the later trial tasks may fail, not a
+// share of all jobs.
 func TestFailingUpstreamCostsFewJobs(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := smallSite().scenario("", 0.8, nil)
@@ -41,9 +41,9 @@
 	g.Expect(r.Total.Jobs).To(gomega.BeNumerically(">", 400))
 }
 
-// An institution may hold half of the slots and asks for all of them, through
-// three entry processes and then through one. It must never hold more, and the
-// unused shares of the others must reach the one.
+// An institution may hold half of the slots and asks for all of them, first through three entry
+// processes and then through one. It must never hold more than its ceiling, and the one entry must be
+// able to use the unused shares of the others.
 func TestCeilingIsKeptAndUsed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, one := range []bool{false, true} {
@@ -59,8 +59,8 @@
 	}
 }
 
-// A power cut ends the rush and every caller cancels at once. One message for
-// each running task must do, and none for those that wait.
+// All callers cancel at once. This may cost at most one message for each running task and none for
+// each waiting task.
 func TestCancellationWaveCostsOneMessageATask(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := smallSite().scenario("", 1.3, nil)
@@ -71,5 +71,5 @@
 	}
 	NewRun(s).Do()
 	g.Expect(cancelled).To(gomega.BeNumerically(">", 50))
-	g.Expect(after-before).To(gomega.BeNumerically("<=", running+5), "a few start and end within the 20 ms")
+	g.Expect(after-before).To(gomega.BeNumerically("<=", running+5), "a few tasks start and end within the 20 ms")
 }
--- a/bench/reference.go
+++ b/bench/reference.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// waiting is a task in the ideal queue.
+// queuedTask is a task in the ideal queue.
 type queuedTask struct {
 	priority time.Duration
 	seq      int
@@ -56,12 +56,12 @@
 	return r
 }
 
-// late says whether a job's time has passed.
+// pastDeadline reports whether a job's response time limit has passed.
 func (r *reference) pastDeadline(job int) bool {
 	return r.now > r.jobs[job].At+r.limit
 }
 
-// done records the end of a task at its upstream.
+// done records the end of a task; the job is complete when its last task is done.
 func (r *reference) done(job int, returnDelay time.Duration) {
 	r.unfinished[job]--
 	j := r.jobs[job]
@@ -72,8 +72,8 @@
 	r.result.complete(response, r.site.ideal(j))
 }
 
-// IdealQueue is the lower limit: one first-come queue over all slots that
-// knows at once of every arrival and every end, and sends no message for it.
+// IdealQueue is the lower bound: one first-come queue over all slots that learns of each arrival and
+// each end at once and without messages.
 func IdealQueue(site Site, workload Workload, limit time.Duration, jobs []Job) *Result {
 	r := newReference("one ideal first-come queue", site, workload, limit, jobs)
 	var queue taskHeap
@@ -107,13 +107,12 @@
 	return r.result
 }
 
-// choice is the state of the policies that pick an upstream without owning a
-// slot.
+// randomPolicy is the state of the policies that pick upstreams at random without owning slots.
 type randomPolicy struct {
 	*reference
 	rng  *rand.Rand
 	busy []int
-	// known is what each entry last heard of each upstream's load.
+	// knownLoad is the load of each upstream that each entry last learned.
 	knownLoad [][]int
 	pick      func(entry int) int
 }
@@ -123,16 +122,16 @@
 	retryMax  = 500 * time.Millisecond
 )
 
-// RandomChoice sends each task to a random upstream, and again to another
-// after a back-off when it is refused.
+// RandomChoice sends each task to a random upstream. If the task is refused, it is sent to another
+// one after a backoff.
 func RandomChoice(site Site, workload Workload, limit time.Duration, jobs []Job) *Result {
 	c := newRandomPolicy("random, refused and retried", site, workload, limit, jobs)
 	c.pick = func(int) int { return c.rng.IntN(site.Upstreams) }
 	return c.measure(workload)
 }
 
-// LeastOfTwo sends each task to the less loaded of two random upstreams, by
-// the load that came with the last answer.
+// LeastOfTwo sends each task to the less loaded of two random upstreams, by the load that the last
+// answers reported.
 func LeastOfTwo(site Site, workload Workload, limit time.Duration, jobs []Job) *Result {
 	c := newRandomPolicy("least loaded of two", site, workload, limit, jobs)
 	c.pick = func(entry int) int {
--- a/bench/scenarios.go
+++ b/bench/scenarios.go
@@ -12,7 +12,7 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// Scenarios prints the tables of overload and upstream faults.
+// Scenarios runs scenarios of overload and upstream faults and prints their results as tables.
 type Scenarios struct {
 	Site   Site
 	Seed   uint64
@@ -20,7 +20,7 @@
 	Out    io.Writer
 }
 
-// stressLimit is the contracted response time in these runs.
+// responseLimit is the contracted response time in these runs.
 const responseLimit = 5 * time.Second
 
 func (s Scenarios) scenario(policy string, load float64, change func(*dispatch.Config)) Scenario {
@@ -43,7 +43,7 @@
 
 func withoutHealth(c *dispatch.Config) { c.Health.Off = true }
 
-// all runs stresses side by side.
+// runAll runs scenarios concurrently.
 func runAll(list []Scenario) []*Run {
 	runs := make([]*Run, len(list))
 	var group errgroup.Group
@@ -60,7 +60,7 @@
 
 func percent(n, of int) float64 { return 100 * float64(n) / float64(max(of, 1)) }
 
-// Overload is goodput by load, with admission and without.
+// Overload prints the goodput by load, with and without admission control.
 func (s Scenarios) Overload() {
 	var list []Scenario
 	for _, load := range []float64{0.8, 0.95, 1.0, 1.3, 3.0} {
@@ -77,7 +77,7 @@
 	}
 }
 
-// Burst is what jobs meet that arrive in the seconds after a burst of 300%.
+// Burst prints the outcomes of jobs that arrive in the seconds after a burst of 300%.
 func (s Scenarios) Burst() {
 	const before, length = 20 * time.Second, 10 * time.Second
 	load := func(at time.Duration) float64 {
@@ -115,7 +115,7 @@
 	}
 }
 
-// Faults is what upstreams that go wrong cost, with health and without.
+// Faults prints the cost of faulty upstreams, with and without health checks.
 func (s Scenarios) Faults() {
 	at := s.Length / 4
 	faults := []struct {
@@ -152,8 +152,8 @@
 	}
 }
 
-// Ceiling is what a ceiling of half of the slots lets run, with the callers at
-// all entry processes alike and at one of them.
+// Ceiling prints the use of a ceiling of half of the slots, with the callers spread over all entry
+// processes and with all of them at one.
 func (s Scenarios) Ceiling() {
 	ceiling := s.Site.totalSlots() / 2
 	var list []Scenario
@@ -175,7 +175,7 @@
 	}
 }
 
-// Waves is the messages that mass cancellations and resubmissions cost.
+// Waves prints the messages that mass cancellations and resubmissions cost.
 func (s Scenarios) Waves() {
 	at := s.Length / 2
 	type wave struct{ jobs, running, stops, forwards, starts int }
--- a/bench/simulate.go
+++ b/bench/simulate.go
@@ -10,15 +10,15 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// drainTime is how long a run goes on after the last arrival.
+// drainTime is how long a run continues after the last arrival.
 const drainTime = 60 * time.Second
 
-// Policy is a setting of the real decision code.
+// Policy is a configuration of the real decision code.
 type Policy struct {
 	Name string
-	// Tolerance is borrow_tolerance_ms of the institution's terms.
+	// Tolerance is borrow_tolerance_ms in the institution's terms.
 	Tolerance time.Duration
-	// ChangeConfig alters the configuration of each process.
+	// ChangeConfig changes the configuration of each process.
 	ChangeConfig func(*dispatch.Config)
 }
 
@@ -33,7 +33,7 @@
 	entries []*entry
 	byName  map[string]*entry
 	runners map[string]*runner
-	// apart says that the first domain is cut off from the others.
+	// partitioned: the first domain can't reach the others.
 	partitioned bool
 }
 
@@ -54,7 +54,7 @@
 	busy   int
 }
 
-// SimulateDispatch runs a stream through the real decision code.
+// SimulateDispatch runs a stream of jobs through the real decision code.
 func SimulateDispatch(p Policy, site Site, workload Workload, limit time.Duration, jobs []Job) *Result {
 	f := newFleet(p, site, workload, limit, jobs)
 	for i, j := range jobs {
@@ -72,7 +72,7 @@
 	return f.result
 }
 
-// cut parts the first domain from the others, or joins them again.
+// setPartitioned begins or ends a network partition between the first domain and the others.
 func (f *fleet) setPartitioned(partitioned bool) {
 	f.partitioned = partitioned
 	for _, e := range f.entries {
@@ -146,7 +146,7 @@
 	}}}
 }
 
-// payload names a task to the fake upstreams.
+// payload encodes the job and index of a task for the fake upstreams.
 func payload(job, index int) []byte {
 	return binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(nil, uint32(job)), uint32(index))
 }
@@ -231,8 +231,8 @@
 	})
 }
 
-// waste is where a message is counted: nowhere while the run warms up or when
-// no more jobs arrive.
+// currentWaste returns where a message is counted at present. Messages during the warm-up and after
+// the last arrival aren't counted.
 func (f *fleet) currentWaste() *Waste {
 	if f.now < f.warmup || f.now > f.jobs[len(f.jobs)-1].At {
 		return &Waste{}
--- a/bench/site.go
+++ b/bench/site.go
@@ -7,23 +7,22 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// Site is one institution's places: what stands where, and how far apart.
+// Site is an institution's deployment: its processes and the network delays between them.
 type Site struct {
 	Name    string
 	Domains []string
-	// Entries is the number of entry processes over all domains.
+	// Entries is the number of entry processes in all domains.
 	Entries   int
 	Upstreams int
 	Slots     int
-	// One-way delays.
-	// ByDomain makes jobs arrive at each domain in proportion to its slots;
-	// otherwise each entry process gets the same part.
+	// ByDomain: jobs arrive at each domain in proportion to its slots. Otherwise each entry process
+	// gets the same share.
 	ByDomain                                        bool
+	// One-way network delays.
 	ClientDelay, InterDomainDelay, IntraDomainDelay time.Duration
 }
 
-// Hollowell and Kandy are the two deployments of today. The delay within a
-// domain is assumed.
+// Hollowell and Kandy are the two deployments in use. Their IntraDomainDelay is assumed.
 var (
 	Hollowell = Site{
 		Name: "hollowell", Domains: []string{"loughborough", "melton", "hinckley"},
@@ -49,12 +48,12 @@
 	return s.InterDomainDelay
 }
 
-// network is the least time that the network takes of a response.
+// network is the minimal network time of a response.
 func (s Site) network() time.Duration {
 	return 2 * (s.ClientDelay + s.IntraDomainDelay)
 }
 
-// ideal is the response of a job that has everything to itself.
+// ideal is the response time of a job that doesn't wait for any slot.
 func (s Site) ideal(j Job) time.Duration {
 	return j.longest() + s.network()
 }
--- a/bench/slopes/control.go
+++ b/bench/slopes/control.go
@@ -17,30 +17,29 @@
 )
 
 const (
-	// controlSpan is how long each idle deployment is watched.
+	// measureDuration is how long each idle deployment is measured.
 	measureDuration = 8 * time.Second
-	// controlSettle lets the handshakes and QUIC's search for the path's
-	// packet size end first.
+	// settleDuration lets the handshakes and QUIC's path MTU discovery end before the measurement.
 	settleDuration  = 5 * time.Second
 	udpIPHeader     = 28
 	settingsChanges = 20
 )
 
-// control is the cost of one idle node among others.
+// control is the control cost of one idle node in a deployment.
 type control struct {
 	nodes int
-	// core is the share of a processor core, bytes the UDP and IP bytes sent
-	// and received a second.
+	// core is the share of a CPU core; bytes is the number of UDP and IP bytes sent and received per
+	// second.
 	core, bytes float64
-	// platform is the TCP payload exchanged with the platform a second.
+	// platform is the TCP payload exchanged with the platform, in bytes per second.
 	platform float64
-	// inForce is the longest of several times from an operator's accepted call
-	// until the change was in force at every node.
+	// inForce is the longest time from an operator's accepted call until the change was in force at
+	// every node, of several changes.
 	inForce time.Duration
 }
 
-// measureControl watches an idle deployment of the given size in this process:
-// two failure domains, two runners each. The platform's stand-in is included.
+// measureControl measures an idle deployment of the given size in this process, with two failure
+// domains and two runners in each. The CPU time includes that of the platform's stand-in.
 func measureControl(nodes int) (control, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -66,8 +65,8 @@
 	return c, err
 }
 
-// slowestChange applies settings at one node after another and watches the
-// others.
+// slowestSettingsChange applies settings at one node after another, and returns the longest time until
+// all nodes had a change in force.
 func slowestSettingsChange(ctx context.Context, cluster *standin.Cluster) (time.Duration, error) {
 	var slowest time.Duration
 	for i := range settingsChanges {
@@ -98,7 +97,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// traffic is the bytes of all nodes, sent and received, with headers.
+// peerTraffic returns the bytes that all nodes have sent and received, with headers.
 func peerTraffic(c *standin.Cluster) float64 {
 	total := 0.0
 	for _, e := range c.Entries {
@@ -108,7 +107,7 @@
 	return total
 }
 
-// controlSlopes measures idle deployments of growing size.
+// controlSlopes measures idle deployments of increasing size.
 func controlSlopes() ([]series, error) {
 	inForce := series{name: "slowest of 20 settings changes, in force everywhere", per: "peer", unit: "ms"}
 	core := series{name: "idle node among peers, real sockets", per: "peer", unit: "% of a core"}
--- a/bench/slopes/main.go
+++ b/bench/slopes/main.go
@@ -1,6 +1,5 @@
-// Command slopes measures how the cost of an entry process grows with what it
-// handles, and prints the fitted lines as a Markdown table. The lines carry
-// docs/CAPACITY.md.
+// Command slopes measures how the cost of an entry process grows with its load and the size of the
+// deployment, and prints fitted lines as a Markdown table. docs/CAPACITY.md is based on them.
 package main
 
 import (
@@ -25,10 +24,10 @@
 	points          []point
 }
 
-// line is a fitted straight line with its error.
+// fittedLine is a straight line fitted to measurements, with its error.
 type fittedLine struct {
 	intercept, slope, r2 float64
-	// worst is the largest deviation from the line over the measured value.
+	// maxDeviation is the largest deviation from the line, relative to the measured value.
 	maxDeviation float64
 }
 
@@ -39,8 +38,8 @@
 		xs[i], ys[i] = p.x, p.y
 	}
 	l := fittedLine{}
-	// Weighting by the inverse square makes the relative errors comparable, so
-	// that the small sizes count as much as the large ones.
+	// Weighting by the inverse square of the value makes the fit minimize relative errors, so that
+	// small sizes count as much as large ones.
 	weights := make([]float64, len(ys))
 	for i, y := range ys {
 		weights[i] = 1 / (y * y)
@@ -68,7 +67,7 @@
 		s.name, s.per, l.slope, s.unit, l.intercept, s.unit, r2, 100*l.maxDeviation, points)
 }
 
-// best is the least of several runs: noise on a shared machine only adds.
+// fastest returns the shortest of several runs, since noise on a shared machine only adds time.
 func fastest(runs int, f func() time.Duration) time.Duration {
 	shortest := time.Duration(math.MaxInt64)
 	for range runs {
@@ -78,7 +77,7 @@
 	return shortest
 }
 
-// heap is the live heap in bytes.
+// liveHeapBytes returns the size of the live heap after garbage collection.
 func liveHeapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -102,7 +101,7 @@
 	}
 }
 
-// printCore measures the decision code alone.
+// printCore measures the decision code without sockets.
 func printCore() {
 	for _, measure := range []func() series{
 		taskTime, retainedResults, membersTime, membersMemory, membersBytes, placementTime,
--- a/bench/slopes/measure.go
+++ b/bench/slopes/measure.go
@@ -24,7 +24,7 @@
 	runs             = 5
 	payloadBytes     = 200
 	day              = 24 * time.Hour
-	// teamQuota is below the slots of the upstreams, so that it binds.
+	// teamQuota is below the number of slots, so that it takes effect.
 	teamQuota = 100
 )
 
@@ -65,7 +65,7 @@
 	return m
 }
 
-// newCore returns a core with settings and members that owns every slot.
+// newCore returns a core with settings and members, which owns all slots.
 func newCore(upstreams int) *dispatch.Core {
 	cfg := dispatch.DefaultConfig(self, domain)
 	cfg.MaxQueuedTasks = 1 << 30
@@ -88,7 +88,7 @@
 	return s
 }
 
-// driver runs jobs through a core whose tasks finish at once.
+// driver runs jobs through a core. Each task finishes as soon as it is started.
 type driver struct {
 	core       *dispatch.Core
 	now        task.Time
@@ -132,7 +132,7 @@
 	return float64(d.Nanoseconds()) / 1e3 / float64(n)
 }
 
-// taskTime: a job's whole course through the core, by its tasks.
+// taskTime measures a whole job in the core, by its number of tasks.
 func taskTime() series {
 	s := series{name: "dispatch core, one job", per: "task", unit: "µs"}
 	for _, tasks := range []int{1, 10, 50, 200, 980} {
@@ -146,7 +146,7 @@
 	return s
 }
 
-// keptAnswers: the memory of ended jobs of one task whose answers are kept.
+// retainedResults measures the memory of ended jobs of one task whose results are retained.
 func retainedResults() series {
 	s := series{name: "kept answers (200 B of output)", per: "answer", unit: "B"}
 	for _, jobs := range []int{2_000, 10_000, 20_000, 40_000} {
@@ -161,7 +161,7 @@
 
 var upstreamCounts = []int{48, 500, 2000, 6700}
 
-// membersTime: taking in a changed list of VMs.
+// membersTime measures the processing of a changed list of VMs.
 func membersTime() series {
 	s := series{name: "taking in the list of VMs", per: "upstream", unit: "µs"}
 	for _, n := range upstreamCounts {
@@ -178,7 +178,7 @@
 	return s
 }
 
-// membersMemory: the account of slots and upstreams.
+// membersMemory measures the core's state of slots and upstreams.
 func membersMemory() series {
 	s := series{name: "account of upstreams and their 8 slots", per: "upstream", unit: "B"}
 	for _, n := range upstreamCounts {
@@ -190,7 +190,7 @@
 	return s
 }
 
-// membersBytes: the list on the wire.
+// membersBytes measures the list of VMs on the wire.
 func membersBytes() series {
 	s := series{name: "list of VMs on the wire", per: "upstream", unit: "B"}
 	for _, n := range upstreamCounts {
@@ -206,7 +206,7 @@
 	return s
 }
 
-// placementTime: one task of a single-task job, by upstreams.
+// placementTime measures a job of one task, by the number of upstreams.
 func placementTime() series {
 	s := series{name: "one job of one task, whole course", per: "doubling of upstreams", unit: "µs"}
 	const jobs = 5_000
@@ -224,8 +224,8 @@
 
 var peerCounts = []int{6, 20, 50, 100, 200}
 
-// statusRound connects peers and runs one status interval, with every peer's
-// status arriving once; it returns the time taken and the bytes sent.
+// statusRound connects peers and runs status intervals, in each of which every peer's status arrives
+// once. It returns the mean time taken and the mean number of bytes sent in an interval.
 func statusRound(peers, teams int) (time.Duration, int) {
 	cfg := dispatch.DefaultConfig(self, domain)
 	c := newCore(48)
@@ -265,7 +265,7 @@
 	return took / rounds, bytes / rounds
 }
 
-// statusTime: receiving one status, by listed upstreams.
+// statusTime measures the receipt of one status, by the number of upstreams.
 func statusTime() series {
 	s := series{name: "one status received", per: "upstream", unit: "µs"}
 	const statuses = 2_000
@@ -287,7 +287,7 @@
 	return s
 }
 
-// peersTime: sending and receiving one round of statuses.
+// peersTime measures sending and receiving one round of statuses.
 func peersTime() series {
 	s := series{name: "one round of statuses, core", per: "peer", unit: "µs"}
 	for _, n := range peerCounts {
@@ -300,7 +300,7 @@
 	return s
 }
 
-// peersBytes: the statuses sent in one round, before QUIC's own bytes.
+// peersBytes measures the statuses sent in one round, without QUIC's own bytes.
 func peersBytes() series {
 	s := series{name: "one round of statuses, payload sent", per: "peer", unit: "B"}
 	for _, n := range peerCounts {
@@ -310,7 +310,7 @@
 	return s
 }
 
-// quotasTime: one status interval among six peers, by teams with a quota.
+// quotasTime measures one status interval with six peers, by the number of teams with a quota.
 func quotasTime() series {
 	s := series{name: "one status interval among 6 peers, core", per: "team with a quota", unit: "µs"}
 	for _, n := range teamCounts {
@@ -323,7 +323,7 @@
 	return s
 }
 
-// quotasBytes: the statuses of one interval to six peers, by teams.
+// quotasBytes measures the statuses of one interval to six peers, by the number of teams.
 func quotasBytes() series {
 	s := series{name: "statuses of one interval to 6 peers, payload sent", per: "team with a quota", unit: "B"}
 	for _, n := range teamCounts {
@@ -335,7 +335,7 @@
 
 var teamCounts = []int{10, 100, 480, 1000}
 
-// teamsTime: checking and putting in force one change of settings.
+// teamsTime measures the check and application of one settings change.
 func teamsTime() series {
 	s := series{name: "check and put in force one settings change", per: "team", unit: "µs"}
 	for _, n := range teamCounts {
@@ -348,7 +348,7 @@
 	return s
 }
 
-// teamsBytes: the settings on the wire.
+// teamsBytes measures the settings on the wire.
 func teamsBytes() series {
 	s := series{name: "settings on the wire", per: "team", unit: "B"}
 	for _, n := range teamCounts {
@@ -357,7 +357,7 @@
 	return s
 }
 
-// institutionsTime: one job of one task, by declared institutions.
+// institutionsTime measures a job of one task, by the number of declared institutions.
 func institutionsTime() series {
 	s := series{name: "one job of one task, whole course", per: "institution", unit: "µs"}
 	const jobs = 5_000
@@ -375,7 +375,7 @@
 	return s
 }
 
-// claimBytes: a transaction of claim rows on the wire.
+// claimBytes measures a transaction of claim rows on the wire.
 func claimBytes() series {
 	s := series{name: "claim transaction on the wire", per: "claim", unit: "B"}
 	for _, n := range []int{1, 10, 50, 100} {
--- a/bench/stream.go
+++ b/bench/stream.go
@@ -6,26 +6,25 @@
 	"time"
 )
 
-// Workload is what a stream of jobs looks like.
+// Workload describes a stream of jobs.
 type Workload struct {
-	// Load is the offered part of all slots' time; 1 is capacity.
+	// Load is the offered load as a share of all slots' time; 1 is capacity.
 	Load float64
-	// Bursts makes jobs arrive at three times the mean rate for a second in
-	// every ten, and less in between.
+	// Bursts: for one second in every ten, jobs arrive at three times the mean rate, and at a lower
+	// rate in between.
 	Bursts bool
-	// Stragglers is the part of tasks that take several seconds.
+	// Stragglers is the share of tasks that take several seconds.
 	Stragglers float64
-	// Length is the span in which jobs arrive; the first Warmup of it isn't
-	// measured.
+	// Length is the time in which jobs arrive. Its first part, Warmup, isn't measured.
 	Length, Warmup time.Duration
-	// PartitionFrom and PartitionUntil bound a time in which the first domain's entry
-	// processes reach no others. Jobs go on arriving everywhere.
+	// Between PartitionFrom and PartitionUntil the entry processes of the first domain can't reach the
+	// others. Jobs still arrive everywhere.
 	PartitionFrom, PartitionUntil time.Duration
-	// Seed gives the stream.
+	// Seed determines the stream.
 	Seed uint64
 }
 
-// Task is one task with its real and its declared run time.
+// Task is a task with its actual and its declared run time.
 type Task struct {
 	Run, Declared time.Duration
 }
@@ -48,7 +47,7 @@
 	burstFactor   = 3
 	burstInterval = 10 * time.Second
 	burstLength   = time.Second
-	// DefaultStragglers is the usual part of tasks that take several seconds.
+	// DefaultStragglers is the usual share of tasks that take several seconds.
 	DefaultStragglers = 0.03
 )
 
@@ -59,13 +58,13 @@
 	return (1-s.Stragglers)*usual + s.Stragglers*long
 }
 
-// rate is the mean number of jobs a second.
+// rate is the mean number of jobs per second.
 func (s Workload) rate(slots int) float64 {
 	meanTasks := float64(1+maxTasks) / 2
 	return s.Load * float64(slots) / (meanTasks * s.meanRun())
 }
 
-// rateAt is the rate relative to the mean at a time.
+// rateAt is the arrival rate at a time, relative to the mean.
 func (s Workload) rateAt(at time.Duration) float64 {
 	if !s.Bursts {
 		return 1
@@ -77,7 +76,7 @@
 	return (1 - burstFactor*part) / (1 - part)
 }
 
-// Stream draws the jobs that arrive at a site.
+// Stream returns the jobs that arrive at a site, at random times.
 func (s Workload) Stream(site Site) []Job {
 	rng := rand.New(rand.NewPCG(s.Seed, 1))
 	peak := s.rate(site.totalSlots())
@@ -106,8 +105,8 @@
 	return j
 }
 
-// drawTask draws a task. Half of the long ones are declared as if they were
-// usual ones, and all declarations are off by a factor of two and more.
+// drawTask draws a task. Half of the long tasks are declared with a usual run time, and all declared
+// run times are off by a random factor, often of two or more.
 func (s Workload) drawTask(rng *rand.Rand) Task {
 	usual := max(minRun, lognormal(rng, medianRun, runSigma))
 	run, declared := usual, usual
@@ -124,7 +123,7 @@
 	return time.Duration(float64(median) * math.Exp(sigma*rng.NormFloat64()))
 }
 
-// longest is the run time of the slowest task.
+// longest is the run time of the longest task.
 func (j Job) longest() time.Duration {
 	var d time.Duration
 	for _, t := range j.Tasks {
