--- a/bench/cmd/live/main.go
+++ b/bench/cmd/live/main.go
@@ -40,7 +40,7 @@
 		},
 	}
 	cmd.Flags().DurationVar(&length, "length", 10*time.Second, "time in which jobs arrive, for each load")
-	cmd.Flags().Float64SliceVar(&loads, "load", []float64{0.8, 1, 1.3, 3}, "offered load, as parts of capacity")
+	cmd.Flags().Float64SliceVar(&loads, "load", []float64{0.8, 1, 1.3, 3}, "offered load, as shares of capacity")
 	if err := cmd.ExecuteContext(context.Background()); err != nil {
 		os.Exit(1)
 	}
@@ -61,7 +61,7 @@
 	for _, e := range cluster.Entries {
 		clients = append(clients, client.New(client.Config{URL: "http://" + e.CallerAddress(), Token: standin.Token}))
 	}
-	fmt.Print("| load | jobs | goodput | whole answers | refused for good | other ends | refusals a job |\n|---|---|---|---|---|---|---|\n")
+	fmt.Print("| load | jobs | goodput | complete answers | given up after refusals | other outcomes | refusals per job |\n|---|---|---|---|---|---|---|\n")
 	for _, load := range loads {
 		r := &run{begin: time.Now(), length: length}
 		r.offer(ctx, clients, load)
--- a/bench/cmd/overload/main.go
+++ b/bench/cmd/overload/main.go
@@ -18,7 +18,7 @@
 	kandy := false
 	cmd := &cobra.Command{
 		Use:   "overload",
-		Short: "Measure overload, upstream faults and waves of requests in virtual time",
+		Short: "Measure overload, upstream faults, mass cancellations and resubmissions in virtual time",
 		Run: func(*cobra.Command, []string) {
 			if kandy {
 				s.Site = bench.Kandy
@@ -29,9 +29,9 @@
 			}{
 				{"overload", "Goodput under overload", s.Overload},
 				{"burst", "After a burst of 300% for 10 s, else 70%", s.Burst},
-				{"faults", "Upstreams that go wrong, at 80%", s.Faults},
+				{"faults", "Faulty upstreams, at 80%", s.Faults},
 				{"ceiling", "A ceiling of half of the slots, at 100%", s.Ceiling},
-				{"waves", "Waves of requests", s.Waves},
+				{"waves", "Mass cancellations and resubmissions", s.Waves},
 			} {
 				if only != "" && only != part.name {
 					continue
@@ -43,7 +43,7 @@
 	}
 	cmd.Flags().Uint64Var(&s.Seed, "seed", 1, "seed of the stream")
 	cmd.Flags().DurationVar(&s.Length, "length", 60*time.Second, "virtual time in which jobs arrive")
-	cmd.Flags().BoolVar(&kandy, "kandy", false, "the second deployment instead of the first")
+	cmd.Flags().BoolVar(&kandy, "kandy", false, "measure the second deployment instead of the first")
 	cmd.Flags().StringVar(&only, "only", "", "overload, burst, faults, ceiling or waves")
 	if err := cmd.Execute(); err != nil {
 		os.Exit(1)
--- a/bench/cmd/placement/main.go
+++ b/bench/cmd/placement/main.go
@@ -19,7 +19,7 @@
 	site := bench.Hollowell
 	limit := 30 * time.Second
 	kandy, byDomain, bursts := false, false, false
-	var cut time.Duration
+	var partition time.Duration
 	cmd := &cobra.Command{
 		Use:   "placement",
 		Short: "Compare placement policies in virtual time",
@@ -31,8 +31,8 @@
 			for _, load := range loads {
 				workload := bench.Workload{Load: load, Stragglers: bench.DefaultStragglers, Length: length, Warmup: length / 10, Seed: seed}
 				workload.Bursts = bursts
-				if cut > 0 {
-					workload.PartitionFrom, workload.PartitionUntil = length/2, length/2+cut
+				if partition > 0 {
+					workload.PartitionFrom, workload.PartitionUntil = length/2, length/2+partition
 				}
 				fmt.Printf("\nLoad %.0f%%, seed %d, %v of arrivals:\n\n%s", load*100, seed, length, bench.Header)
 				for _, r := range bench.Compare(site, workload, limit, bench.TolerancePolicies()) {
@@ -45,11 +45,11 @@
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "seed of the stream")
 	cmd.Flags().DurationVar(&length, "length", 200*time.Second, "virtual time in which jobs arrive")
 	cmd.Flags().DurationVar(&limit, "limit", limit, "contracted response time")
-	cmd.Flags().BoolVar(&kandy, "kandy", false, "the second deployment instead of the first")
-	cmd.Flags().BoolVar(&byDomain, "by-domain", false, "jobs arrive at each domain in proportion to its slots, not evenly at the VMs")
-	cmd.Flags().BoolVar(&bursts, "bursts", false, "three times the mean rate for a second in every ten")
-	cmd.Flags().DurationVar(&cut, "cut", 0, "time for which the first domain's VMs reach no others, from the middle on")
-	cmd.Flags().Float64SliceVar(&loads, "load", []float64{0.5, 0.8, 0.95}, "offered load, as parts of capacity")
+	cmd.Flags().BoolVar(&kandy, "kandy", false, "measure the second deployment instead of the first")
+	cmd.Flags().BoolVar(&byDomain, "by-domain", false, "let jobs arrive at each domain in proportion to its slots, not evenly at the VMs")
+	cmd.Flags().BoolVar(&bursts, "bursts", false, "let jobs arrive at three times the mean rate for a second in every ten")
+	cmd.Flags().DurationVar(&partition, "cut", 0, "length of a network partition between the first domain and the others, from the middle on")
+	cmd.Flags().Float64SliceVar(&loads, "load", []float64{0.5, 0.8, 0.95}, "offered load, as shares of capacity")
 	if err := cmd.Execute(); err != nil {
 		os.Exit(1)
 	}
--- a/bench/result.go
+++ b/bench/result.go
@@ -74,7 +74,7 @@
 func (r *Result) Wasted() float64 { return r.perTask(r.Waste.Total()) }
 
 // Header is the header of a Markdown table of results.
-const Header = "| policy | mean | p50 | p99 | worst | whole answers | refusals | requests | grants | returns | control | other | wasted a task |\n" +
+const Header = "| policy | mean | p50 | p99 | worst | complete answers | refusals | requests | grants | returns | control | other | wasted per task |\n" +
 	"|---|---|---|---|---|---|---|---|---|---|---|---|---|\n"
 
 // Row returns the result as a row of a Markdown table.
--- a/bench/scenarios.go
+++ b/bench/scenarios.go
@@ -64,11 +64,11 @@
 func (s Scenarios) Overload() {
 	var list []Scenario
 	for _, load := range []float64{0.8, 0.95, 1.0, 1.3, 3.0} {
-		list = append(list, s.scenario("short waits when they stand", load, nil))
-		list = append(list, s.scenario("waits up to half of the time", load, longQueueing))
-		list = append(list, s.scenario("every job taken on", load, admitAll))
+		list = append(list, s.scenario("lower wait limit while overload lasts", load, nil))
+		list = append(list, s.scenario("one wait limit, half of the time", load, longQueueing))
+		list = append(list, s.scenario("every job admitted", load, admitAll))
 	}
-	fmt.Fprint(s.Out, "| load | policy | goodput | whole answers | failed | refused for good | refusals a job | slot time spent for nothing | mean | p99 | wasted starts a task |\n|---|---|---|---|---|---|---|---|---|---|---|\n")
+	fmt.Fprint(s.Out, "| load | policy | goodput | complete answers | failed | given up after refusals | refusals per job | slot time wasted | mean | p99 | wasted starts per task |\n|---|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, r := range runAll(list) {
 		t := r.Total
 		fmt.Fprintf(s.Out, "| %.0f%% | %s | %.1f%% | %.1f%% | %.2f%% | %.1f%% | %.2f | %.1f%% | %.2f | %.1f | %.4f |\n",
@@ -88,14 +88,14 @@
 	}
 	var list []Scenario
 	for _, leave := range []bool{true, false} {
-		for _, p := range []Scenario{s.scenario("short waits when they stand", 3, nil), s.scenario("every job taken on", 3, admitAll)} {
+		for _, p := range []Scenario{s.scenario("lower wait limit while overload lasts", 3, nil), s.scenario("every job admitted", 3, admitAll)} {
 			p.LoadAt, p.CallersLeave = load, leave
 			list = append(list, p)
 		}
 	}
-	fmt.Fprint(s.Out, "| policy | refused callers | whole answers of jobs arriving in the burst | in the 1st second after it | 2nd | 3rd | 5th | 10th | 20th |\n|---|---|---|---|---|---|---|---|---|\n")
+	fmt.Fprint(s.Out, "| policy | refused callers | complete answers of jobs arriving in the burst | in the 1st second after it | 2nd | 3rd | 5th | 10th | 20th |\n|---|---|---|---|---|---|---|---|---|\n")
 	for _, r := range runAll(list) {
-		callers := "come back when told"
+		callers := "retry when told"
 		if r.CallersLeave {
 			callers = "leave"
 		}
@@ -132,13 +132,13 @@
 	}
 	var list []Scenario
 	for _, f := range faults {
-		for _, p := range []Scenario{s.scenario("health, shared", 0.8, nil), s.scenario("health, each alone", 0.8, ownHealthOnly), s.scenario("no health", 0.8, withoutHealth)} {
+		for _, p := range []Scenario{s.scenario("health checks, shared", 0.8, nil), s.scenario("health checks, each process alone", 0.8, ownHealthOnly), s.scenario("no health checks", 0.8, withoutHealth)} {
 			p.Policy = f.name + " | " + p.Policy
 			p.Events = map[time.Duration]func(*Run){at: func(r *Run) { r.SetFault(f.f, f.pick) }}
 			list = append(list, p)
 		}
 	}
-	fmt.Fprint(s.Out, "| fault | policy | jobs since | failed by a task | share | failed otherwise | refused for good | mean | p99 | wasted starts a task |\n|---|---|---|---|---|---|---|---|---|---|\n")
+	fmt.Fprint(s.Out, "| fault | policy | jobs since | failed by a task | share | failed otherwise | given up after refusals | mean | p99 | wasted starts per task |\n|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, r := range runAll(list) {
 		var n JobCounts
 		for _, c := range r.PerSecond[int(at/time.Second):] {
@@ -158,7 +158,7 @@
 	ceiling := s.Site.totalSlots() / 2
 	var list []Scenario
 	for _, skewed := range []bool{false, true} {
-		p := s.scenario("jobs at all entry processes alike", 1, nil)
+		p := s.scenario("jobs spread over all entry processes", 1, nil)
 		p.ChangeSettings = func(d *pb.Settings) {
 			d.EntryVms = uint32(s.Site.Entries)
 			d.Institutions[0].CeilingSlots = uint32(ceiling)
@@ -168,7 +168,7 @@
 		}
 		list = append(list, p)
 	}
-	fmt.Fprint(s.Out, "| jobs | ceiling | most slots held at once | mean | of the ceiling | control messages a second a process |\n|---|---|---|---|---|---|\n")
+	fmt.Fprint(s.Out, "| jobs | ceiling | most slots held at once | mean | of the ceiling | control messages per second and process |\n|---|---|---|---|---|---|\n")
 	for _, r := range runAll(list) {
 		fmt.Fprintf(s.Out, "| %s | %d | %d | %.1f | %.1f%% | %.1f |\n", r.Policy, ceiling, r.maxHeldSlots, r.MeanHeld(),
 			100*r.MeanHeld()/float64(ceiling), float64(r.Control)/(s.Length+drainTime).Seconds()/float64(s.Site.Entries))
@@ -179,7 +179,7 @@
 func (s Scenarios) Waves() {
 	at := s.Length / 2
 	type wave struct{ jobs, running, stops, forwards, starts int }
-	fmt.Fprint(s.Out, "| wave, at 130% | jobs | tasks running | messages to upstreams | messages between entry processes | starts of a task twice |\n|---|---|---|---|---|---|\n")
+	fmt.Fprint(s.Out, "| wave, at 130% | jobs | tasks running | messages to upstreams | messages between entry processes | tasks started twice |\n|---|---|---|---|---|---|\n")
 	cancel := func(r *Run) int { return r.CancelAll() }
 	resubmit := func(r *Run) (n int) {
 		for range 5 {
@@ -190,7 +190,7 @@
 	waves := []struct {
 		name string
 		send func(*Run) int
-	}{{"every open job cancelled", cancel}, {"every open job sent again, five times", resubmit}}
+	}{{"every open job cancelled", cancel}, {"every open job resubmitted five times", resubmit}}
 	for _, w := range waves {
 		var before, after wave
 		p := s.scenario(w.name, 1.3, nil)
--- a/bench/simulate.go
+++ b/bench/simulate.go
@@ -123,7 +123,7 @@
 	}
 	for _, e := range f.entries {
 		if !e.core.Ready() {
-			panic("bench: an entry process doesn't take the settings")
+			panic("bench: an entry process did not accept the settings")
 		}
 	}
 	return f
--- a/bench/site.go
+++ b/bench/site.go
@@ -17,7 +17,7 @@
 	Slots     int
 	// ByDomain: jobs arrive at each domain in proportion to its slots. Otherwise each entry process
 	// gets the same share.
-	ByDomain                                        bool
+	ByDomain bool
 	// One-way network delays.
 	ClientDelay, InterDomainDelay, IntraDomainDelay time.Duration
 }
--- a/bench/slopes/measure.go
+++ b/bench/slopes/measure.go
@@ -148,7 +148,7 @@
 
 // retainedResults measures the memory of ended jobs of one task whose results are retained.
 func retainedResults() series {
-	s := series{name: "kept answers (200 B of output)", per: "answer", unit: "B"}
+	s := series{name: "retained results (200 B of output)", per: "answer", unit: "B"}
 	for _, jobs := range []int{2_000, 10_000, 20_000, 40_000} {
 		d := &driver{core: newCore(48)}
 		before := liveHeapBytes()
@@ -163,7 +163,7 @@
 
 // membersTime measures the processing of a changed list of VMs.
 func membersTime() series {
-	s := series{name: "taking in the list of VMs", per: "upstream", unit: "µs"}
+	s := series{name: "processing the list of VMs", per: "upstream", unit: "µs"}
 	for _, n := range upstreamCounts {
 		c := newCore(n)
 		version := uint64(1)
@@ -180,7 +180,7 @@
 
 // membersMemory measures the core's state of slots and upstreams.
 func membersMemory() series {
-	s := series{name: "account of upstreams and their 8 slots", per: "upstream", unit: "B"}
+	s := series{name: "state of upstreams and their 8 slots", per: "upstream", unit: "B"}
 	for _, n := range upstreamCounts {
 		before := liveHeapBytes()
 		c := newCore(n)
@@ -208,7 +208,7 @@
 
 // placementTime measures a job of one task, by the number of upstreams.
 func placementTime() series {
-	s := series{name: "one job of one task, whole course", per: "doubling of upstreams", unit: "µs"}
+	s := series{name: "one job of one task, from submission to answer", per: "doubling of upstreams", unit: "µs"}
 	const jobs = 5_000
 	doublings := 0.0
 	for n := 50; n <= 6400; n *= 2 {
@@ -337,7 +337,7 @@
 
 // teamsTime measures the check and application of one settings change.
 func teamsTime() series {
-	s := series{name: "check and put in force one settings change", per: "team", unit: "µs"}
+	s := series{name: "check and apply one settings change", per: "team", unit: "µs"}
 	for _, n := range teamCounts {
 		d := declaredSettings(1, n)
 		took := fastest(runs, func() time.Duration {
@@ -359,7 +359,7 @@
 
 // institutionsTime measures a job of one task, by the number of declared institutions.
 func institutionsTime() series {
-	s := series{name: "one job of one task, whole course", per: "institution", unit: "µs"}
+	s := series{name: "one job of one task, from submission to answer", per: "institution", unit: "µs"}
 	const jobs = 5_000
 	for _, n := range []int{1, 5, 20, 50} {
 		took := fastest(runs, func() time.Duration {
--- a/examples/local/run.sh
+++ b/examples/local/run.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Starts a deployment of today's size on this machine: the platform stand-in, 48
-# runners of 8 slots and 7 entry processes in three failure domains. Runs the
-# given command with the environment that sapphirepoint reads, then stops what
-# it started.
+# Starts a deployment of the production size on this machine: the platform
+# stand-in, 48 runners of 8 slots and 7 entry processes in three failure domains.
+# Runs the given command with the environment variables that sapphirepoint reads,
+# then stops the deployment.
 #
 #   examples/local/run.sh sapphirepoint settings show
 #   examples/local/run.sh sapphirepoint submit examples/local/job.yaml --rate 30 --duration 1m
--- a/examples/quickstart/main.go
+++ b/examples/quickstart/main.go
@@ -1,5 +1,5 @@
-// Command quickstart starts a small deployment within one process, submits a
-// job, ends the node that holds it, and prints what the caller got.
+// Command quickstart runs a small deployment in one process. It submits jobs, kills the node that
+// holds the claim of one of them, and prints the answers.
 package main
 
 import (
@@ -78,7 +78,7 @@
 func report(what string, a *pb.Answer) {
 	fmt.Printf("%s: %s, %d results", what, a.GetOutcome(), len(a.GetResults()))
 	if a.GetReason() != pb.Reason_REASON_UNSPECIFIED {
-		fmt.Printf(" (%s: %s; may have run: %v; come back after %d ms)", a.GetReason(), a.GetDetail(), a.GetMayHaveRun(), a.GetRetryAfterMs())
+		fmt.Printf(" (%s: %s; may have run: %v; retry after %d ms)", a.GetReason(), a.GetDetail(), a.GetMayHaveRun(), a.GetRetryAfterMs())
 	}
 	fmt.Println()
 }
