--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -152,7 +152,7 @@
 	d         *deployment
 	loadTally *loadTally
 	totals    map[string]float64
-	peak      float64
+	peakMiB   float64
 	kills     int
 }
 
@@ -161,7 +161,7 @@
 	for name, v := range e.counters() {
 		r.totals[name] += v
 	}
-	r.peak = max(r.peak, e.peakMemoryMiB())
+	r.peakMiB = max(r.peakMiB, e.peakMemoryMiB())
 }
 
 // restartInTurn kills or stops one entry after another and starts it again.
@@ -270,10 +270,10 @@
 // were answered that the job was not run.
 func (r *loadRun) report(seconds float64) int {
 	t := r.loadTally
-	second, falseNotRun := 0, 0
+	startedTwice, falseNotRun := 0, 0
 	for name, n := range r.d.totalStarts() {
 		if n > 1 {
-			second++
+			startedTwice++
 		}
 		if slices.ContainsFunc(t.notRun, func(id string) bool { return strings.HasPrefix(name, id) }) {
 			falseNotRun++
@@ -281,7 +281,7 @@
 	}
 	ratio := func(q float64) float64 { return float64(t.ratios.ValueAtQuantile(q)) / ratioScale }
 	fmt.Printf("\nseed %d, share %.2f of %d slots, %.0f s, %d entries killed or stopped\n", *loadSeed, *loadShare, 3*loadRunners*runner.DefaultSlots, seconds, r.kills)
-	fmt.Printf("jobs %d, tasks %d (%.0f/s), started twice %d, started after \"not run\" %d\n", t.jobs, t.tasks, float64(t.tasks)/seconds, second, falseNotRun)
+	fmt.Printf("jobs %d, tasks %d (%.0f/s), started twice %d, started after \"not run\" %d\n", t.jobs, t.tasks, float64(t.tasks)/seconds, startedTwice, falseNotRun)
 	for _, o := range sortedKeys(t.outcomes) {
 		fmt.Printf("  %6d %s\n", t.outcomes[o], o)
 	}
@@ -299,7 +299,7 @@
 	fmt.Printf("wasted messages a task %.3f\n", wasted/float64(t.tasks))
 	cpu := r.totals[cpuMetric]
 	fmt.Printf("entry processes: %.0f µs of processor time a task, %.1f%% of a core each, at most %.0f MiB resident\n",
-		cpu/float64(t.tasks)*1e6, cpu/seconds/float64(len(r.d.entries))*100, r.peak)
+		cpu/float64(t.tasks)*1e6, cpu/seconds/float64(len(r.d.entries))*100, r.peakMiB)
 	return falseNotRun
 }
 
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -147,8 +147,8 @@
 		w.runAfter(w.randomDuration(300, 2500), func() { r.proxy.Delay(0) })
 	}},
 	{"runner crashed", func(w *world) { w.replaceRunner(w.rng.IntN(len(w.runners))) }},
-	{"store busy", func(w *world) { w.storeFault(true, false, w.randomDuration(300, 2500)) }},
-	{"store silent", func(w *world) { w.storeFault(false, true, w.randomDuration(300, 2500)) }},
+	{"store busy", func(w *world) { w.injectStoreFault(true, false, w.randomDuration(300, 2500)) }},
+	{"store silent", func(w *world) { w.injectStoreFault(false, true, w.randomDuration(300, 2500)) }},
 	{"store answers lost", func(w *world) { w.store.SetFaults(deployment.StoreFaults{LoseReplies: 1 + w.rng.IntN(3)}) }},
 	{"store silenced", func(w *world) { w.storeProxy.Silence() }},
 	{"store cut", func(w *world) {
@@ -156,11 +156,11 @@
 		w.runAfter(w.randomDuration(300, 2500), func() { w.storeProxy.Drop(false, false) })
 	}},
 	{"history forgotten", func(w *world) { w.store.DropHistory() }},
-	{"configuration", func(w *world) { w.declare() }},
+	{"configuration", func(w *world) { w.putConfiguration() }},
 	{"garbage", func(w *world) {
 		w.store.PutRaw("op", "config", []byte("{"))
 		w.store.PutRaw("servers", "i-garbage", []byte{0xff})
-		w.runAfter(w.randomDuration(50, 500), w.declare)
+		w.runAfter(w.randomDuration(50, 500), w.putConfiguration)
 	}},
 }
 
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -103,7 +103,7 @@
 		}
 		w.runners = append(w.runners, r)
 	}
-	w.declare()
+	w.putConfiguration()
 	for i := range nodeCount {
 		if err := w.addNode(dir, fmt.Sprintf("front-%d", i+1)); err != nil {
 			return nil, err
@@ -142,7 +142,8 @@
 	w.runners[i] = r
 }
 
-func (w *world) declare() {
+// putConfiguration writes the configuration with a new version into the store.
+func (w *world) putConfiguration() {
 	w.mu.Lock()
 	w.configVersion += 3
 	d := deployment.Declaration(w.configVersion, host, prefix, "spot", service, 60)
@@ -152,7 +153,8 @@
 	}
 }
 
-func (w *world) storeFault(busy, silent bool, d time.Duration) {
+// injectStoreFault injects a fault at the store for the given time.
+func (w *world) injectStoreFault(busy, silent bool, d time.Duration) {
 	w.store.SetFaults(deployment.StoreFaults{Busy: busy, Silent: silent})
 	w.runAfter(d, func() { w.store.SetFaults(deployment.StoreFaults{}) })
 }
@@ -170,10 +172,10 @@
 	}()
 }
 
-// waitForFaults waits until all faults are over, and declares the configuration again.
+// waitForFaults waits until all faults are over, and writes the configuration again.
 func (w *world) waitForFaults() {
 	w.timers.Wait()
-	w.declare()
+	w.putConfiguration()
 }
 
 func (w *world) addNode(dir, name string) error {
