--- a/bench/compare.go
+++ b/bench/compare.go
@@ -41,7 +41,7 @@
 func Tolerances() []Policy {
 	list := []Policy{
 		{Name: "slots divided, never lent", Change: func(c *dispatch.Config) { c.Lending.Off = true }},
-		{Name: "tolerance 0 ms, first come, first served", Change: func(c *dispatch.Config) { c.Order.FirstCome = true }},
+		{Name: "tolerance 0 ms, first come, first served", Change: func(c *dispatch.Config) { c.Order.FIFO = true }},
 	}
 	for _, ms := range []int{0, 2, 5, 10, 20, 25, 40} {
 		list = append(list, Policy{Name: fmt.Sprintf("tolerance %d ms", ms), Tolerance: time.Duration(ms) * time.Millisecond})
--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -24,8 +24,8 @@
 type Job struct {
 	// Work is the run time of all tasks, Longest that of the longest.
 	Work, Longest time.Duration
-	// Allowed is the time that the job has.
-	Allowed time.Duration
+	// TimeLimit is the time that the job has.
+	TimeLimit time.Duration
 	// CPUMillis and MemoryMiB are what one task needs.
 	CPUMillis, MemoryMiB uint32
 }
@@ -34,8 +34,8 @@
 type Capacity struct {
 	// Slots is how many this process can use at present.
 	Slots int
-	// Most is how many the job could ever use at once; 0 if it isn't known.
-	Most int
+	// MaxSlots is how many the job could ever use at once; 0 if it isn't known.
+	MaxSlots int
 	// Queued is the expected run time of the waiting tasks.
 	Queued time.Duration
 	// WaitPercent is the part of its time that a job may be expected to wait.
@@ -65,13 +65,13 @@
 		return tooLarge(j, slots)
 	}
 	wait := c.Queued / slots
-	most := min(j.Allowed*time.Duration(c.WaitPercent)/100, j.Allowed-max(j.Longest, j.Work/slots))
+	most := min(j.TimeLimit*time.Duration(c.WaitPercent)/100, j.TimeLimit-max(j.Longest, j.Work/slots))
 	if wait <= most {
 		return nil
 	}
 	return &Refusal{
 		Reason: pb.Reason_REASON_OVERLOADED,
-		Detail: fmt.Sprintf("the wait is about %d ms; with %d ms allowed it may be %d ms", wait.Milliseconds(), j.Allowed.Milliseconds(), max(most, 0).Milliseconds()),
+		Detail: fmt.Sprintf("the wait is about %d ms; with %d ms allowed it may be %d ms", wait.Milliseconds(), j.TimeLimit.Milliseconds(), max(most, 0).Milliseconds()),
 		Excess: wait - max(most, 0),
 	}
 }
@@ -79,13 +79,13 @@
 // tooLarge finds a job that can't be done in its time on the slots there are
 // though nobody waits; others may be lent or come back.
 func tooLarge(j Job, slots time.Duration) *Refusal {
-	if j.Work/slots/doubt <= j.Allowed {
+	if j.Work/slots/doubt <= j.TimeLimit {
 		return nil
 	}
 	return &Refusal{
 		Reason: pb.Reason_REASON_OVERLOADED,
-		Detail: fmt.Sprintf("%d ms of work can't be done in %d ms on the %d slots there are at present", j.Work.Milliseconds(), j.Allowed.Milliseconds(), slots),
-		Excess: j.Work/slots - j.Allowed,
+		Detail: fmt.Sprintf("%d ms of work can't be done in %d ms on the %d slots there are at present", j.Work.Milliseconds(), j.TimeLimit.Milliseconds(), slots),
+		Excess: j.Work/slots - j.TimeLimit,
 	}
 }
 
@@ -100,24 +100,24 @@
 		return never("a task needs %d thousandths of a core and the largest worker has %d", j.CPUMillis, c.CPUMillis)
 	case c.MemoryMiB > 0 && j.MemoryMiB > c.MemoryMiB:
 		return never("a task needs %d MiB and the largest worker has %d", j.MemoryMiB, c.MemoryMiB)
-	case j.Longest/doubt > j.Allowed:
-		return never("a task is expected to run %d ms and the job has %d ms", j.Longest.Milliseconds(), j.Allowed.Milliseconds())
-	case c.Most > 0 && j.Work/doubt/time.Duration(c.Most) > j.Allowed:
-		return never("%d ms of work can't be done in %d ms on %d slots, the most it may ever hold", j.Work.Milliseconds(), j.Allowed.Milliseconds(), c.Most)
+	case j.Longest/doubt > j.TimeLimit:
+		return never("a task is expected to run %d ms and the job has %d ms", j.Longest.Milliseconds(), j.TimeLimit.Milliseconds())
+	case c.MaxSlots > 0 && j.Work/doubt/time.Duration(c.MaxSlots) > j.TimeLimit:
+		return never("%d ms of work can't be done in %d ms on %d slots, the most it may ever hold", j.Work.Milliseconds(), j.TimeLimit.Milliseconds(), c.MaxSlots)
 	}
 	return nil
 }
 
-// ComeBack spreads refused callers over the time in which there will be room
+// RetrySpreader spreads refused callers over the time in which there will be room
 // for them. If all were told the same time, they would come back as one burst,
 // and most be refused again.
-type ComeBack struct {
+type RetrySpreader struct {
 	// next is when the capacity promised to those refused so far is used up.
 	next task.Time
 }
 
-// After is when a refused job should come back, from now.
-func (b *ComeBack) After(now task.Time, r *Refusal, j Job, c Capacity) time.Duration {
+// RetryAfter is when a refused job should come back, from now.
+func (b *RetrySpreader) RetryAfter(now task.Time, r *Refusal, j Job, c Capacity) time.Duration {
 	if r.Excess == 0 {
 		return 0
 	}
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -15,7 +15,7 @@
 func TestEstimateFollowsWhatTasksTake(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := admission.NewEstimator()
-	g.Expect(e.Expect("hollowell", "label", time.Second)).To(gomega.Equal(time.Second))
+	g.Expect(e.ExpectedRunTime("hollowell", "label", time.Second)).To(gomega.Equal(time.Second))
 	for i := range 400 {
 		declared := time.Duration(50+i%2*100) * time.Millisecond
 		e.Observe("hollowell", "label", declared, 300*time.Millisecond)
@@ -29,12 +29,12 @@
 // taken on, half of its labels would be printed for a job that fails.
 func TestJobTooLargeForTheSlotsAtPresentIsToldToComeBack(t *testing.T) {
 	g := gomega.NewWithT(t)
-	j := admission.Job{Work: time.Minute, Longest: 200 * time.Millisecond, Allowed: 5 * time.Second}
-	r := admission.Decide(j, admission.Capacity{Slots: 2, Most: 100, WaitPercent: 50})
+	j := admission.Job{Work: time.Minute, Longest: 200 * time.Millisecond, TimeLimit: 5 * time.Second}
+	r := admission.Decide(j, admission.Capacity{Slots: 2, MaxSlots: 100, WaitPercent: 50})
 	g.Expect(r).NotTo(gomega.BeNil())
 	g.Expect(r.Reason).To(gomega.Equal(pb.Reason_REASON_OVERLOADED))
 	g.Expect(r.Excess).To(gomega.Equal(25 * time.Second))
-	g.Expect(admission.Decide(j, admission.Capacity{Slots: 20, Most: 100, WaitPercent: 50})).To(gomega.BeNil())
+	g.Expect(admission.Decide(j, admission.Capacity{Slots: 20, MaxSlots: 100, WaitPercent: 50})).To(gomega.BeNil())
 }
 
 // A hundred callers are refused in the same moment. Their times to come back
@@ -42,24 +42,24 @@
 // past.
 func TestRefusedCallersAreSpread(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var b admission.ComeBack
-	j := admission.Job{Work: time.Second, Longest: 200 * time.Millisecond, Allowed: time.Second}
+	var b admission.RetrySpreader
+	j := admission.Job{Work: time.Second, Longest: 200 * time.Millisecond, TimeLimit: time.Second}
 	c := admission.Capacity{Slots: 10, Queued: 100 * time.Second}
 	r := admission.Decide(j, c)
 	g.Expect(r).NotTo(gomega.BeNil())
-	first := b.After(0, r, j, c)
+	first := b.RetryAfter(0, r, j, c)
 	last := first
 	for range 99 {
-		last = b.After(0, r, j, c)
+		last = b.RetryAfter(0, r, j, c)
 	}
 	g.Expect(first).To(gomega.BeNumerically(">=", r.Excess))
 	g.Expect(last - first).To(gomega.Equal(99 * j.Work / 10))
-	g.Expect(b.After(time.Hour, r, j, c)).To(gomega.Equal(first))
+	g.Expect(b.RetryAfter(time.Hour, r, j, c)).To(gomega.Equal(first))
 }
 
 func BenchmarkDecide(b *testing.B) {
-	j := admission.Job{Work: time.Second, Longest: 200 * time.Millisecond, Allowed: time.Second}
-	c := admission.Capacity{Slots: 10, Queued: time.Second, Most: 384}
+	j := admission.Job{Work: time.Second, Longest: 200 * time.Millisecond, TimeLimit: time.Second}
+	c := admission.Capacity{Slots: 10, Queued: time.Second, MaxSlots: 384}
 	b.ReportAllocs()
 	for b.Loop() {
 		if admission.Decide(j, c) != nil {
@@ -72,6 +72,6 @@
 	e := admission.NewEstimator()
 	b.ReportAllocs()
 	for b.Loop() {
-		e.Observe("hollowell", "label", e.Expect("hollowell", "label", time.Second), time.Second)
+		e.Observe("hollowell", "label", e.ExpectedRunTime("hollowell", "label", time.Second), time.Second)
 	}
 }
--- a/core/admission/estimate.go
+++ b/core/admission/estimate.go
@@ -56,7 +56,7 @@
 	return min(max(r.observed/r.declared, minFactor), maxFactor)
 }
 
-// Expect is the run time to expect of a task with a declared one.
-func (e *Estimator) Expect(institution, service string, declared time.Duration) time.Duration {
+// ExpectedRunTime is the run time to expect of a task with a declared one.
+func (e *Estimator) ExpectedRunTime(institution, service string, declared time.Duration) time.Duration {
 	return time.Duration(float64(declared) * e.Factor(institution, service))
 }
--- a/core/admission/lending.go
+++ b/core/admission/lending.go
@@ -18,7 +18,7 @@
 			delete(q.peers, old)
 		}
 	}
-	q.peers[p] = &quotaPeer{told: -Interval}
+	q.peers[p] = &quotaPeer{told: -StatusInterval}
 }
 
 // PeerDown says that the connection with a process is lost. Loans go on until
@@ -90,7 +90,7 @@
 // interval. Nil means that there is nothing to tell.
 func (q *Quotas) Status(now task.Time, to task.Incarnation) *pb.QuotaStatus {
 	p := q.peers[to]
-	if p == nil || len(q.order) == 0 || now-p.told < Interval {
+	if p == nil || len(q.order) == 0 || now-p.told < StatusInterval {
 		return nil
 	}
 	p.told = now
@@ -114,9 +114,9 @@
 	return st
 }
 
-// Sharing says whether units are lent between this process and a peer, or are
+// SharesWith says whether units are lent between this process and a peer, or are
 // wanted, so that the peer should hear soon.
-func (q *Quotas) Sharing(with task.Incarnation) bool {
+func (q *Quotas) SharesWith(with task.Incarnation) bool {
 	if len(q.demand) > 0 {
 		return true
 	}
@@ -146,8 +146,8 @@
 		ClockMs:     clock,
 	}
 	if l.asked == 0 && l.lent <= l.base(q, now) {
-		w.ValidMs = uint32(LoanValid.Milliseconds())
-		out.until = max(out.until, now+LoanValid+LoanValid/drift)
+		w.ValidMs = uint32(LoanValidity.Milliseconds())
+		out.until = max(out.until, now+LoanValidity+LoanValidity/drift)
 	}
 	return w
 }
@@ -256,7 +256,7 @@
 		}
 		out.units += n
 		out.serial = q.nextSerial()
-		out.until = now + LoanValid + LoanValid/drift
+		out.until = now + LoanValidity + LoanValidity/drift
 		l.lent += n
 	}
 }
--- a/core/admission/members.go
+++ b/core/admission/members.go
@@ -57,8 +57,8 @@
 	q.list.agreed = false
 }
 
-// MembersRead says that the list was read and hasn't changed.
-func (q *Quotas) MembersRead(now task.Time) {
+// MembersUnchanged says that the list was read and hasn't changed.
+func (q *Quotas) MembersUnchanged(now task.Time) {
 	q.list.read = now
 }
 
@@ -69,7 +69,7 @@
 // its reading is old; the others wait that long, unless they have heard from
 // every process there can be that it goes by the same list.
 func (q *Quotas) remainderUsable(now task.Time) bool {
-	if !q.list.known || now < q.floorFrom || now-q.list.read >= ListFresh {
+	if !q.list.known || now < q.floorFrom || now-q.list.read >= MaxListAge {
 		return false
 	}
 	return q.list.agreed || now >= q.list.changed+remainderWait+q.overhang
--- a/core/admission/quota.go
+++ b/core/admission/quota.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// LoanValid is how long units of a quota may be used after the borrower's
+	// LoanValidity is how long units of a quota may be used after the borrower's
 	// clock reading that the lender echoes.
-	LoanValid = 3 * time.Second
-	// ListFresh is how long after its last reading of the platform's list a
+	LoanValidity = 3 * time.Second
+	// MaxListAge is how long after its last reading of the platform's list a
 	// process may use the units that the list gives it.
-	ListFresh = 5 * time.Second
+	MaxListAge = 5 * time.Second
 	// remainderWait is how long such units wait for a former owner that can't be
-	// asked: the time that the list may lag at it, ListFresh, and its loans.
-	remainderWait = 2*ListFresh + 2*LoanValid
-	// Interval is how often a peer is told of quotas.
-	Interval = 500 * time.Millisecond
+	// asked: the time that the list may lag at it, MaxListAge, and its loans.
+	remainderWait = 2*MaxListAge + 2*LoanValidity
+	// StatusInterval is how often a peer is told of quotas.
+	StatusInterval = 500 * time.Millisecond
 	// drift is the part by which clocks may run at different speeds.
 	drift = 64
 )
@@ -110,13 +110,13 @@
 		self:      self,
 		limits:    make(map[Key]*limit),
 		peers:     make(map[task.Incarnation]*quotaPeer),
-		floorFrom: LoanValid,
+		floorFrom: LoanValidity,
 	}
 }
 
-// SetTerms takes the declared limits. A lowered one is in force at once for
+// ApplySettings takes the declared limits. A lowered one is in force at once for
 // new starts.
-func (q *Quotas) SetTerms(s *pb.Settings) {
+func (q *Quotas) ApplySettings(s *pb.Settings) {
 	q.entryVMs = int(s.GetEntryVms())
 	q.overhang = 0
 	declared := make(map[Key]int)
@@ -130,7 +130,7 @@
 		}
 	}
 	if !q.cleared {
-		q.floorFrom = LoanValid + q.overhang
+		q.floorFrom = LoanValidity + q.overhang
 	}
 	q.adopt(declared)
 	q.divide()
@@ -191,15 +191,15 @@
 }
 
 func (q *Quotas) allow(now task.Time, k Key) bool {
-	if q.Room(now, k) {
+	if q.HasCapacity(now, k) {
 		return true
 	}
 	q.limits[k].blocked = true
 	return false
 }
 
-// Room says whether a limit lets one more task start.
-func (q *Quotas) Room(now task.Time, k Key) bool {
+// HasCapacity says whether a limit lets one more task start.
+func (q *Quotas) HasCapacity(now task.Time, k Key) bool {
 	l := q.limits[k]
 	return l == nil || l.free(q, now) > 0
 }
@@ -282,9 +282,9 @@
 	return 0
 }
 
-// Most is how many slots a team may hold at once over all processes; 0 if that
+// MaxSlots is how many slots a team may hold at once over all processes; 0 if that
 // isn't limited.
-func (q *Quotas) Most(institution, team string) int {
+func (q *Quotas) MaxSlots(institution, team string) int {
 	most := 0
 	for _, k := range []Key{{institution, team}, {Institution: institution}} {
 		if l := q.limits[k]; l != nil && (most == 0 || l.total < most) {
@@ -294,8 +294,8 @@
 	return most
 }
 
-// Share is the state of one limit for operators.
-type Share struct {
+// LimitState is the state of one limit for operators.
+type LimitState struct {
 	Institution string `json:"institution"`
 	Team        string `json:"team,omitempty"`
 	// Limit holds over all processes; Own, less Lent, and Borrowed may be used
@@ -312,10 +312,10 @@
 }
 
 // Dump lists the limits in order of name.
-func (q *Quotas) Dump(now task.Time) []Share {
-	list := make([]Share, 0, len(q.order))
+func (q *Quotas) Dump(now task.Time) []LimitState {
+	list := make([]LimitState, 0, len(q.order))
 	for _, l := range q.order {
-		list = append(list, Share{l.key.Institution, l.key.Team, l.total, l.base(q, now), l.lent, l.usable(now), l.held, l.asked, !l.slack()})
+		list = append(list, LimitState{l.key.Institution, l.key.Team, l.total, l.base(q, now), l.lent, l.usable(now), l.held, l.asked, !l.slack()})
 	}
 	return list
 }
--- a/core/admission/quota_test.go
+++ b/core/admission/quota_test.go
@@ -109,7 +109,7 @@
 	w.runs++
 	p := &process{self: task.Incarnation{Node: nodeName(i), Run: w.runs}, started: w.now, seen: -1, heard: make(map[task.Incarnation]uint64)}
 	p.q = admission.NewQuotas(p.self)
-	p.q.SetTerms(terms())
+	p.q.ApplySettings(terms())
 	w.nodes[i] = p
 	for j, other := range w.nodes {
 		if other != nil && j != i && !w.cut[i][j] {
@@ -152,7 +152,7 @@
 		for range p.demand {
 			w.tryStart(p)
 		}
-		if w.now%admission.Interval == 0 {
+		if w.now%admission.StatusInterval == 0 {
 			p.q.Tick(w.clock(p))
 		}
 		for j, other := range w.nodes {
@@ -168,11 +168,11 @@
 		return
 	}
 	newest := len(w.lists) - 1
-	for newest > max(p.seen, 0) && w.now-w.lists[newest].at < admission.ListFresh && w.rng.IntN(20) > 0 {
+	for newest > max(p.seen, 0) && w.now-w.lists[newest].at < admission.MaxListAge && w.rng.IntN(20) > 0 {
 		newest--
 	}
 	if newest <= p.seen {
-		p.q.MembersRead(w.clock(p))
+		p.q.MembersUnchanged(w.clock(p))
 		return
 	}
 	p.seen = newest
--- a/core/dispatch/admission.go
+++ b/core/dispatch/admission.go
@@ -38,7 +38,7 @@
 type admissionState struct {
 	estimate  *admission.Estimator
 	quotas    *admission.Quotas
-	comeBacks map[admission.Key]*admission.ComeBack
+	comeBacks map[admission.Key]*admission.RetrySpreader
 	refusals  map[pb.Reason]uint64
 	// workers is the size of an institution's listed upstreams.
 	workers map[string]size
@@ -56,7 +56,7 @@
 	return admissionState{
 		estimate:  admission.NewEstimator(),
 		quotas:    admission.NewQuotas(self),
-		comeBacks: make(map[admission.Key]*admission.ComeBack),
+		comeBacks: make(map[admission.Key]*admission.RetrySpreader),
 		refusals:  make(map[pb.Reason]uint64),
 		inUse:     make(map[string]int),
 		teams:     make(map[admission.Key]teamQueue),
@@ -132,10 +132,10 @@
 	c.admission.refusals[refusal.Reason]++
 	back := c.admission.comeBacks[line]
 	if back == nil {
-		back = &admission.ComeBack{}
+		back = &admission.RetrySpreader{}
 		c.admission.comeBacks[line] = back
 	}
-	return refusal, back.After(c.now, refusal, j, capacity)
+	return refusal, back.RetryAfter(c.now, refusal, j, capacity)
 }
 
 // queueLimit is an institution's part of the tasks that may wait.
@@ -149,7 +149,7 @@
 
 func (c *Core) jobOf(sub *submission) admission.Job {
 	j := admission.Job{
-		Allowed:   sub.deadline - c.now,
+		TimeLimit: sub.deadline - c.now,
 		CPUMillis: sub.service.GetCpuMillis(),
 		MemoryMiB: sub.service.GetMemoryMib(),
 	}
@@ -172,7 +172,7 @@
 
 // expected is a task's declared run time, corrected by what is observed.
 func (c *Core) expected(sub *submission, index int) time.Duration {
-	return c.admission.estimate.Expect(sub.id.Institution, sub.request.GetService(), declaredRun(sub, index))
+	return c.admission.estimate.ExpectedRunTime(sub.id.Institution, sub.request.GetService(), declaredRun(sub, index))
 }
 
 // nextTask takes the task to be served next, within quotas and ceiling.
@@ -191,7 +191,7 @@
 
 // belowCeiling says whether the institution may hold one more slot.
 func (c *Core) belowCeiling(institution string) bool {
-	return c.admission.quotas.Room(c.now, admission.Key{Institution: institution})
+	return c.admission.quotas.HasCapacity(c.now, admission.Key{Institution: institution})
 }
 
 // giveUpHopeless ends a job if a task of it that is about to be started can't
--- a/core/dispatch/borrowing.go
+++ b/core/dispatch/borrowing.go
@@ -21,11 +21,11 @@
 		return
 	}
 	terms := c.lendingTerms(inst)
-	need := c.queue.Late(c.now, name, queue.Demand{
-		Pace:      c.pace(name),
-		Tolerance: terms.Tolerance,
-		Typical:   c.meanRun(name),
-		Slack:     terms.Slack,
+	need := c.queue.CountLate(c.now, name, queue.LatenessCriteria{
+		StartInterval:  c.pace(name),
+		Tolerance:      terms.Tolerance,
+		TypicalRunTime: c.meanRun(name),
+		MaxSlack:       terms.Slack,
 	})
 	need -= c.pending(name)
 	if need > 0 {
@@ -155,7 +155,7 @@
 		name := inst.GetName()
 		spare := min(c.lending.spare[name], c.pool.SpareBorrowed(name, false))
 		if spare > 0 {
-			c.lending.spare[name] -= c.pool.GiveBackIdle(to, spare)
+			c.lending.spare[name] -= c.pool.ReturnIdle(to, spare)
 		}
 	}
 	for _, r := range c.pool.Returns(to) {
--- a/core/dispatch/capacity.go
+++ b/core/dispatch/capacity.go
@@ -85,7 +85,7 @@
 func (c *Core) limitUnits(key admission.Key, stands bool) (int, bool) {
 	units, binding := c.admission.quotas.Usable(c.now, key)
 	if binding && !stands {
-		units = max(units, c.admission.quotas.Most(key.Institution, key.Team))
+		units = max(units, c.admission.quotas.MaxSlots(key.Institution, key.Team))
 	}
 	return units, binding
 }
@@ -100,7 +100,7 @@
 	}
 	blocked := 0
 	for key, q := range c.admission.teams {
-		if key.Institution == institution && key.Team != "" && !c.admission.quotas.Room(c.now, key) {
+		if key.Institution == institution && key.Team != "" && !c.admission.quotas.HasCapacity(c.now, key) {
 			blocked += q.tasks
 		}
 	}
@@ -112,7 +112,7 @@
 	name := sub.id.Institution
 	s := c.admission.workers[name]
 	most := s.slots
-	if limit := c.admission.quotas.Most(name, sub.request.GetTeam()); limit > 0 && (most == 0 || limit < most) {
+	if limit := c.admission.quotas.MaxSlots(name, sub.request.GetTeam()); limit > 0 && (most == 0 || limit < most) {
 		most = limit
 	}
 	// Lent slots come home as soon as they are spare there. Left out, a process
@@ -129,7 +129,7 @@
 	}
 	return admission.Capacity{
 		Slots:       usable,
-		Most:        most,
+		MaxSlots:    most,
 		Queued:      c.queuedWork(name),
 		WaitPercent: c.waitPercent(name),
 		CPUMillis:   s.cpuMillis,
--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -151,7 +151,7 @@
 		view:        membership.New(cfg.Self.Node),
 		absent:      make(map[string]absence),
 		issuer:      claim.NewIssuer(cfg.IDValidity),
-		queue:       queue.NewOrdered(cfg.Order),
+		queue:       queue.NewWithOrder(cfg.Order),
 		pool:        slots.NewPool(cfg.Self.Node, cfg.FailureDomain),
 		submissions: make(map[task.ID]*submission),
 		jobs:        make(map[queue.JobID]*submission),
@@ -220,7 +220,7 @@
 	case MembersChanged:
 		c.membersRead(e.Members)
 	case MembersRead:
-		c.admission.quotas.MembersRead(c.now)
+		c.admission.quotas.MembersUnchanged(c.now)
 	case SettingsRead:
 		c.offerSettings(e.Settings)
 	case PeerUp:
--- a/core/dispatch/dump.go
+++ b/core/dispatch/dump.go
@@ -111,7 +111,7 @@
 		Draining:            c.draining,
 		SettingsVersion:     c.settings.Version(),
 		OwnedSlots:          c.pool.Owned(),
-		IdleSlots:           c.pool.AllIdleOwn(),
+		IdleSlots:           c.pool.TotalIdleOwn(),
 		Slots:               c.pool.Counts(),
 		IDBlocks:            c.issuer.Blocks(),
 		RetainedAnswers:     c.answers.Len(),
--- a/core/dispatch/dump_terms.go
+++ b/core/dispatch/dump_terms.go
@@ -8,7 +8,7 @@
 // DumpConstraints says which terms and upstreams keep tasks waiting.
 type DumpConstraints struct {
 	// Limits are the quotas and ceilings.
-	Limits []admission.Share `json:"limits"`
+	Limits []admission.LimitState `json:"limits"`
 	// Upstreams are those not in full use.
 	Upstreams []health.Status `json:"upstreams_not_in_full_use"`
 	Health    health.Stats    `json:"health"`
@@ -46,7 +46,7 @@
 			WaitingWorkMs:  c.queue.Work(name).Milliseconds(),
 			BusySlots:      c.admission.inUse[name],
 			IdleSlots:      c.pool.Idle(name),
-			RetriesLeft:    c.budgets.Left(name),
+			RetriesLeft:    c.budgets.Remaining(name),
 			RunTimeFactors: make(map[string]float64),
 		}
 		for _, s := range inst.GetServices() {
@@ -61,9 +61,9 @@
 func (c *Core) blockedBy(sub *submission) string {
 	name, team := sub.id.Institution, sub.request.GetTeam()
 	switch {
-	case !c.admission.quotas.Room(c.now, admission.Key{Institution: name}):
+	case !c.admission.quotas.HasCapacity(c.now, admission.Key{Institution: name}):
 		return "the ceiling of its institution"
-	case team != "" && !c.admission.quotas.Room(c.now, admission.Key{Institution: name, Team: team}):
+	case team != "" && !c.admission.quotas.HasCapacity(c.now, admission.Key{Institution: name, Team: team}):
 		return "the quota of its team"
 	}
 	return ""
--- a/core/dispatch/lending.go
+++ b/core/dispatch/lending.go
@@ -165,7 +165,7 @@
 	if mean := c.lending.mean[institution]; mean > 0 {
 		return mean
 	}
-	return queue.DefaultWork
+	return queue.DefaultRunTime
 }
 
 // pace is the expected time between two slots of an institution coming free.
@@ -229,7 +229,7 @@
 // own ones. It reports false if there were none to give.
 func (c *Core) grant(k counterpart) bool {
 	r := c.lending.standing[k]
-	back := c.pool.GiveBackIdle(k.peer, r.count)
+	back := c.pool.ReturnIdle(k.peer, r.count)
 	c.lending.lastLoan++
 	id := c.lending.lastLoan
 	l := &loan{to: k.peer, slots: c.pool.Lend(k.institution, r.count-back, k.peer, id)}
@@ -307,7 +307,7 @@
 	other := func(k counterpart, _ *request) bool { return k.peer == p }
 	maps.DeleteFunc(c.lending.asked, other)
 	maps.DeleteFunc(c.lending.standing, other)
-	c.pool.LenderGone(p)
+	c.pool.LenderUnreachable(p)
 	for _, id := range slices.Sorted(maps.Keys(c.lending.given)) {
 		if c.lending.given[id].to == p {
 			c.after(lenderGrace, func() { c.endLoan(id) })
--- a/core/dispatch/members.go
+++ b/core/dispatch/members.go
@@ -39,8 +39,8 @@
 	if !c.settings.Offer(s) {
 		return
 	}
-	c.budgets.SetTerms(s)
-	c.admission.quotas.SetTerms(s)
+	c.budgets.ApplySettings(s)
+	c.admission.quotas.ApplySettings(s)
 	c.emit(SettingsInForce{s})
 }
 
--- a/core/dispatch/place.go
+++ b/core/dispatch/place.go
@@ -37,7 +37,7 @@
 // place starts waiting tasks while there are idle slots, and borrows slots for
 // those that would wait too long.
 func (c *Core) place() {
-	c.pool.Open(c.now)
+	c.pool.EndCooldowns(c.now)
 	for _, inst := range c.settings.Current().GetInstitutions() {
 		c.placeFor(inst)
 	}
@@ -70,8 +70,8 @@
 		c.pool.Release(s.slot)
 		return
 	}
-	c.pool.ReleaseAt(s.slot, c.now+s.hold)
-	c.after(s.hold, func() { c.pool.Open(c.now) })
+	c.pool.ReleaseWithCooldown(s.slot, c.now+s.hold)
+	c.after(s.hold, func() { c.pool.EndCooldowns(c.now) })
 }
 
 func taskName(id task.ID, index int) string {
--- a/core/dispatch/status.go
+++ b/core/dispatch/status.go
@@ -24,7 +24,7 @@
 // number of processes; a lost connection is noticed below, by its keep-alives.
 func (c *Core) statusDue(to task.Incarnation) time.Duration {
 	now := told{c.settings.Version(), c.view.Version(), c.draining, len(c.health.Ejected())}
-	if c.peers[to].told != now || c.admission.quotas.Sharing(to) {
+	if c.peers[to].told != now || c.admission.quotas.SharesWith(to) {
 		return c.cfg.StatusInterval
 	}
 	return c.cfg.IdleStatusInterval
--- a/core/dispatch/submission.go
+++ b/core/dispatch/submission.go
@@ -267,7 +267,7 @@
 		Priority:    c.settings.Institution(sub.id.Institution).GetPriority(),
 		Arrived:     sub.arrived,
 		Deadline:    sub.deadline,
-		Work:        work,
+		RunTimes:    work,
 	}
 }
 
--- a/core/dispatch/upstreams.go
+++ b/core/dispatch/upstreams.go
@@ -35,7 +35,7 @@
 		service:  request.GetService(),
 		team:     request.GetTeam(),
 		declared: declared,
-		expected: c.admission.estimate.Expect(institution, request.GetService(), declared),
+		expected: c.admission.estimate.ExpectedRunTime(institution, request.GetService(), declared),
 	}
 	c.admission.inUse[institution]++
 	c.noteWaiting(s.sub, -1)
@@ -119,7 +119,7 @@
 	sub := s.sub
 	c.noteWaiting(sub, 1)
 	r := c.budgets.Next(c.now, sub.deadline, sub.id.Institution, s.slot.Upstream, s.attempt)
-	if r.UpstreamSpent {
+	if r.UpstreamExhausted {
 		c.health.Close(c.now, s.slot.Upstream)
 		c.reweigh()
 	}
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -19,8 +19,8 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// DefaultWork is the expected run time of a task of which nothing is known.
-const DefaultWork = 200 * time.Millisecond
+// DefaultRunTime is the expected run time of a task of which nothing is known.
+const DefaultRunTime = 200 * time.Millisecond
 
 // JobID numbers the jobs of one incarnation.
 type JobID uint64
@@ -34,8 +34,8 @@
 	Priority uint32
 	Arrived  task.Time
 	Deadline task.Time
-	// Work is the expected run time of each task.
-	Work []task.Time
+	// RunTimes is the expected run time of each task.
+	RunTimes []task.Time
 }
 
 // Ref names one task of a job.
@@ -52,8 +52,8 @@
 	// SlackPercent is the part of a task's slack by which it is put back, in
 	// percent.
 	SlackPercent int
-	// FirstCome ranks all tasks of a job by its arrival alone.
-	FirstCome bool
+	// FIFO ranks all tasks of a job by its arrival alone.
+	FIFO bool
 }
 
 // DefaultOrder is the order that measured best; see docs/design/placement.md.
@@ -101,11 +101,11 @@
 
 // New returns an empty queue with the default order.
 func New() *Queue {
-	return NewOrdered(DefaultOrder)
+	return NewWithOrder(DefaultOrder)
 }
 
-// NewOrdered returns an empty queue with an order.
-func NewOrdered(o Order) *Queue {
+// NewWithOrder returns an empty queue with an order.
+func NewWithOrder(o Order) *Queue {
 	return &Queue{
 		order:        o,
 		jobs:         make(map[JobID]*entry),
@@ -115,20 +115,20 @@
 
 // Add queues all tasks of a job.
 func (q *Queue) Add(j Job) {
-	e := &entry{job: j, waiting: make([]int32, len(j.Work)), at: heap.Absent}
-	for i, w := range j.Work {
-		e.waiting[i] = int32(len(j.Work) - 1 - i)
+	e := &entry{job: j, waiting: make([]int32, len(j.RunTimes)), at: heap.Absent}
+	for i, w := range j.RunTimes {
+		e.waiting[i] = int32(len(j.RunTimes) - 1 - i)
 		e.longest = max(e.longest, w)
 	}
-	if !q.order.FirstCome {
+	if !q.order.FIFO {
 		slices.SortStableFunc(e.waiting, e.byWork)
 	}
 	inst := q.institution(j.Institution)
 	e.team = inst.team(j.Team)
 	e.team.members++
 	q.jobs[j.ID] = e
-	inst.tasks += len(j.Work)
-	for _, w := range j.Work {
+	inst.tasks += len(j.RunTimes)
+	for _, w := range j.RunTimes {
 		inst.work += w
 	}
 	q.file(inst, e)
@@ -153,7 +153,7 @@
 }
 
 func (e *entry) byWork(a, b int32) int {
-	wa, wb := e.job.Work[a], e.job.Work[b]
+	wa, wb := e.job.RunTimes[a], e.job.RunTimes[b]
 	switch {
 	case wa < wb:
 		return -1
@@ -170,14 +170,14 @@
 
 // due is the latest start of a task that doesn't hold up its job's answer.
 func (e *entry) due(index int) task.Time {
-	return e.job.Arrived + e.longest - e.job.Work[index]
+	return e.job.Arrived + e.longest - e.job.RunTimes[index]
 }
 
 func (q *Queue) rankOf(e *entry) task.Time {
-	if q.order.FirstCome {
+	if q.order.FIFO {
 		return e.job.Arrived
 	}
-	slack := e.longest - e.job.Work[e.next()]
+	slack := e.longest - e.job.RunTimes[e.next()]
 	r := e.job.Arrived + slack*time.Duration(q.order.SlackPercent)/100 + e.longest*time.Duration(q.order.LengthPercent)/100
 	return min(r, e.job.Deadline-e.longest)
 }
@@ -219,7 +219,7 @@
 	index := e.next()
 	e.waiting = e.waiting[:len(e.waiting)-1]
 	inst.tasks--
-	inst.work -= e.job.Work[index]
+	inst.work -= e.job.RunTimes[index]
 	q.file(inst, e)
 	return Ref{e.job.ID, index}, true
 }
@@ -231,13 +231,13 @@
 		return
 	}
 	i, _ := slices.BinarySearchFunc(e.waiting, int32(r.Index), e.byWork)
-	if q.order.FirstCome {
+	if q.order.FIFO {
 		i = len(e.waiting)
 	}
 	e.waiting = slices.Insert(e.waiting, i, int32(r.Index))
 	inst := q.institutions[e.job.Institution]
 	inst.tasks++
-	inst.work += e.job.Work[r.Index]
+	inst.work += e.job.RunTimes[r.Index]
 	q.file(inst, e)
 }
 
@@ -250,7 +250,7 @@
 	inst := q.institutions[e.job.Institution]
 	inst.tasks -= len(e.waiting)
 	for _, i := range e.waiting {
-		inst.work -= e.job.Work[i]
+		inst.work -= e.job.RunTimes[i]
 	}
 	e.waiting = nil
 	q.file(inst, e)
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -25,7 +25,7 @@
 )
 
 func job(id JobID, arrived task.Time, work ...task.Time) Job {
-	return Job{ID: id, Institution: hollowell, Arrived: arrived, Deadline: far, Work: work}
+	return Job{ID: id, Institution: hollowell, Arrived: arrived, Deadline: far, RunTimes: work}
 }
 
 func drain(q *Queue) []Ref {
@@ -119,7 +119,7 @@
 				last++
 				j := job(last, task.Time(last), rapid.SliceOfN(rapid.Map(rapid.IntRange(1, 9), func(n int) task.Time { return task.Time(n) }), 1, 5).Draw(t, "work")...)
 				j.Team = rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "team")
-				for i := range j.Work {
+				for i := range j.RunTimes {
 					waiting[Ref{last, i}] = true
 				}
 				q.Add(j)
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -91,8 +91,8 @@
 	return true
 }
 
-// Left is the number of retries the budget holds; below 0, so many wait.
-func (b *Budget) Left() float64 {
+// Remaining is the number of retries the budget holds; below 0, so many wait.
+func (b *Budget) Remaining() float64 {
 	return b.tokens
 }
 
@@ -112,8 +112,8 @@
 	}
 }
 
-// SetTerms takes the declared ratios.
-func (b *Budgets) SetTerms(s *pb.Settings) {
+// ApplySettings takes the declared ratios.
+func (b *Budgets) ApplySettings(s *pb.Settings) {
 	for _, inst := range s.GetInstitutions() {
 		b.institution(inst.GetName()).SetPercent(inst.GetRetryPercent())
 	}
@@ -162,9 +162,9 @@
 	// Delay is how long to wait. If it can't be made in time, OK is false.
 	Delay time.Duration
 	OK    bool
-	// UpstreamSpent says that the upstream has caused more retries than its
+	// UpstreamExhausted says that the upstream has caused more retries than its
 	// budget holds, and should be left alone.
-	UpstreamSpent bool
+	UpstreamExhausted bool
 }
 
 // Next decides on the retry of a task that an upstream hasn't started. Attempt
@@ -172,7 +172,7 @@
 // time at which it is worth starting.
 func (b *Budgets) Next(now, deadline task.Time, institution, upstream string, attempt int) Retry {
 	budget := b.institution(institution)
-	r := Retry{UpstreamSpent: !b.upstream(upstream, budget.ratio).Take(now)}
+	r := Retry{UpstreamExhausted: !b.upstream(upstream, budget.ratio).Take(now)}
 	r.Delay = budget.Reserve(now) + Delay(b.rng, attempt)
 	r.OK = now+r.Delay < deadline
 	if !r.OK {
@@ -181,9 +181,9 @@
 	return r
 }
 
-// Left is what an institution's budget holds.
-func (b *Budgets) Left(institution string) float64 {
-	return b.institution(institution).Left()
+// Remaining is what an institution's budget holds.
+func (b *Budgets) Remaining(institution string) float64 {
+	return b.institution(institution).Remaining()
 }
 
 // Delay is the jittered exponential back-off before retry number attempt,
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -21,7 +21,7 @@
 
 func budgets(percent uint32) *retry.Budgets {
 	b := retry.NewBudgets(rand.New(rand.NewPCG(1, 2)))
-	b.SetTerms(&pb.Settings{Institutions: []*pb.Institution{{Name: "kandy", RetryPercent: percent}}})
+	b.ApplySettings(&pb.Settings{Institutions: []*pb.Institution{{Name: "kandy", RetryPercent: percent}}})
 	return b
 }
 
@@ -73,12 +73,12 @@
 	g := gomega.NewWithT(t)
 	b := budgets(10)
 	n := 0
-	for !b.Next(0, time.Minute, "kandy", "refusing", 0).UpstreamSpent {
+	for !b.Next(0, time.Minute, "kandy", "refusing", 0).UpstreamExhausted {
 		n++
 	}
 	g.Expect(n).To(gomega.BeNumerically("<=", 8))
 	other := b.Next(0, time.Minute, "kandy", "other", 0)
-	g.Expect(other.UpstreamSpent).To(gomega.BeFalse())
+	g.Expect(other.UpstreamExhausted).To(gomega.BeFalse())
 	g.Expect(other.Delay).To(gomega.BeNumerically("<=", retry.BaseDelay))
 }
 
--- a/core/slots/counts.go
+++ b/core/slots/counts.go
@@ -3,11 +3,11 @@
 // Counts is the number of slots by their use, over all institutions: own ones,
 // and apart from them those borrowed.
 type Counts struct {
-	Busy     int `json:"busy"`
-	Idle     int `json:"idle"`
-	Resting  int `json:"resting"`
-	Lent     int `json:"lent"`
-	Borrowed int `json:"borrowed"`
+	Busy        int `json:"busy"`
+	Idle        int `json:"idle"`
+	CoolingDown int `json:"resting"`
+	Lent        int `json:"lent"`
+	Borrowed    int `json:"borrowed"`
 }
 
 // Counts goes through all slots, for dumps and metrics.
@@ -35,7 +35,7 @@
 	case idle:
 		c.Idle++
 	case closed:
-		c.Resting++
+		c.CoolingDown++
 	case lent:
 		c.Lent++
 	}
--- a/core/slots/loans.go
+++ b/core/slots/loans.go
@@ -119,9 +119,9 @@
 	}
 }
 
-// GiveBackIdle ends the use of up to n idle slots borrowed from a lender and
+// ReturnIdle ends the use of up to n idle slots borrowed from a lender and
 // says of how many.
-func (p *Pool) GiveBackIdle(lender task.Incarnation, n int) int {
+func (p *Pool) ReturnIdle(lender task.Incarnation, n int) int {
 	d := p.borrowed[lender]
 	if d == nil {
 		return 0
@@ -177,9 +177,9 @@
 	r.stale = true
 }
 
-// LenderGone ends the use of all slots borrowed from a peer that can't be
+// LenderUnreachable ends the use of all slots borrowed from a peer that can't be
 // reached. Tasks that run on them are left alone.
-func (p *Pool) LenderGone(lender task.Incarnation) {
+func (p *Pool) LenderUnreachable(lender task.Incarnation) {
 	d := p.borrowed[lender]
 	if d == nil {
 		return
--- a/core/slots/property_test.go
+++ b/core/slots/property_test.go
@@ -57,7 +57,7 @@
 	w.loans = slices.DeleteFunc(w.loans, func(l given) bool { return l.from == node })
 	w.mail = slices.DeleteFunc(w.mail, func(l letter) bool { return l.from == node || l.to == node })
 	for _, p := range w.pools {
-		p.LenderGone(run(node))
+		p.LenderUnreachable(run(node))
 	}
 }
 
@@ -97,7 +97,7 @@
 	if rapid.Bool().Draw(w.t, "later") {
 		until = w.now + task.Time(rapid.IntRange(1, 5).Draw(w.t, "rest"))
 	}
-	w.pools[n].ReleaseAt(s, until)
+	w.pools[n].ReleaseWithCooldown(s, until)
 }
 
 func (w *world) lend(*rapid.T) {
@@ -127,7 +127,7 @@
 
 func (w *world) sendReturns(*rapid.T) {
 	from, to := w.node(), w.node()
-	w.pools[from].GiveBackIdle(run(to), rapid.IntRange(0, 3).Draw(w.t, "count"))
+	w.pools[from].ReturnIdle(run(to), rapid.IntRange(0, 3).Draw(w.t, "count"))
 	if list := w.pools[from].Returns(run(to)); len(list) > 0 {
 		w.mail = append(w.mail, letter{given{from: from, to: to}, list})
 	}
@@ -174,7 +174,7 @@
 }
 
 func (w *world) cut(*rapid.T) {
-	w.pools[w.node()].LenderGone(run(w.node()))
+	w.pools[w.node()].LenderUnreachable(run(w.node()))
 }
 
 func (w *world) die(*rapid.T) { w.restart(w.node()) }
@@ -208,7 +208,7 @@
 func (w *world) time(*rapid.T) {
 	w.now++
 	for _, n := range nodeNames {
-		w.pools[n].Open(w.now)
+		w.pools[n].EndCooldowns(w.now)
 	}
 }
 
--- a/core/slots/record.go
+++ b/core/slots/record.go
@@ -244,8 +244,8 @@
 	p.closed = heap.Put(p.closed, r)
 }
 
-// Open makes closed slots usable whose time has come.
-func (p *Pool) Open(now task.Time) {
+// EndCooldowns makes closed slots usable whose time has come.
+func (p *Pool) EndCooldowns(now task.Time) {
 	for len(p.closed) > 0 && p.closed[0].until <= now {
 		r := p.closed[0]
 		p.closed = heap.Drop(p.closed, r)
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -63,12 +63,12 @@
 
 // Release gives a slot back after its task ended.
 func (p *Pool) Release(s task.Slot) {
-	p.ReleaseAt(s, 0)
+	p.ReleaseWithCooldown(s, 0)
 }
 
-// ReleaseAt gives a slot back that must not be used before a time: after a
-// refusal, or when a task may still run on it. Open makes it usable again.
-func (p *Pool) ReleaseAt(s task.Slot, until task.Time) {
+// ReleaseWithCooldown gives a slot back that must not be used before a time: after a
+// refusal, or when a task may still run on it. EndCooldowns makes it usable again.
+func (p *Pool) ReleaseWithCooldown(s task.Slot, until task.Time) {
 	r := p.find(s)
 	if r == nil || r.use != busy {
 		return
@@ -120,9 +120,9 @@
 	return 0
 }
 
-// AllIdleOwn is the number of own slots that may be taken now, over all
+// TotalIdleOwn is the number of own slots that may be taken now, over all
 // institutions.
-func (p *Pool) AllIdleOwn() int {
+func (p *Pool) TotalIdleOwn() int {
 	n := 0
 	for _, l := range p.ledgers {
 		n += l.own.usable
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -99,10 +99,10 @@
 	p.SetMembers(members())
 	list := acquireAll(p)
 	g.Expect(list).To(HaveLen(8))
-	p.ReleaseAt(list[0], time.Second)
-	p.Open(time.Second - 1)
+	p.ReleaseWithCooldown(list[0], time.Second)
+	p.EndCooldowns(time.Second - 1)
 	g.Expect(p.Idle(hollowell)).To(BeZero())
-	p.Open(time.Second)
+	p.EndCooldowns(time.Second)
 	g.Expect(p.Idle(hollowell)).To(Equal(1))
 }
 
@@ -118,10 +118,10 @@
 	borrower.Borrow(run("a"), 7, lender.Lend(hollowell, 1, run("c"), 7))
 	s, ok := borrower.Acquire(hollowell)
 	g.Expect(ok).To(BeTrue())
-	borrower.ReleaseAt(s, time.Second)
+	borrower.ReleaseWithCooldown(s, time.Second)
 	borrower.EndLoan(run("a"), 7)
 	g.Expect(borrower.Returns(run("a"))).To(BeEmpty())
-	borrower.Open(time.Second)
+	borrower.EndCooldowns(time.Second)
 	g.Expect(borrower.Returns(run("a"))).To(Equal([]Return{{7, []task.Slot{s}}}))
 }
 
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -154,7 +154,7 @@
 	gauge(jobsDesc, c.Submissions)
 	gauge(runningDesc, c.RunningStarts)
 	for use, n := range map[string]int{
-		"busy": s.Slots.Busy, "idle": s.Slots.Idle, "resting": s.Slots.Resting, "lent": s.Slots.Lent, "borrowed": s.Slots.Borrowed,
+		"busy": s.Slots.Busy, "idle": s.Slots.Idle, "resting": s.Slots.CoolingDown, "lent": s.Slots.Lent, "borrowed": s.Slots.Borrowed,
 	} {
 		gauge(slotsDesc, n, use)
 	}
