--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// doubt is how far a job's expected times may be off before it is said
+	// estimateErrorFactor is how far a job's expected times may be off before it is said
 	// that it can never run.
-	doubt = 4
-	// maxComeBack bounds the time after which a refused caller is asked back.
-	maxComeBack = 30 * time.Second
+	estimateErrorFactor = 4
+	// maxRetryAfter bounds the time after which a refused caller is asked back.
+	maxRetryAfter = 30 * time.Second
 )
 
 // Job is what a decision needs to know of a job; times as expected.
@@ -65,21 +65,21 @@
 		return tooLarge(j, slots)
 	}
 	wait := c.Queued / slots
-	most := min(j.TimeLimit*time.Duration(c.WaitPercent)/100, j.TimeLimit-max(j.Longest, j.Work/slots))
-	if wait <= most {
+	maxWait := min(j.TimeLimit*time.Duration(c.WaitPercent)/100, j.TimeLimit-max(j.Longest, j.Work/slots))
+	if wait <= maxWait {
 		return nil
 	}
 	return &Refusal{
 		Reason: pb.Reason_REASON_OVERLOADED,
-		Detail: fmt.Sprintf("the wait is about %d ms; with %d ms allowed it may be %d ms", wait.Milliseconds(), j.TimeLimit.Milliseconds(), max(most, 0).Milliseconds()),
-		Excess: wait - max(most, 0),
+		Detail: fmt.Sprintf("the wait is about %d ms; with %d ms allowed it may be %d ms", wait.Milliseconds(), j.TimeLimit.Milliseconds(), max(maxWait, 0).Milliseconds()),
+		Excess: wait - max(maxWait, 0),
 	}
 }
 
 // tooLarge finds a job that can't be done in its time on the slots there are
 // though nobody waits; others may be lent or come back.
 func tooLarge(j Job, slots time.Duration) *Refusal {
-	if j.Work/slots/doubt <= j.TimeLimit {
+	if j.Work/slots/estimateErrorFactor <= j.TimeLimit {
 		return nil
 	}
 	return &Refusal{
@@ -100,9 +100,9 @@
 		return never("a task needs %d thousandths of a core and the largest worker has %d", j.CPUMillis, c.CPUMillis)
 	case c.MemoryMiB > 0 && j.MemoryMiB > c.MemoryMiB:
 		return never("a task needs %d MiB and the largest worker has %d", j.MemoryMiB, c.MemoryMiB)
-	case j.Longest/doubt > j.TimeLimit:
+	case j.Longest/estimateErrorFactor > j.TimeLimit:
 		return never("a task is expected to run %d ms and the job has %d ms", j.Longest.Milliseconds(), j.TimeLimit.Milliseconds())
-	case c.MaxSlots > 0 && j.Work/doubt/time.Duration(c.MaxSlots) > j.TimeLimit:
+	case c.MaxSlots > 0 && j.Work/estimateErrorFactor/time.Duration(c.MaxSlots) > j.TimeLimit:
 		return never("%d ms of work can't be done in %d ms on %d slots, the most it may ever hold", j.Work.Milliseconds(), j.TimeLimit.Milliseconds(), c.MaxSlots)
 	}
 	return nil
@@ -112,8 +112,8 @@
 // for them. If all were told the same time, they would come back as one burst,
 // and most be refused again.
 type RetrySpreader struct {
-	// next is when the capacity promised to those refused so far is used up.
-	next task.Time
+	// promisedUntil is when the capacity promised to those refused so far is used up.
+	promisedUntil task.Time
 }
 
 // RetryAfter is when a refused job should come back, from now.
@@ -121,7 +121,7 @@
 	if r.Excess == 0 {
 		return 0
 	}
-	b.next = max(b.next, now+r.Excess) + j.Work/time.Duration(max(c.Slots, 1))
-	b.next = min(b.next, now+maxComeBack)
-	return b.next - now
+	b.promisedUntil = max(b.promisedUntil, now+r.Excess) + j.Work/time.Duration(max(c.Slots, 1))
+	b.promisedUntil = min(b.promisedUntil, now+maxRetryAfter)
+	return b.promisedUntil - now
 }
--- a/core/admission/estimate.go
+++ b/core/admission/estimate.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// estimateWeight is the part of the newest task in a service's estimate.
-	estimateWeight = 1.0 / 256
-	// estimateFirst is how many tasks' worth the declaration counts at first.
-	estimateFirst = 8
+	// minSampleWeight is the part of the newest task in a service's estimate.
+	minSampleWeight = 1.0 / 256
+	// declarationSamples is how many tasks' worth the declaration counts at first.
+	declarationSamples = 8
 	// Factors beyond these aren't believed.
 	minFactor = 0.05
 	maxFactor = 20
@@ -15,8 +15,8 @@
 // serviceKey names a service of an institution.
 type serviceKey struct{ institution, service string }
 
-// ratio is the run time observed against the one declared, as running sums.
-type ratio struct {
+// runTimeMeans is the run time observed against the one declared, as running sums.
+type runTimeMeans struct {
 	observed, declared float64
 	count              float64
 }
@@ -25,12 +25,12 @@
 // took. Declarations are often off by a factor of two and more, and with them
 // every forecast of a wait.
 type Estimator struct {
-	services map[serviceKey]*ratio
+	services map[serviceKey]*runTimeMeans
 }
 
 // NewEstimator returns one that believes every declaration.
 func NewEstimator() *Estimator {
-	return &Estimator{services: make(map[serviceKey]*ratio)}
+	return &Estimator{services: make(map[serviceKey]*runTimeMeans)}
 }
 
 // Observe takes the run time of a task that ran to its end.
@@ -38,11 +38,11 @@
 	k := serviceKey{institution, service}
 	r := e.services[k]
 	if r == nil {
-		r = &ratio{observed: declared.Seconds(), declared: declared.Seconds(), count: estimateFirst}
+		r = &runTimeMeans{observed: declared.Seconds(), declared: declared.Seconds(), count: declarationSamples}
 		e.services[k] = r
 	}
 	r.count++
-	w := max(1/r.count, estimateWeight)
+	w := max(1/r.count, minSampleWeight)
 	r.observed += w * (took.Seconds() - r.observed)
 	r.declared += w * (declared.Seconds() - r.declared)
 }
--- a/core/admission/lending.go
+++ b/core/admission/lending.go
@@ -18,7 +18,7 @@
 			delete(q.peers, old)
 		}
 	}
-	q.peers[p] = &quotaPeer{told: -StatusInterval}
+	q.peers[p] = &quotaPeer{statusSentAt: -StatusInterval}
 }
 
 // PeerDown says that the connection with a process is lost. Loans go on until
@@ -32,47 +32,47 @@
 // that may run on them.
 func (q *Quotas) Tick(now task.Time) {
 	q.demand = nil
-	for _, l := range q.order {
-		q.takeBack(l, now)
-		q.ask(l)
-		q.giveBack(l, now)
+	for _, l := range q.sortedLimits {
+		q.reclaimExpired(l, now)
+		q.updateRequest(l)
+		q.returnSurplus(l, now)
 		l.peak = l.held
 		l.blocked = false
-		if l.asked > 0 {
+		if l.requested > 0 {
 			q.demand = append(q.demand, &pb.HeldSlots{
 				Institution: l.key.Institution,
 				Team:        l.key.Team,
 				Slots:       uint32(l.held),
-				Wanted:      uint32(l.asked),
+				Wanted:      uint32(l.requested),
 			})
 		}
 	}
 }
 
-func (q *Quotas) takeBack(l *limit, now task.Time) {
+func (q *Quotas) reclaimExpired(l *limit, now task.Time) {
 	for p, out := range l.lentTo {
-		if now >= out.until+q.overhang {
+		if now >= out.until+q.maxTaskOverrun {
 			l.lent -= out.units
 			delete(l.lentTo, p)
 		}
 	}
 }
 
-// ask doubles what is asked for while demand isn't met.
-func (q *Quotas) ask(l *limit) {
+// updateRequest doubles what is asked for while demand isn't met.
+func (q *Quotas) updateRequest(l *limit) {
 	if !l.blocked {
-		l.asked = 0
+		l.requested = 0
 		return
 	}
-	l.asked = min(max(2*l.asked, 1+l.held/4), l.total)
+	l.requested = min(max(2*l.requested, 1+l.held/4), l.total)
 }
 
-// giveBack hands units back that weren't used since the last status.
-func (q *Quotas) giveBack(l *limit, now task.Time) {
-	if l.asked > 0 {
+// returnSurplus hands units back that weren't used since the last status.
+func (q *Quotas) returnSurplus(l *limit, now task.Time) {
+	if l.requested > 0 {
 		return
 	}
-	surplus := l.base(q, now) - l.lent + l.usable(now) - l.peak
+	surplus := l.ownUnits(q, now) - l.lent + l.usableBorrowed(now) - l.peak
 	for _, p := range sortedLoans(l.borrowed) {
 		b := l.borrowed[p]
 		n := min(surplus, b.units)
@@ -80,7 +80,7 @@
 			b.units -= n
 			surplus -= n
 		}
-		if now >= b.until+q.overhang {
+		if now >= b.until+q.maxTaskOverrun {
 			delete(l.borrowed, p)
 		}
 	}
@@ -90,24 +90,24 @@
 // interval. Nil means that there is nothing to tell.
 func (q *Quotas) Status(now task.Time, to task.Incarnation) *pb.QuotaStatus {
 	p := q.peers[to]
-	if p == nil || len(q.order) == 0 || now-p.told < StatusInterval {
+	if p == nil || len(q.sortedLimits) == 0 || now-p.statusSentAt < StatusInterval {
 		return nil
 	}
-	p.told = now
+	p.statusSentAt = now
 	st := &pb.QuotaStatus{
 		ClockMs:        uint64(now.Milliseconds()),
 		MembersVersion: q.list.version,
 		NodesHash:      q.list.hash,
-		Settled:        q.settledHere(now),
+		Settled:        q.withinLimits(now),
 		Demand:         q.demand,
 	}
-	for _, l := range q.order {
-		if out := l.lentTo[to]; out != nil && p.heard {
-			st.Loans = append(st.Loans, q.extend(l, out, now, p.clock))
+	for _, l := range q.sortedLimits {
+		if out := l.lentTo[to]; out != nil && p.statusReceived {
+			st.Loans = append(st.Loans, q.renew(l, out, now, p.clockMs))
 		}
 		for _, lender := range sortedLoans(l.borrowed) {
 			if lender.Node == to.Node {
-				st.Borrowed = append(st.Borrowed, l.report(lender))
+				st.Borrowed = append(st.Borrowed, l.borrowedReport(lender))
 			}
 		}
 	}
@@ -120,7 +120,7 @@
 	if len(q.demand) > 0 {
 		return true
 	}
-	for _, l := range q.order {
+	for _, l := range q.sortedLimits {
 		if l.lentTo[with] != nil || l.borrowed[with] != nil {
 			return true
 		}
@@ -135,9 +135,9 @@
 	return q.serial
 }
 
-// extend tells of a loan and, unless the units are needed here or aren't this
+// renew tells of a loan and, unless the units are needed here or aren't this
 // process's any more, lets it run on.
-func (q *Quotas) extend(l *limit, out *loan, now task.Time, clock uint64) *pb.QuotaLoan {
+func (q *Quotas) renew(l *limit, out *loan, now task.Time, clock uint64) *pb.QuotaLoan {
 	w := &pb.QuotaLoan{
 		Institution: l.key.Institution,
 		Team:        l.key.Team,
@@ -145,14 +145,14 @@
 		Serial:      out.serial,
 		ClockMs:     clock,
 	}
-	if l.asked == 0 && l.lent <= l.base(q, now) {
+	if l.requested == 0 && l.lent <= l.ownUnits(q, now) {
 		w.ValidMs = uint32(LoanValidity.Milliseconds())
-		out.until = max(out.until, now+LoanValidity+LoanValidity/drift)
+		out.until = max(out.until, now+LoanValidity+LoanValidity/clockDriftDivisor)
 	}
 	return w
 }
 
-func (l *limit) report(lender task.Incarnation) *pb.QuotaLoan {
+func (l *limit) borrowedReport(lender task.Incarnation) *pb.QuotaLoan {
 	b := l.borrowed[lender]
 	return &pb.QuotaLoan{
 		Institution: l.key.Institution,
@@ -169,25 +169,25 @@
 	if p == nil || st == nil {
 		return
 	}
-	p.heard = true
-	p.clock = max(p.clock, st.GetClockMs())
-	p.version = st.GetMembersVersion()
-	p.nodes = st.GetNodesHash()
-	p.settled = st.GetSettled()
-	q.reports(from, p, st.GetBorrowed())
+	p.statusReceived = true
+	p.clockMs = max(p.clockMs, st.GetClockMs())
+	p.listVersion = st.GetMembersVersion()
+	p.nodesHash = st.GetNodesHash()
+	p.withinLimits = st.GetSettled()
+	q.applyReports(from, p, st.GetBorrowed())
 	for _, w := range st.GetLoans() {
 		q.borrow(from, w)
 	}
-	q.settle(now)
+	q.endWaitsEarly(now)
 	q.lend(now, from, st.GetDemand())
 }
 
-// reports takes back what a borrower says it doesn't use any more.
-func (q *Quotas) reports(from task.Incarnation, p *quotaPeer, list []*pb.QuotaLoan) {
-	p.owesPredecessor = false
+// applyReports takes back what a borrower says it doesn't use any more.
+func (q *Quotas) applyReports(from task.Incarnation, p *quotaPeer, list []*pb.QuotaLoan) {
+	p.holdsPredecessorLoans = false
 	for _, r := range list {
 		if r.GetLenderRun() != q.self.Run {
-			p.owesPredecessor = true
+			p.holdsPredecessorLoans = true
 			continue
 		}
 		l := q.limits[keyOf(r)]
@@ -240,10 +240,10 @@
 func (q *Quotas) lend(now task.Time, to task.Incarnation, wanted []*pb.HeldSlots) {
 	for _, w := range wanted {
 		l := q.limits[Key{w.GetInstitution(), w.GetTeam()}]
-		if l == nil || l.blocked || l.asked > 0 {
+		if l == nil || l.blocked || l.requested > 0 {
 			continue
 		}
-		spare := l.base(q, now) - l.lent - max(l.peak, l.held) - l.held/4
+		spare := l.ownUnits(q, now) - l.lent - max(l.peak, l.held) - l.held/4
 		part := (int(w.GetWanted()) + len(q.peers) - 1) / len(q.peers)
 		n := min(spare, part)
 		if n <= 0 {
@@ -256,7 +256,7 @@
 		}
 		out.units += n
 		out.serial = q.nextSerial()
-		out.until = now + LoanValidity + LoanValidity/drift
+		out.until = now + LoanValidity + LoanValidity/clockDriftDivisor
 		l.lent += n
 	}
 }
--- a/core/admission/members.go
+++ b/core/admission/members.go
@@ -8,17 +8,17 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// list is what the platform's list says, and since when.
-type list struct {
+// memberList is what the platform's memberList says, and since when.
+type memberList struct {
 	known bool
 	nodes []string
 	hash  uint64
-	// version is the list's, since the first with these nodes.
-	version, since uint64
+	// version is the list's, nodesVersion the first with these nodes.
+	version, nodesVersion uint64
 	// slots is how many each institution's upstreams have.
 	slots map[string]int
-	// read is the latest reading, changed the first with these nodes.
-	read, changed task.Time
+	// readAt is the latest reading, changedAt the first with these nodes.
+	readAt, changedAt task.Time
 	// agreed: every process there can be has said that it goes by these nodes.
 	agreed bool
 }
@@ -32,16 +32,16 @@
 	slices.Sort(nodes)
 	if !q.list.known || !slices.Equal(nodes, q.list.nodes) {
 		q.setNodes(now, nodes)
-		q.list.since = m.Version
+		q.list.nodesVersion = m.Version
 	}
 	q.list.version = m.Version
 	q.list.slots = make(map[string]int)
 	for _, u := range m.Upstreams {
 		q.list.slots[u.Institution] += int(u.Slots)
 	}
-	q.list.read = now
-	q.divide()
-	q.settle(now)
+	q.list.readAt = now
+	q.divideUnits()
+	q.endWaitsEarly(now)
 }
 
 func (q *Quotas) setNodes(now task.Time, nodes []string) {
@@ -53,13 +53,13 @@
 	q.list.known = true
 	q.list.nodes = nodes
 	q.list.hash = h.Sum64()
-	q.list.changed = now
+	q.list.changedAt = now
 	q.list.agreed = false
 }
 
 // MembersUnchanged says that the list was read and hasn't changed.
 func (q *Quotas) MembersUnchanged(now task.Time) {
-	q.list.read = now
+	q.list.readAt = now
 }
 
 // remainderUsable says whether the units that the list gives may be used.
@@ -69,17 +69,17 @@
 // its reading is old; the others wait that long, unless they have heard from
 // every process there can be that it goes by the same list.
 func (q *Quotas) remainderUsable(now task.Time) bool {
-	if !q.list.known || now < q.floorFrom || now-q.list.read >= MaxListAge {
+	if !q.list.known || now < q.floorUsableFrom || now-q.list.readAt >= MaxListAge {
 		return false
 	}
-	return q.list.agreed || now >= q.list.changed+remainderWait+q.overhang
+	return q.list.agreed || now >= q.list.changedAt+remainderWait+q.maxTaskOverrun
 }
 
-// settle looks whether waits can end early, because every process there can be
+// endWaitsEarly looks whether waits can end early, because every process there can be
 // is listed, has been heard and uses no more than it may. One that lives but
 // isn't listed can't be heard, so with fewer than declared the waits stand.
-func (q *Quotas) settle(now task.Time) {
-	if !q.list.known || len(q.list.nodes) < q.entryVMs || q.list.agreed && q.cleared {
+func (q *Quotas) endWaitsEarly(now task.Time) {
+	if !q.list.known || len(q.list.nodes) < q.entryVMs || q.list.agreed && q.noPredecessorLoans {
 		return
 	}
 	agreed, cleared := true, true
@@ -87,36 +87,36 @@
 		if name == q.self.Node {
 			continue
 		}
-		p := q.peerNamed(name)
+		p := q.peerByNode(name)
 		if p == nil {
 			return
 		}
 		// What it said of an earlier list with the same nodes, before one with
 		// others in between, is void: it may go by that other one.
-		same := p.nodes == q.list.hash && p.version >= q.list.since
-		agreed = agreed && same && p.settled
-		cleared = cleared && !p.owesPredecessor
+		same := p.nodesHash == q.list.hash && p.listVersion >= q.list.nodesVersion
+		agreed = agreed && same && p.withinLimits
+		cleared = cleared && !p.holdsPredecessorLoans
 	}
 	q.list.agreed = q.list.agreed || agreed
-	if cleared && !q.cleared {
-		q.cleared = true
-		q.floorFrom = min(q.floorFrom, now)
+	if cleared && !q.noPredecessorLoans {
+		q.noPredecessorLoans = true
+		q.floorUsableFrom = min(q.floorUsableFrom, now)
 	}
 }
 
-func (q *Quotas) peerNamed(node string) *quotaPeer {
+func (q *Quotas) peerByNode(node string) *quotaPeer {
 	for inc, p := range q.peers {
-		if inc.Node == node && p.heard {
+		if inc.Node == node && p.statusReceived {
 			return p
 		}
 	}
 	return nil
 }
 
-// settledHere says whether this process uses no more than it may.
-func (q *Quotas) settledHere(now task.Time) bool {
-	for _, l := range q.order {
-		if l.lent+l.held > l.base(q, now)+l.usable(now) && !l.slack() {
+// withinLimits says whether this process uses no more than it may.
+func (q *Quotas) withinLimits(now task.Time) bool {
+	for _, l := range q.sortedLimits {
+		if l.lent+l.held > l.ownUnits(q, now)+l.usableBorrowed(now) && !l.nonBinding() {
 			return false
 		}
 	}
--- a/core/admission/quota.go
+++ b/core/admission/quota.go
@@ -22,8 +22,8 @@
 	remainderWait = 2*MaxListAge + 2*LoanValidity
 	// StatusInterval is how often a peer is told of quotas.
 	StatusInterval = 500 * time.Millisecond
-	// drift is the part by which clocks may run at different speeds.
-	drift = 64
+	// clockDriftDivisor is the part by which clocks may run at different speeds.
+	clockDriftDivisor = 64
 )
 
 // Key names one limit: a team's quota, or an institution's ceiling if there is
@@ -56,7 +56,7 @@
 	held, peak       int
 	lent             int
 	blocked          bool
-	asked            int
+	requested        int
 	// slots is how many the institution's listed upstreams have: a limit that
 	// they can't exceed needs no sharing.
 	slots    int
@@ -75,42 +75,42 @@
 //
 // It isn't safe for concurrent use.
 type Quotas struct {
-	self     task.Incarnation
-	limits   map[Key]*limit
-	order    []*limit
-	entryVMs int
-	// overhang is how long a task may hold a unit after the right to it ended:
+	self         task.Incarnation
+	limits       map[Key]*limit
+	sortedLimits []*limit
+	entryVMs     int
+	// maxTaskOverrun is how long a task may hold a unit after the right to it ended:
 	// the longest response time of all institutions.
-	overhang time.Duration
-	peers    map[task.Incarnation]*quotaPeer
-	list     list
-	demand   []*pb.HeldSlots
-	serial   uint64
-	// floorFrom is when units lent by a former run of this node are certainly
+	maxTaskOverrun time.Duration
+	peers          map[task.Incarnation]*quotaPeer
+	list           memberList
+	demand         []*pb.HeldSlots
+	serial         uint64
+	// floorUsableFrom is when units lent by a former run of this node are certainly
 	// back.
-	floorFrom task.Time
-	cleared   bool
+	floorUsableFrom    task.Time
+	noPredecessorLoans bool
 }
 
 // quotaPeer is what a connected process last said.
 type quotaPeer struct {
-	clock           uint64
-	version         uint64
-	nodes           uint64
-	settled         bool
-	heard           bool
-	owesPredecessor bool
-	// told is when it was last told of quotas.
-	told task.Time
+	clockMs               uint64
+	listVersion           uint64
+	nodesHash             uint64
+	withinLimits          bool
+	statusReceived        bool
+	holdsPredecessorLoans bool
+	// statusSentAt is when it was last statusSentAt of quotas.
+	statusSentAt task.Time
 }
 
 // NewQuotas returns the state of a process that has just started.
 func NewQuotas(self task.Incarnation) *Quotas {
 	return &Quotas{
-		self:      self,
-		limits:    make(map[Key]*limit),
-		peers:     make(map[task.Incarnation]*quotaPeer),
-		floorFrom: LoanValidity,
+		self:            self,
+		limits:          make(map[Key]*limit),
+		peers:           make(map[task.Incarnation]*quotaPeer),
+		floorUsableFrom: LoanValidity,
 	}
 }
 
@@ -118,10 +118,10 @@
 // new starts.
 func (q *Quotas) ApplySettings(s *pb.Settings) {
 	q.entryVMs = int(s.GetEntryVms())
-	q.overhang = 0
+	q.maxTaskOverrun = 0
 	declared := make(map[Key]int)
 	for _, inst := range s.GetInstitutions() {
-		q.overhang = max(q.overhang, time.Duration(inst.GetResponseTimeMs())*time.Millisecond)
+		q.maxTaskOverrun = max(q.maxTaskOverrun, time.Duration(inst.GetResponseTimeMs())*time.Millisecond)
 		if n := inst.GetCeilingSlots(); n > 0 {
 			declared[Key{Institution: inst.GetName()}] = int(n)
 		}
@@ -129,14 +129,14 @@
 			declared[Key{inst.GetName(), t.GetName()}] = int(t.GetQuotaSlots())
 		}
 	}
-	if !q.cleared {
-		q.floorFrom = LoanValidity + q.overhang
+	if !q.noPredecessorLoans {
+		q.floorUsableFrom = LoanValidity + q.maxTaskOverrun
 	}
-	q.adopt(declared)
-	q.divide()
+	q.setLimits(declared)
+	q.divideUnits()
 }
 
-func (q *Quotas) adopt(declared map[Key]int) {
+func (q *Quotas) setLimits(declared map[Key]int) {
 	for key, l := range q.limits {
 		if _, still := declared[key]; !still && l.held == 0 {
 			delete(q.limits, key)
@@ -154,20 +154,20 @@
 		}
 		l.total = total
 	}
-	q.order = q.order[:0]
+	q.sortedLimits = q.sortedLimits[:0]
 	for _, l := range q.limits {
-		q.order = append(q.order, l)
+		q.sortedLimits = append(q.sortedLimits, l)
 	}
-	slices.SortFunc(q.order, func(a, b *limit) int { return compareKeys(a.key, b.key) })
+	slices.SortFunc(q.sortedLimits, func(a, b *limit) int { return compareKeys(a.key, b.key) })
 }
 
-// divide works out which units are this process's own.
-func (q *Quotas) divide() {
+// divideUnits works out which units are this process's own.
+func (q *Quotas) divideUnits() {
 	n := q.entryVMs
 	if n == 0 {
 		n = max(len(q.list.nodes), 1)
 	}
-	for _, l := range q.order {
+	for _, l := range q.sortedLimits {
 		l.floor = l.total / n
 		l.remainder = 0
 		name := l.key.Institution + "\x00" + l.key.Team
@@ -201,37 +201,37 @@
 // HasCapacity says whether a limit lets one more task start.
 func (q *Quotas) HasCapacity(now task.Time, k Key) bool {
 	l := q.limits[k]
-	return l == nil || l.free(q, now) > 0
+	return l == nil || l.freeUnits(q, now) > 0
 }
 
 // Usable is how many tasks a limit lets run here at once, with the units that
 // are lent and will come home, and whether it is one that can be exceeded.
 func (q *Quotas) Usable(now task.Time, k Key) (units int, binding bool) {
 	l := q.limits[k]
-	if l == nil || l.slack() {
+	if l == nil || l.nonBinding() {
 		return 0, false
 	}
-	return l.held + max(l.free(q, now), 0) + l.lent, true
+	return l.held + max(l.freeUnits(q, now), 0) + l.lent, true
 }
 
-// free is how many more tasks the limit lets start here.
-func (l *limit) free(q *Quotas, now task.Time) int {
-	if l.slack() {
+// freeUnits is how many more tasks the limit lets start here.
+func (l *limit) freeUnits(q *Quotas, now task.Time) int {
+	if l.nonBinding() {
 		return l.total
 	}
-	return l.base(q, now) - l.lent + l.usable(now) - l.held
+	return l.ownUnits(q, now) - l.lent + l.usableBorrowed(now) - l.held
 }
 
-// slack says that the limit can't be exceeded, since the upstreams don't have
+// nonBinding says that the limit can't be exceeded, since the upstreams don't have
 // more slots.
-func (l *limit) slack() bool {
+func (l *limit) nonBinding() bool {
 	return l.slots > 0 && l.slots <= l.total
 }
 
-// base is the units that are this process's, the lent ones included.
-func (l *limit) base(q *Quotas, now task.Time) int {
+// ownUnits is the units that are this process's, the lent ones included.
+func (l *limit) ownUnits(q *Quotas, now task.Time) int {
 	n := 0
-	if now >= q.floorFrom {
+	if now >= q.floorUsableFrom {
 		n += l.floor
 	}
 	if q.remainderUsable(now) {
@@ -240,8 +240,8 @@
 	return n
 }
 
-// usable is the borrowed units whose time hasn't passed.
-func (l *limit) usable(now task.Time) int {
+// usableBorrowed is the borrowed units whose time hasn't passed.
+func (l *limit) usableBorrowed(now task.Time) int {
 	n := 0
 	for _, b := range l.borrowed {
 		if now < b.until {
@@ -252,24 +252,24 @@
 }
 
 // Started takes account of a task start.
-func (q *Quotas) Started(institution, team string) { q.count(institution, team, 1) }
+func (q *Quotas) Started(institution, team string) { q.adjustHeld(institution, team, 1) }
 
 // Ended takes account of the end of a task that was started.
-func (q *Quotas) Ended(institution, team string) { q.count(institution, team, -1) }
+func (q *Quotas) Ended(institution, team string) { q.adjustHeld(institution, team, -1) }
 
-func (q *Quotas) count(institution, team string, n int) {
+func (q *Quotas) adjustHeld(institution, team string, n int) {
 	if l := q.limits[Key{Institution: institution}]; l != nil {
-		l.add(n)
+		l.adjustHeld(n)
 	}
 	if team == "" {
 		return
 	}
 	if l := q.limits[Key{institution, team}]; l != nil {
-		l.add(n)
+		l.adjustHeld(n)
 	}
 }
 
-func (l *limit) add(n int) {
+func (l *limit) adjustHeld(n int) {
 	l.held = max(l.held+n, 0)
 	l.peak = max(l.peak, l.held)
 }
@@ -313,9 +313,9 @@
 
 // Dump lists the limits in order of name.
 func (q *Quotas) Dump(now task.Time) []LimitState {
-	list := make([]LimitState, 0, len(q.order))
-	for _, l := range q.order {
-		list = append(list, LimitState{l.key.Institution, l.key.Team, l.total, l.base(q, now), l.lent, l.usable(now), l.held, l.asked, !l.slack()})
+	list := make([]LimitState, 0, len(q.sortedLimits))
+	for _, l := range q.sortedLimits {
+		list = append(list, LimitState{l.key.Institution, l.key.Team, l.total, l.ownUnits(q, now), l.lent, l.usableBorrowed(now), l.held, l.requested, !l.nonBinding()})
 	}
 	return list
 }
--- a/core/admission/quota_test.go
+++ b/core/admission/quota_test.go
@@ -36,7 +36,7 @@
 	{Institution: institution, Team: team}: quota,
 }
 
-func terms() *pb.Settings {
+func settings() *pb.Settings {
 	return &pb.Settings{Version: 1, EntryVms: nodeCount, Institutions: []*pb.Institution{{
 		Name:           institution,
 		CeilingSlots:   ceiling,
@@ -50,33 +50,33 @@
 	self task.Incarnation
 	q    *admission.Quotas
 	// started is on the world's clock, which the process never reads.
-	started  task.Time
-	demand   int
-	isolated bool
-	seen     int
-	heard    map[task.Incarnation]uint64
+	started             task.Time
+	demand              int
+	platformUnreachable bool
+	seenList            int
+	lastReceived        map[task.Incarnation]uint64
 }
 
-type listing struct {
+type publishedList struct {
 	at    task.Time
 	nodes []task.Node
 }
 
 // world is entry processes with a lagging list, cuts and late messages.
 type world struct {
-	rng     *rand.Rand
-	now     task.Time
-	runs    uint64
-	seq     uint64
-	nodes   [nodeCount]*process
-	lists   []listing
-	cut     [nodeCount][nodeCount]bool
-	due     map[task.Time][]func()
-	maxLate time.Duration
+	rng          *rand.Rand
+	now          task.Time
+	runs         uint64
+	seq          uint64
+	nodes        [nodeCount]*process
+	lists        []publishedList
+	disconnected [nodeCount][nodeCount]bool
+	scheduled    map[task.Time][]func()
+	maxDelay     time.Duration
 }
 
 func newWorld(seed uint64, maxLate time.Duration) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), due: make(map[task.Time][]func()), maxLate: maxLate}
+	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), scheduled: make(map[task.Time][]func()), maxDelay: maxLate}
 	w.publish(nil)
 	for i := range w.nodes {
 		w.start(i)
@@ -91,7 +91,7 @@
 	for _, i := range without {
 		out[i] = true
 	}
-	l := listing{at: w.now}
+	l := publishedList{at: w.now}
 	for i := range nodeCount {
 		if !out[i] {
 			l.nodes = append(l.nodes, task.Node{Name: nodeName(i)})
@@ -100,19 +100,19 @@
 	w.lists = append(w.lists, l)
 }
 
-func (w *world) after(d time.Duration, f func()) {
+func (w *world) schedule(d time.Duration, f func()) {
 	at := (w.now + max(d, step)).Truncate(step)
-	w.due[at] = append(w.due[at], f)
+	w.scheduled[at] = append(w.scheduled[at], f)
 }
 
 func (w *world) start(i int) {
 	w.runs++
-	p := &process{self: task.Incarnation{Node: nodeName(i), Run: w.runs}, started: w.now, seen: -1, heard: make(map[task.Incarnation]uint64)}
+	p := &process{self: task.Incarnation{Node: nodeName(i), Run: w.runs}, started: w.now, seenList: -1, lastReceived: make(map[task.Incarnation]uint64)}
 	p.q = admission.NewQuotas(p.self)
-	p.q.ApplySettings(terms())
+	p.q.ApplySettings(settings())
 	w.nodes[i] = p
 	for j, other := range w.nodes {
-		if other != nil && j != i && !w.cut[i][j] {
+		if other != nil && j != i && !w.disconnected[i][j] {
 			w.connect(i, j)
 		}
 	}
@@ -124,11 +124,11 @@
 	b.q.PeerUp(a.self)
 }
 
-func (w *world) setCut(i, j int, cut bool) {
-	if w.cut[i][j] == cut {
+func (w *world) setDisconnected(i, j int, cut bool) {
+	if w.disconnected[i][j] == cut {
 		return
 	}
-	w.cut[i][j], w.cut[j][i] = cut, cut
+	w.disconnected[i][j], w.disconnected[j][i] = cut, cut
 	a, b := w.nodes[i], w.nodes[j]
 	if cut {
 		a.q.PeerDown(b.self)
@@ -143,10 +143,10 @@
 // step advances the world and runs every process once.
 func (w *world) step() {
 	w.now += step
-	for _, f := range w.due[w.now] {
+	for _, f := range w.scheduled[w.now] {
 		f()
 	}
-	delete(w.due, w.now)
+	delete(w.scheduled, w.now)
 	for i, p := range w.nodes {
 		w.readList(p)
 		for range p.demand {
@@ -156,26 +156,26 @@
 			p.q.Tick(w.clock(p))
 		}
 		for j, other := range w.nodes {
-			if i != j && !w.cut[i][j] {
-				w.tell(p, other)
+			if i != j && !w.disconnected[i][j] {
+				w.sendStatus(p, other)
 			}
 		}
 	}
 }
 
 func (w *world) readList(p *process) {
-	if p.isolated {
+	if p.platformUnreachable {
 		return
 	}
 	newest := len(w.lists) - 1
-	for newest > max(p.seen, 0) && w.now-w.lists[newest].at < admission.MaxListAge && w.rng.IntN(20) > 0 {
+	for newest > max(p.seenList, 0) && w.now-w.lists[newest].at < admission.MaxListAge && w.rng.IntN(20) > 0 {
 		newest--
 	}
-	if newest <= p.seen {
+	if newest <= p.seenList {
 		p.q.MembersUnchanged(w.clock(p))
 		return
 	}
-	p.seen = newest
+	p.seenList = newest
 	p.q.SetMembers(w.clock(p), task.Members{Version: uint64(newest + 1), Nodes: w.lists[newest].nodes})
 }
 
@@ -185,19 +185,19 @@
 		return
 	}
 	p.q.Started(institution, name)
-	w.after(time.Duration(w.rng.Int64N(int64(longestTask-step))), func() { p.q.Ended(institution, name) })
+	w.schedule(time.Duration(w.rng.Int64N(int64(longestTask-step))), func() { p.q.Ended(institution, name) })
 }
 
-func (w *world) tell(from, to *process) {
+func (w *world) sendStatus(from, to *process) {
 	st := from.q.Status(w.clock(from), to.self)
 	if st == nil {
 		return
 	}
 	w.seq++
 	seq := w.seq
-	w.after(time.Duration(w.rng.Int64N(int64(w.maxLate)+1)), func() {
-		if to.heard[from.self] < seq {
-			to.heard[from.self] = seq
+	w.schedule(time.Duration(w.rng.Int64N(int64(w.maxDelay)+1)), func() {
+		if to.lastReceived[from.self] < seq {
+			to.lastReceived[from.self] = seq
 			to.q.Receive(w.clock(to), from.self, st)
 		}
 	})
@@ -211,8 +211,8 @@
 	return n
 }
 
-// fault does one random thing to the world.
-func (w *world) fault() {
+// injectFault does one random thing to the world.
+func (w *world) injectFault() {
 	i, j := w.rng.IntN(nodeCount), w.rng.IntN(nodeCount)
 	p := w.nodes[i]
 	switch w.rng.IntN(6) {
@@ -220,10 +220,10 @@
 		p.demand = w.rng.IntN(4)
 	case 1:
 		if i != j {
-			w.setCut(i, j, !w.cut[i][j])
+			w.setDisconnected(i, j, !w.disconnected[i][j])
 		}
 	case 2:
-		p.isolated = !p.isolated
+		p.platformUnreachable = !p.platformUnreachable
 	case 3:
 		w.publish([]int{i})
 	case 4:
@@ -246,7 +246,7 @@
 		}
 		for range 3000 {
 			if w.rng.IntN(rarity) == 0 {
-				w.fault()
+				w.injectFault()
 			}
 			w.step()
 			for k, limit := range keys {
@@ -280,9 +280,9 @@
 	for range 50 {
 		w.step()
 	}
-	w.nodes[3].isolated = true
+	w.nodes[3].platformUnreachable = true
 	for i := range 3 {
-		w.setCut(i, 3, true)
+		w.setDisconnected(i, 3, true)
 	}
 	w.nodes[3].demand = 40
 	least := ceiling
--- a/core/heap/heap.go
+++ b/core/heap/heap.go
@@ -62,18 +62,18 @@
 
 func down[T Item[T]](h []T, i int) {
 	for {
-		first := 2*i + 1
-		if first >= len(h) {
+		child := 2*i + 1
+		if child >= len(h) {
 			return
 		}
-		if r := first + 1; r < len(h) && h[r].Before(h[first]) {
-			first = r
+		if r := child + 1; r < len(h) && h[r].Before(h[child]) {
+			child = r
 		}
-		if !h[first].Before(h[i]) {
+		if !h[child].Before(h[i]) {
 			return
 		}
-		swap(h, i, first)
-		i = first
+		swap(h, i, child)
+		i = child
 	}
 }
 
--- a/core/queue/late.go
+++ b/core/queue/late.go
@@ -6,8 +6,8 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// lateScan bounds the waiting tasks that CountLate looks at.
-const lateScan = 64
+// maxLateScan bounds the waiting tasks that CountLate looks at.
+const maxLateScan = 64
 
 // LatenessCriteria says which waiting tasks count as late.
 type LatenessCriteria struct {
@@ -31,11 +31,11 @@
 	if inst == nil {
 		return 0
 	}
-	s := scan{now: now, demand: d}
-	for _, t := range inst.heap {
-		for _, e := range t.jobs {
-			s.job(e)
-			if s.seen >= lateScan {
+	s := latenessScan{now: now, demand: d}
+	for _, t := range inst.teamHeap {
+		for _, e := range t.jobHeap {
+			s.addJob(e)
+			if s.scanned >= maxLateScan {
 				return s.late
 			}
 		}
@@ -43,19 +43,19 @@
 	return s.late
 }
 
-// scan is one count of late tasks.
-type scan struct {
-	now    task.Time
-	demand LatenessCriteria
-	seen   int
-	late   int
+// latenessScan is one count of late tasks.
+type latenessScan struct {
+	now     task.Time
+	demand  LatenessCriteria
+	scanned int
+	late    int
 }
 
-func (s *scan) job(e *entry) {
+func (s *latenessScan) addJob(e *queuedJob) {
 	tolerance := time.Duration(float64(s.demand.Tolerance) * float64(e.longest) / float64(s.demand.TypicalRunTime))
-	for i := len(e.waiting) - 1; i >= 0 && s.seen < lateScan; i-- {
-		s.seen++
-		start := s.now + time.Duration(s.seen)*s.demand.StartInterval
+	for i := len(e.waiting) - 1; i >= 0 && s.scanned < maxLateScan; i-- {
+		s.scanned++
+		start := s.now + time.Duration(s.scanned)*s.demand.StartInterval
 		slack := min(e.longest-e.job.RunTimes[e.waiting[i]], s.demand.MaxSlack)
 		if start <= e.job.Arrived+slack+tolerance {
 			return
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -59,16 +59,16 @@
 // DefaultOrder is the order that measured best; see docs/design/placement.md.
 var DefaultOrder = Order{LengthPercent: 100, SlackPercent: 100}
 
-// entry is a job that has waiting tasks, or may have some again.
-type entry struct {
+// queuedJob is a job that has waiting tasks, or may have some again.
+type queuedJob struct {
 	job     Job
 	longest task.Time
 	// waiting are the indexes of waiting tasks, the longest last.
 	waiting []int32
 	held    bool
 	team    *team
-	// at is the position in the team's heap, -1 if it isn't there.
-	at int
+	// heapIndex is the position in the team's heap, -1 if it isn't there.
+	heapIndex int
 	// rank is that of the next waiting task.
 	rank task.Time
 }
@@ -76,26 +76,26 @@
 // team holds the jobs of one team of an institution.
 type team struct {
 	name string
-	// members counts the team's jobs, those without waiting tasks included.
-	members int
-	jobs    []*entry
-	// at is the position in the institution's heap, -1 if it isn't there.
-	at int
+	// jobCount counts the team's jobs, those without waiting tasks included.
+	jobCount int
+	jobHeap  []*queuedJob
+	// heapIndex is the position in the institution's heap, -1 if it isn't there.
+	heapIndex int
 }
 
 // institution holds the teams of one institution.
 type institution struct {
-	teams map[string]*team
-	heap  []*team
-	tasks int
-	work  task.Time
+	teamsByName map[string]*team
+	teamHeap    []*team
+	tasks       int
+	runTime     task.Time
 }
 
 // Queue holds waiting tasks for each institution. Adding, taking and dropping
 // cost the logarithm of the jobs and teams that wait.
 type Queue struct {
 	order        Order
-	jobs         map[JobID]*entry
+	jobs         map[JobID]*queuedJob
 	institutions map[string]*institution
 }
 
@@ -108,51 +108,51 @@
 func NewWithOrder(o Order) *Queue {
 	return &Queue{
 		order:        o,
-		jobs:         make(map[JobID]*entry),
+		jobs:         make(map[JobID]*queuedJob),
 		institutions: make(map[string]*institution),
 	}
 }
 
 // Add queues all tasks of a job.
 func (q *Queue) Add(j Job) {
-	e := &entry{job: j, waiting: make([]int32, len(j.RunTimes)), at: heap.Absent}
+	e := &queuedJob{job: j, waiting: make([]int32, len(j.RunTimes)), heapIndex: heap.Absent}
 	for i, w := range j.RunTimes {
 		e.waiting[i] = int32(len(j.RunTimes) - 1 - i)
 		e.longest = max(e.longest, w)
 	}
 	if !q.order.FIFO {
-		slices.SortStableFunc(e.waiting, e.byWork)
+		slices.SortStableFunc(e.waiting, e.compareRunTimes)
 	}
 	inst := q.institution(j.Institution)
 	e.team = inst.team(j.Team)
-	e.team.members++
+	e.team.jobCount++
 	q.jobs[j.ID] = e
 	inst.tasks += len(j.RunTimes)
 	for _, w := range j.RunTimes {
-		inst.work += w
+		inst.runTime += w
 	}
-	q.file(inst, e)
+	q.update(inst, e)
 }
 
 func (q *Queue) institution(name string) *institution {
 	inst := q.institutions[name]
 	if inst == nil {
-		inst = &institution{teams: make(map[string]*team)}
+		inst = &institution{teamsByName: make(map[string]*team)}
 		q.institutions[name] = inst
 	}
 	return inst
 }
 
 func (inst *institution) team(name string) *team {
-	t := inst.teams[name]
+	t := inst.teamsByName[name]
 	if t == nil {
-		t = &team{name: name, at: heap.Absent}
-		inst.teams[name] = t
+		t = &team{name: name, heapIndex: heap.Absent}
+		inst.teamsByName[name] = t
 	}
 	return t
 }
 
-func (e *entry) byWork(a, b int32) int {
+func (e *queuedJob) compareRunTimes(a, b int32) int {
 	wa, wb := e.job.RunTimes[a], e.job.RunTimes[b]
 	switch {
 	case wa < wb:
@@ -163,35 +163,35 @@
 	return int(b) - int(a)
 }
 
-// next is the waiting task to be served first.
-func (e *entry) next() int {
+// nextTask is the waiting task to be served first.
+func (e *queuedJob) nextTask() int {
 	return int(e.waiting[len(e.waiting)-1])
 }
 
-// due is the latest start of a task that doesn't hold up its job's answer.
-func (e *entry) due(index int) task.Time {
+// latestStart is the latest start of a task that doesn't hold up its job's answer.
+func (e *queuedJob) latestStart(index int) task.Time {
 	return e.job.Arrived + e.longest - e.job.RunTimes[index]
 }
 
-func (q *Queue) rankOf(e *entry) task.Time {
+func (q *Queue) rankOf(e *queuedJob) task.Time {
 	if q.order.FIFO {
 		return e.job.Arrived
 	}
-	slack := e.longest - e.job.RunTimes[e.next()]
+	slack := e.longest - e.job.RunTimes[e.nextTask()]
 	r := e.job.Arrived + slack*time.Duration(q.order.SlackPercent)/100 + e.longest*time.Duration(q.order.LengthPercent)/100
 	return min(r, e.job.Deadline-e.longest)
 }
 
-// file puts a job where it belongs after a change.
-func (q *Queue) file(inst *institution, e *entry) {
+// update puts a job where it belongs after a change.
+func (q *Queue) update(inst *institution, e *queuedJob) {
 	t := e.team
 	if e.held || len(e.waiting) == 0 {
-		t.jobs = heap.Drop(t.jobs, e)
+		t.jobHeap = heap.Drop(t.jobHeap, e)
 	} else {
 		e.rank = q.rankOf(e)
-		t.jobs = heap.Put(t.jobs, e)
+		t.jobHeap = heap.Put(t.jobHeap, e)
 	}
-	inst.place(t)
+	inst.updateTeam(t)
 }
 
 // Hold keeps a job's tasks from being served until it is released.
@@ -201,7 +201,7 @@
 		return
 	}
 	e.held = held
-	q.file(q.institutions[e.job.Institution], e)
+	q.update(q.institutions[e.job.Institution], e)
 }
 
 // Next takes the task to be served next for an institution, from the teams
@@ -211,16 +211,16 @@
 	if inst == nil {
 		return Ref{}, false
 	}
-	t := inst.firstFrom(0, allow)
+	t := inst.firstAllowed(0, allow)
 	if t == nil {
 		return Ref{}, false
 	}
-	e := t.jobs[0]
-	index := e.next()
+	e := t.jobHeap[0]
+	index := e.nextTask()
 	e.waiting = e.waiting[:len(e.waiting)-1]
 	inst.tasks--
-	inst.work -= e.job.RunTimes[index]
-	q.file(inst, e)
+	inst.runTime -= e.job.RunTimes[index]
+	q.update(inst, e)
 	return Ref{e.job.ID, index}, true
 }
 
@@ -230,15 +230,15 @@
 	if e == nil {
 		return
 	}
-	i, _ := slices.BinarySearchFunc(e.waiting, int32(r.Index), e.byWork)
+	i, _ := slices.BinarySearchFunc(e.waiting, int32(r.Index), e.compareRunTimes)
 	if q.order.FIFO {
 		i = len(e.waiting)
 	}
 	e.waiting = slices.Insert(e.waiting, i, int32(r.Index))
 	inst := q.institutions[e.job.Institution]
 	inst.tasks++
-	inst.work += e.job.RunTimes[r.Index]
-	q.file(inst, e)
+	inst.runTime += e.job.RunTimes[r.Index]
+	q.update(inst, e)
 }
 
 // Remove drops a job with all its waiting tasks.
@@ -250,14 +250,14 @@
 	inst := q.institutions[e.job.Institution]
 	inst.tasks -= len(e.waiting)
 	for _, i := range e.waiting {
-		inst.work -= e.job.RunTimes[i]
+		inst.runTime -= e.job.RunTimes[i]
 	}
 	e.waiting = nil
-	q.file(inst, e)
+	q.update(inst, e)
 	delete(q.jobs, id)
-	e.team.members--
-	if e.team.members == 0 {
-		delete(inst.teams, e.team.name)
+	e.team.jobCount--
+	if e.team.jobCount == 0 {
+		delete(inst.teamsByName, e.team.name)
 	}
 }
 
@@ -276,7 +276,7 @@
 	if inst == nil {
 		return 0
 	}
-	return inst.work
+	return inst.runTime
 }
 
 // Jobs is the number of jobs held.
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -20,12 +20,12 @@
 }
 
 const (
-	hollowell = "hollowell"
-	far       = time.Hour
+	hollowell       = "hollowell"
+	distantDeadline = time.Hour
 )
 
 func job(id JobID, arrived task.Time, work ...task.Time) Job {
-	return Job{ID: id, Institution: hollowell, Arrived: arrived, Deadline: far, RunTimes: work}
+	return Job{ID: id, Institution: hollowell, Arrived: arrived, Deadline: distantDeadline, RunTimes: work}
 }
 
 func drain(q *Queue) []Ref {
@@ -141,9 +141,9 @@
 				delete(waiting, r)
 				taken = append(taken, r)
 				e := q.jobs[r.Job]
-				rank := min(e.due(r.Index)+e.longest, far-e.longest)
+				rank := min(e.latestStart(r.Index)+e.longest, distantDeadline-e.longest)
 				for w := range waiting {
-					if o := q.jobs[w.Job]; !held[w.Job] && min(o.due(w.Index)+o.longest, far-o.longest) < rank {
+					if o := q.jobs[w.Job]; !held[w.Job] && min(o.latestStart(w.Index)+o.longest, distantDeadline-o.longest) < rank {
 						t.Fatalf("%v served before %v", r, w)
 					}
 				}
--- a/core/rendezvous/rendezvous.go
+++ b/core/rendezvous/rendezvous.go
@@ -7,18 +7,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// nameBytes is room for the names hashed without an allocation.
-const nameBytes = 128
+// stackBufferBytes is room for the names hashed without an allocation.
+const stackBufferBytes = 128
 
 // Owner picks the node that owns one of the things of a name, told apart by an
 // index; "" if there are no nodes. Things whose indices are 65,536 apart share
 // their owner.
 func Owner(nodes []string, name string, index uint32) string {
 	var best string
-	var top uint64
+	var bestScore uint64
 	for _, n := range nodes {
-		if h := Score(n, name, index); best == "" || h > top {
-			best, top = n, h
+		if h := Score(n, name, index); best == "" || h > bestScore {
+			best, bestScore = n, h
 		}
 	}
 	return best
@@ -27,7 +27,7 @@
 // Score is a node's weight for one of the things of a name; the highest owns
 // it.
 func Score(node, name string, index uint32) uint64 {
-	var buf [nameBytes]byte
+	var buf [stackBufferBytes]byte
 	b := append(buf[:0], node...)
 	b = append(b, 0)
 	b = append(b, name...)
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -31,20 +31,20 @@
 // Budget allows a number of retries in proportion to first starts, and a few a
 // second besides.
 type Budget struct {
-	tokens float64
-	ratio  float64
-	burst  float64
-	rate   float64
-	filled task.Time
+	tokens     float64
+	ratio      float64
+	maxTokens  float64
+	rate       float64
+	refilledAt task.Time
 }
 
 // NewBudget returns a budget of the given retries for each hundred starts.
 func NewBudget(retryPercent uint32) *Budget {
-	return &Budget{tokens: Burst, ratio: float64(retryPercent) / percent, burst: Burst, rate: Rate}
+	return &Budget{tokens: Burst, ratio: float64(retryPercent) / percent, maxTokens: Burst, rate: Rate}
 }
 
 func newUpstreamBudget(ratio float64) *Budget {
-	return &Budget{tokens: upstreamBurst, ratio: ratio, burst: upstreamBurst, rate: upstreamRate}
+	return &Budget{tokens: upstreamBurst, ratio: ratio, maxTokens: upstreamBurst, rate: upstreamRate}
 }
 
 // SetPercent changes the ratio from now on.
@@ -54,13 +54,13 @@
 
 // Started credits the budget with one first start.
 func (b *Budget) Started() {
-	b.tokens = min(b.tokens+b.ratio, b.burst)
+	b.tokens = min(b.tokens+b.ratio, b.maxTokens)
 }
 
-func (b *Budget) fill(now task.Time) {
-	if now > b.filled {
-		b.tokens = min(b.tokens+b.rate*(now-b.filled).Seconds(), b.burst)
-		b.filled = now
+func (b *Budget) refill(now task.Time) {
+	if now > b.refilledAt {
+		b.tokens = min(b.tokens+b.rate*(now-b.refilledAt).Seconds(), b.maxTokens)
+		b.refilledAt = now
 	}
 }
 
@@ -68,7 +68,7 @@
 // beyond the budget wait in line for what it gains, so that a task whose
 // upstreams all refuse doesn't spin.
 func (b *Budget) Reserve(now task.Time) time.Duration {
-	b.fill(now)
+	b.refill(now)
 	b.tokens--
 	if b.tokens >= 0 {
 		return 0
@@ -83,7 +83,7 @@
 
 // Take spends one retry if there is one.
 func (b *Budget) Take(now task.Time) bool {
-	b.fill(now)
+	b.refill(now)
 	if b.tokens < 1 {
 		return false
 	}
--- a/core/slots/counts.go
+++ b/core/slots/counts.go
@@ -21,20 +21,20 @@
 	return c
 }
 
-func (c *Counts) add(r *record) {
+func (c *Counts) add(r *slotRecord) {
 	switch r.right {
-	case none:
+	case rightNone:
 		return
-	case loaned:
+	case rightBorrowed:
 		c.Borrowed++
 		return
 	}
-	switch r.use {
+	switch r.state {
 	case busy:
 		c.Busy++
 	case idle:
 		c.Idle++
-	case closed:
+	case coolingDown:
 		c.CoolingDown++
 	case lent:
 		c.Lent++
--- a/core/slots/loans.go
+++ b/core/slots/loans.go
@@ -17,29 +17,29 @@
 	Slots []task.Slot
 }
 
-// debts are the slots borrowed from one peer, and those to be given back.
-type debts struct {
-	slots   []*record
+// lenderAccount are the slots borrowed from one peer, and those to be given back.
+type lenderAccount struct {
+	slots   []*slotRecord
 	returns []Return
 }
 
-func (p *Pool) debts(lender task.Incarnation) *debts {
+func (p *Pool) lenderAccount(lender task.Incarnation) *lenderAccount {
 	d := p.borrowed[lender]
 	if d == nil {
-		d = &debts{}
+		d = &lenderAccount{}
 		p.borrowed[lender] = d
 	}
 	return d
 }
 
-func (d *debts) remove(r *record) {
+func (d *lenderAccount) remove(r *slotRecord) {
 	last := len(d.slots) - 1
-	d.slots[r.debt] = d.slots[last]
-	d.slots[r.debt].debt = r.debt
+	d.slots[r.borrowedIndex] = d.slots[last]
+	d.slots[r.borrowedIndex].borrowedIndex = r.borrowedIndex
 	d.slots = d.slots[:last]
 }
 
-func (d *debts) giveBack(loan uint64, s task.Slot) {
+func (d *lenderAccount) queueReturn(loan uint64, s task.Slot) {
 	for i := range d.returns {
 		if d.returns[i].Loan == loan {
 			d.returns[i].Slots = append(d.returns[i].Slots, s)
@@ -51,21 +51,21 @@
 
 // Lend gives a peer the use of up to n idle own slots under a loan.
 func (p *Pool) Lend(institution string, n int, to task.Incarnation, loan uint64) []task.Slot {
-	l := p.ledgers[institution]
+	l := p.institutions[institution]
 	if l == nil {
 		return nil
 	}
-	n = min(n, l.own.usable)
+	n = min(n, l.owned.count)
 	var list []task.Slot
 	for range n {
-		g := l.own.groups[0]
-		r := g.pop()
+		g := l.owned.groups[0]
+		r := g.popIdle()
 		g.total--
 		l.held--
 		l.lent++
-		r.use, r.peer, r.loan = lent, to, loan
-		g.refile()
-		list = append(list, r.name())
+		r.state, r.peer, r.loan = lent, to, loan
+		g.update()
+		list = append(list, r.slot())
 	}
 	return list
 }
@@ -75,47 +75,47 @@
 // reclaimed before, or not owned any more.
 func (p *Pool) TakeBack(s task.Slot, loan uint64) bool {
 	r := p.find(s)
-	if r == nil || r.use != lent || r.loan != loan {
+	if r == nil || r.state != lent || r.loan != loan {
 		return false
 	}
-	r.use = idle
-	p.ledger(r.upstream.institution).lent--
-	r.enter(own)
+	r.state = idle
+	p.institutionSlots(r.upstream.institution).lent--
+	r.grantRight(rightOwned)
 	return true
 }
 
 // Borrow takes over slots from a lender. Those that can't be used here go
 // straight back.
 func (p *Pool) Borrow(lender task.Incarnation, loan uint64, list []task.Slot) {
-	d := p.debts(lender)
+	d := p.lenderAccount(lender)
 	for _, s := range list {
 		r := p.find(s)
-		if r == nil || !r.upstream.listed || r.right != none || r.use != idle {
-			d.giveBack(loan, s)
+		if r == nil || !r.upstream.listed || r.right != rightNone || r.state != idle {
+			d.queueReturn(loan, s)
 			continue
 		}
-		r.peer, r.loan, r.stale = lender, loan, false
-		r.debt = len(d.slots)
+		r.peer, r.loan, r.recalled = lender, loan, false
+		r.borrowedIndex = len(d.slots)
 		d.slots = append(d.slots, r)
-		r.enter(loaned)
+		r.grantRight(rightBorrowed)
 	}
 }
 
-// settle gives a borrowed slot back.
-func (p *Pool) settle(r *record) {
-	d := p.debts(r.peer)
-	p.forget(r)
-	d.giveBack(r.loan, r.name())
+// returnSlot gives a borrowed slot back.
+func (p *Pool) returnSlot(r *slotRecord) {
+	d := p.lenderAccount(r.peer)
+	p.dropBorrowed(r)
+	d.queueReturn(r.loan, r.slot())
 }
 
-// forget ends the use of a borrowed slot without a word to the lender.
-func (p *Pool) forget(r *record) {
-	p.debts(r.peer).remove(r)
-	r.leave()
-	r.stale = false
-	if r.use == closed {
-		p.closed = heap.Drop(p.closed, r)
-		r.use = idle
+// dropBorrowed ends the use of a borrowed slot without a word to the lender.
+func (p *Pool) dropBorrowed(r *slotRecord) {
+	p.lenderAccount(r.peer).remove(r)
+	r.revokeRight()
+	r.recalled = false
+	if r.state == coolingDown {
+		p.coolingDown = heap.Drop(p.coolingDown, r)
+		r.state = idle
 	}
 }
 
@@ -126,17 +126,17 @@
 	if d == nil {
 		return 0
 	}
-	given := 0
+	returned := 0
 	for _, r := range slices.Clone(d.slots) {
-		if given == n {
+		if returned == n {
 			break
 		}
-		if r.use == idle {
-			p.settle(r)
-			given++
+		if r.state == idle {
+			p.returnSlot(r)
+			returned++
 		}
 	}
-	return given
+	return returned
 }
 
 // IdleBorrowed is the number of idle slots borrowed from a lender.
@@ -144,7 +144,7 @@
 	n := 0
 	if d := p.borrowed[lender]; d != nil {
 		for _, r := range d.slots {
-			if r.use == idle {
+			if r.state == idle {
 				n++
 			}
 		}
@@ -169,12 +169,12 @@
 // recall gives a slot back as soon as it is idle. On a closed slot a task may
 // still run: given back early, the lender would start another beside it, which
 // shows as a refusal, so it stays here until it opens.
-func (p *Pool) recall(r *record) {
-	if r.use == idle {
-		p.settle(r)
+func (p *Pool) recall(r *slotRecord) {
+	if r.state == idle {
+		p.returnSlot(r)
 		return
 	}
-	r.stale = true
+	r.recalled = true
 }
 
 // LenderUnreachable ends the use of all slots borrowed from a peer that can't be
@@ -185,7 +185,7 @@
 		return
 	}
 	for _, r := range slices.Clone(d.slots) {
-		p.forget(r)
+		p.dropBorrowed(r)
 	}
 	delete(p.borrowed, lender)
 }
@@ -212,13 +212,13 @@
 // SpareBorrowed is the number of borrowed slots of an institution that were
 // idle all the time since the last call with reset set.
 func (p *Pool) SpareBorrowed(institution string, reset bool) int {
-	l := p.ledgers[institution]
+	l := p.institutions[institution]
 	if l == nil {
 		return 0
 	}
-	low := l.loaned.low
+	low := l.borrowed.minCount
 	if reset {
-		l.loaned.low = l.loaned.usable
+		l.borrowed.minCount = l.borrowed.count
 	}
 	return low
 }
--- a/core/slots/members.go
+++ b/core/slots/members.go
@@ -13,7 +13,7 @@
 // A busy slot that another node owns from now on is given up when its task
 // ends; until then the upstream's own limit refuses a second use.
 func (p *Pool) SetMembers(m task.Members) {
-	nodes := nodesOf(m, p.domain, p.self)
+	nodes := domainNodes(m, p.domain, p.self)
 	same := slices.Equal(nodes, p.nodes)
 	p.nodes = nodes
 	for _, u := range p.upstreams {
@@ -23,12 +23,12 @@
 		p.setUpstream(&m.Upstreams[i], same)
 	}
 	p.dropUnlisted()
-	p.dropMoved(m)
+	p.recallMoved(m)
 }
 
-// nodesOf lists the nodes that share a domain's slots, in name order. A node
+// domainNodes lists the nodes that share a domain's slots, in name order. A node
 // counts itself, because it serves until it has stopped.
-func nodesOf(m task.Members, domain, self string) []string {
+func domainNodes(m task.Members, domain, self string) []string {
 	var nodes []string
 	if self != "" {
 		nodes = append(nodes, self)
@@ -51,63 +51,63 @@
 		return
 	}
 	if u.domain != p.domain {
-		p.disownAll(u)
+		p.giveUpUpstream(u)
 		return
 	}
-	if sameNodes && u.divided == m.Slots {
+	if sameNodes && u.dividedSlots == m.Slots {
 		return
 	}
-	u.divided = m.Slots
+	u.dividedSlots = m.Slots
 	for _, r := range u.slots {
-		mine := r.index < m.Slots && Owner(r.name(), p.nodes) == p.self
+		mine := r.index < m.Slots && Owner(r.slot(), p.nodes) == p.self
 		p.setOwned(r, mine)
 	}
 }
 
-func (p *Pool) disownAll(u *upstream) {
-	if u.divided == 0 {
+func (p *Pool) giveUpUpstream(u *upstream) {
+	if u.dividedSlots == 0 {
 		return
 	}
-	u.divided = 0
+	u.dividedSlots = 0
 	for _, r := range u.slots {
 		p.setOwned(r, false)
 	}
 }
 
-func (p *Pool) setOwned(r *record, mine bool) {
+func (p *Pool) setOwned(r *slotRecord, mine bool) {
 	switch {
-	case mine == (r.right == own):
+	case mine == (r.right == rightOwned):
 	case mine:
-		p.own(r)
+		p.takeOwnership(r)
 	default:
-		p.disown(r)
+		p.giveUpOwnership(r)
 	}
 }
 
-// own makes a slot this process's own. Borrowed before, it stays in use.
-func (p *Pool) own(r *record) {
-	if r.right == loaned {
-		p.forget(r)
+// takeOwnership makes a slot this process's takeOwnership. Borrowed before, it stays in use.
+func (p *Pool) takeOwnership(r *slotRecord) {
+	if r.right == rightBorrowed {
+		p.dropBorrowed(r)
 	}
 	p.owned++
-	r.enter(own)
+	r.grantRight(rightOwned)
 }
 
-// disown gives a slot up to its new owner. If it is lent, the borrower finds
+// giveUpOwnership gives a slot up to its new owner. If it is lent, the borrower finds
 // out by the list as well.
-func (p *Pool) disown(r *record) {
+func (p *Pool) giveUpOwnership(r *slotRecord) {
 	p.owned--
-	switch r.use {
+	switch r.state {
 	case lent:
-		p.ledger(r.upstream.institution).lent--
-		r.use = idle
-		r.right = none
-	case closed:
-		p.closed = heap.Drop(p.closed, r)
-		r.leave()
-		r.use = idle
+		p.institutionSlots(r.upstream.institution).lent--
+		r.state = idle
+		r.right = rightNone
+	case coolingDown:
+		p.coolingDown = heap.Drop(p.coolingDown, r)
+		r.revokeRight()
+		r.state = idle
 	default:
-		r.leave()
+		r.revokeRight()
 	}
 }
 
@@ -122,13 +122,13 @@
 	slices.Sort(gone)
 	for _, name := range gone {
 		u := p.upstreams[name]
-		p.disownAll(u)
+		p.giveUpUpstream(u)
 		inUse := false
 		for _, r := range u.slots {
-			if r.right == loaned {
+			if r.right == rightBorrowed {
 				p.recall(r)
 			}
-			inUse = inUse || r.use != idle
+			inUse = inUse || r.state != idle
 		}
 		if !inUse {
 			delete(p.upstreams, name)
@@ -136,37 +136,37 @@
 	}
 }
 
-// dropMoved gives back borrowed slots that have passed from their lender to
+// recallMoved gives back borrowed slots that have passed from their lender to
 // another node, which doesn't know of the loan.
-func (p *Pool) dropMoved(m task.Members) {
+func (p *Pool) recallMoved(m task.Members) {
 	nodes := make(map[string][]string)
-	for _, d := range p.sortedDebts() {
+	for _, d := range p.sortedLenders() {
 		for _, r := range slices.Clone(d.slots) {
 			domain := r.upstream.domain
 			if nodes[domain] == nil {
-				nodes[domain] = nodesOf(m, domain, "")
+				nodes[domain] = domainNodes(m, domain, "")
 			}
-			if Owner(r.name(), nodes[domain]) != r.peer.Node {
+			if Owner(r.slot(), nodes[domain]) != r.peer.Node {
 				p.recall(r)
 			}
 		}
 	}
 }
 
-func (p *Pool) sortedDebts() []*debts {
-	list := make([]*debts, 0, len(p.borrowed))
+func (p *Pool) sortedLenders() []*lenderAccount {
+	list := make([]*lenderAccount, 0, len(p.borrowed))
 	for _, d := range p.borrowed {
 		if len(d.slots) > 0 {
 			list = append(list, d)
 		}
 	}
-	slices.SortFunc(list, func(a, b *debts) int {
-		return compareNames(a.slots[0].peer, b.slots[0].peer)
+	slices.SortFunc(list, func(a, b *lenderAccount) int {
+		return compareIncarnations(a.slots[0].peer, b.slots[0].peer)
 	})
 	return list
 }
 
-func compareNames(a, b task.Incarnation) int {
+func compareIncarnations(a, b task.Incarnation) int {
 	switch {
 	case a.Node < b.Node:
 		return -1
--- a/core/slots/property_test.go
+++ b/core/slots/property_test.go
@@ -10,30 +10,30 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// given is a loan on its way or in use.
-type given struct {
+// loanRecord is a loan on its way or in use.
+type loanRecord struct {
 	from, to string
 	loan     uint64
 	slots    []task.Slot
 }
 
-// letter is a message between two nodes: a grant or returns.
-type letter struct {
-	given
+// message is a message between two nodes: a grant or returns.
+type message struct {
+	loanRecord
 	returns []Return
 }
 
 // world is three nodes, what runs on their slots, and the messages between
 // them. It keeps by itself which loans each owner has given.
 type world struct {
-	t       *rapid.T
-	pools   map[string]*Pool
-	running map[string][]task.Slot
-	loans   []given
-	mail    []letter
-	now     task.Time
-	last    uint64
-	list    task.Members
+	t        *rapid.T
+	pools    map[string]*Pool
+	running  map[string][]task.Slot
+	loans    []loanRecord
+	inFlight []message
+	now      task.Time
+	lastLoan uint64
+	list     task.Members
 }
 
 var nodeNames = []string{"a", "b", "c"}
@@ -54,8 +54,8 @@
 	w.pools[node] = NewPool(node, domain)
 	w.pools[node].SetMembers(w.list)
 	w.running[node] = nil
-	w.loans = slices.DeleteFunc(w.loans, func(l given) bool { return l.from == node })
-	w.mail = slices.DeleteFunc(w.mail, func(l letter) bool { return l.from == node || l.to == node })
+	w.loans = slices.DeleteFunc(w.loans, func(l loanRecord) bool { return l.from == node })
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(l message) bool { return l.from == node || l.to == node })
 	for _, p := range w.pools {
 		p.LenderUnreachable(run(node))
 	}
@@ -105,16 +105,16 @@
 	if from == to {
 		w.t.Skip("no loan to oneself")
 	}
-	w.last++
-	l := given{from, to, w.last, w.pools[from].Lend(hollowell, rapid.IntRange(1, 4).Draw(w.t, "count"), run(to), w.last)}
+	w.lastLoan++
+	l := loanRecord{from, to, w.lastLoan, w.pools[from].Lend(hollowell, rapid.IntRange(1, 4).Draw(w.t, "count"), run(to), w.lastLoan)}
 	for _, s := range l.slots {
-		w.mustBeFree(from, s)
+		w.checkNotInUse(from, s)
 	}
 	w.loans = append(w.loans, l)
-	w.mail = append(w.mail, letter{given: l})
+	w.inFlight = append(w.inFlight, message{loanRecord: l})
 }
 
-func (w *world) mustBeFree(owner string, s task.Slot) {
+func (w *world) checkNotInUse(owner string, s task.Slot) {
 	for _, l := range w.loans {
 		if l.from == owner && slices.Contains(l.slots, s) {
 			w.t.Fatalf("%s lent %v twice", owner, s)
@@ -129,17 +129,17 @@
 	from, to := w.node(), w.node()
 	w.pools[from].ReturnIdle(run(to), rapid.IntRange(0, 3).Draw(w.t, "count"))
 	if list := w.pools[from].Returns(run(to)); len(list) > 0 {
-		w.mail = append(w.mail, letter{given{from: from, to: to}, list})
+		w.inFlight = append(w.inFlight, message{loanRecord{from: from, to: to}, list})
 	}
 }
 
 func (w *world) deliver(*rapid.T) {
-	w.deliverAt(w.pick(len(w.mail)))
+	w.deliverAt(w.pick(len(w.inFlight)))
 }
 
 func (w *world) deliverAt(i int) {
-	m := w.mail[i]
-	w.mail = slices.Delete(w.mail, i, i+1)
+	m := w.inFlight[i]
+	w.inFlight = slices.Delete(w.inFlight, i, i+1)
 	if m.returns == nil {
 		w.pools[m.to].Borrow(run(m.from), m.loan, m.slots)
 		return
@@ -173,19 +173,19 @@
 	w.pools[l.to].EndLoan(run(l.from), l.loan)
 }
 
-func (w *world) cut(*rapid.T) {
+func (w *world) disconnect(*rapid.T) {
 	w.pools[w.node()].LenderUnreachable(run(w.node()))
 }
 
-func (w *world) die(*rapid.T) { w.restart(w.node()) }
+func (w *world) restartNode(*rapid.T) { w.restart(w.node()) }
 
-func (w *world) weight(*rapid.T) {
+func (w *world) setWeight(*rapid.T) {
 	u := w.list.Upstreams[w.pick(len(w.list.Upstreams))].Name
 	w.pools[w.node()].SetWeight(u, rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(w.t, "weight"))
 }
 
-// change brings one node a new list; the others lag.
-func (w *world) change(*rapid.T) {
+// changeMembers brings one node a new list; the others lag.
+func (w *world) changeMembers(*rapid.T) {
 	m := members()
 	m.Upstreams[w.pick(len(m.Upstreams))].Leaving = rapid.Bool().Draw(w.t, "leaving")
 	m.Nodes[w.pick(len(m.Nodes))].Leaving = rapid.Bool().Draw(w.t, "stopping")
@@ -200,34 +200,34 @@
 		}
 		w.loans[i].slots = slices.DeleteFunc(slices.Clone(l.slots), func(s task.Slot) bool {
 			r := w.pools[n].find(s)
-			return r == nil || r.use != lent
+			return r == nil || r.state != lent
 		})
 	}
 }
 
-func (w *world) time(*rapid.T) {
+func (w *world) advance(*rapid.T) {
 	w.now++
 	for _, n := range nodeNames {
 		w.pools[n].EndCooldowns(w.now)
 	}
 }
 
-// check compares each account with a count of its records.
-func (w *world) check(*rapid.T) {
+// checkCounts compares each account with a count of its records.
+func (w *world) checkCounts(*rapid.T) {
 	for _, n := range nodeNames {
 		p := w.pools[n]
 		owned, usable, held := 0, 0, 0
 		for _, name := range slices.Sorted(maps.Keys(p.upstreams)) {
 			u := p.upstreams[name]
 			for _, r := range u.slots {
-				if r.right == own {
+				if r.right == rightOwned {
 					owned++
 				}
-				if r.right == loaned || r.right == own && r.use != lent {
+				if r.right == rightBorrowed || r.right == rightOwned && r.state != lent {
 					held++
 				}
 			}
-			usable += u.own.usable + u.loaned.usable
+			usable += u.owned.usable + u.borrowed.usable
 		}
 		if owned != p.owned || usable != p.Idle(hollowell) || held != p.Held(hollowell) {
 			w.t.Fatalf("%s: owned %d, usable %d, held %d; accounts say %d, %d, %d", n, owned, usable, held, p.owned, p.Idle(hollowell), p.Held(hollowell))
@@ -238,9 +238,9 @@
 	}
 }
 
-// settle lets all tasks and loans end, after which each owner must have all
+// endAll lets all tasks and loans end, after which each owner must have all
 // its slots again.
-func (w *world) settle() {
+func (w *world) endAll() {
 	for _, n := range nodeNames {
 		w.setMembers(n, members())
 		for _, s := range w.running[n] {
@@ -251,8 +251,8 @@
 		}
 	}
 	w.now += 100
-	w.time(w.t)
-	for len(w.mail) > 0 {
+	w.advance(w.t)
+	for len(w.inFlight) > 0 {
 		w.deliverAt(0)
 	}
 	for _, l := range w.loans {
@@ -280,9 +280,9 @@
 		w := newWorld(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"acquire": w.acquire, "release": w.release, "lend": w.lend, "returns": w.sendReturns,
-			"deliver": w.deliver, "expire": w.expire, "end loan": w.endLoan, "cut": w.cut, "die": w.die,
-			"weight": w.weight, "change": w.change, "time": w.time, "": w.check,
+			"deliver": w.deliver, "expire": w.expire, "end loan": w.endLoan, "cut": w.disconnect, "die": w.restartNode,
+			"weight": w.setWeight, "change": w.changeMembers, "time": w.advance, "": w.checkCounts,
 		})
-		w.settle()
+		w.endAll()
 	})
 }
--- a/core/slots/record.go
+++ b/core/slots/record.go
@@ -7,66 +7,66 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// right is the title under which this process may use a slot.
-type right uint8
+// usageRight is the title under which this process may use a slot.
+type usageRight uint8
 
 const (
-	// none: the slot isn't this process's to start tasks on.
-	none right = iota
-	own
-	loaned
+	// rightNone: the slot isn't this process's to start tasks on.
+	rightNone usageRight = iota
+	rightOwned
+	rightBorrowed
 )
 
-// use is what a slot is doing.
-type use uint8
+// slotState is what a slot is doing.
+type slotState uint8
 
 const (
-	idle use = iota
+	idle slotState = iota
 	busy
 	// lent: a peer has the use of this own slot.
 	lent
-	// closed: not to be used before a time.
-	closed
+	// coolingDown: not to be used before a time.
+	coolingDown
 )
 
-// record is the account of one slot.
-type record struct {
+// slotRecord is the account of one slot.
+type slotRecord struct {
 	upstream *upstream
 	index    uint32
-	right    right
-	use      use
-	// stale marks a borrowed slot that goes back to its lender when its task
+	right    usageRight
+	state    slotState
+	// recalled marks a borrowed slot that goes back to its lender when its task
 	// ends.
-	stale bool
-	// until is when a closed slot opens.
-	until task.Time
-	// at is the position among the closed slots.
-	at int
+	recalled bool
+	// cooldownEnd is when a closed slot opens.
+	cooldownEnd task.Time
+	// heapIndex is the position among the closed slots.
+	heapIndex int
 	// peer and loan are those of a lent or borrowed slot.
 	peer task.Incarnation
 	loan uint64
-	// debt is the position among the slots borrowed from the peer.
-	debt int
+	// borrowedIndex is the position among the slots borrowed from the peer.
+	borrowedIndex int
 }
 
-func (r *record) name() task.Slot {
+func (r *slotRecord) slot() task.Slot {
 	return task.Slot{Upstream: r.upstream.name, Index: r.index}
 }
 
-func (r *record) group() *group {
+func (r *slotRecord) group() *group {
 	switch r.right {
-	case own:
-		return &r.upstream.own
-	case loaned:
-		return &r.upstream.loaned
+	case rightOwned:
+		return &r.upstream.owned
+	case rightBorrowed:
+		return &r.upstream.borrowed
 	}
 	return nil
 }
 
 // Before orders closed slots by the time they open.
-func (r *record) Before(o *record) bool {
-	if r.until != o.until {
-		return r.until < o.until
+func (r *slotRecord) Before(o *slotRecord) bool {
+	if r.cooldownEnd != o.cooldownEnd {
+		return r.cooldownEnd < o.cooldownEnd
 	}
 	if r.upstream != o.upstream {
 		return r.upstream.name < o.upstream.name
@@ -75,7 +75,7 @@
 }
 
 // Position is the place among the closed slots.
-func (r *record) Position() *int { return &r.at }
+func (r *slotRecord) Position() *int { return &r.heapIndex }
 
 // upstream is the account of one upstream's slots.
 type upstream struct {
@@ -84,20 +84,20 @@
 	domain      string
 	weight      float64
 	listed      bool
-	// divided is the number of slots that were divided with the present nodes.
-	divided uint32
-	slots   []*record
-	own     group
-	loaned  group
+	// dividedSlots is the number of slots that were dividedSlots with the present nodes.
+	dividedSlots uint32
+	slots        []*slotRecord
+	owned        group
+	borrowed     group
 }
 
 func (p *Pool) upstream(name, institution string) *upstream {
 	u := p.upstreams[name]
 	if u == nil {
 		u = &upstream{name: name, institution: institution, weight: 1}
-		l := p.ledger(institution)
-		u.own = group{upstream: u, ledger: l, right: own, at: heap.Absent}
-		u.loaned = group{upstream: u, ledger: l, right: loaned, at: heap.Absent}
+		l := p.institutionSlots(institution)
+		u.owned = group{upstream: u, institution: l, right: rightOwned, heapIndex: heap.Absent}
+		u.borrowed = group{upstream: u, institution: l, right: rightBorrowed, heapIndex: heap.Absent}
 		p.upstreams[name] = u
 	}
 	return u
@@ -105,37 +105,37 @@
 
 func (u *upstream) grow(n uint32) {
 	for i := uint32(len(u.slots)); i < n; i++ {
-		u.slots = append(u.slots, &record{upstream: u, index: i, at: heap.Absent})
+		u.slots = append(u.slots, &slotRecord{upstream: u, index: i, heapIndex: heap.Absent})
 	}
 }
 
 // group is the slots of one upstream that are held under one right; lent ones
 // don't count.
 type group struct {
-	upstream *upstream
-	ledger   *ledger
-	right    right
-	idle     []*record
-	total    int
-	busy     int
-	usable   int
+	upstream    *upstream
+	institution *institutionSlots
+	right       usageRight
+	idle        []*slotRecord
+	total       int
+	busy        int
+	usable      int
 	// load orders the groups: the part in use for the weight.
-	load float64
-	at   int
+	load      float64
+	heapIndex int
 }
 
-func (g *group) push(r *record) {
+func (g *group) pushIdle(r *slotRecord) {
 	g.idle = append(g.idle, r)
 }
 
-func (g *group) pop() *record {
+func (g *group) popIdle() *slotRecord {
 	last := len(g.idle) - 1
 	r := g.idle[last]
 	g.idle = g.idle[:last]
 	return r
 }
 
-func (g *group) take(r *record) {
+func (g *group) removeIdle(r *slotRecord) {
 	for i, other := range g.idle {
 		if other == r {
 			g.idle = append(g.idle[:i], g.idle[i+1:]...)
@@ -144,8 +144,8 @@
 	}
 }
 
-// limit is the number of slots that may be busy at once.
-func (g *group) limit() int {
+// maxBusy is the number of slots that may be busy at once.
+func (g *group) maxBusy() int {
 	w := g.upstream.weight
 	if w >= 1 {
 		return g.total
@@ -156,19 +156,19 @@
 	return max(1, int(math.Ceil(w*float64(g.total))))
 }
 
-// refile brings the ledger up to date after a change.
-func (g *group) refile() {
+// update brings the ledger up to date after a change.
+func (g *group) update() {
 	if g.busy < 0 || g.busy+len(g.idle) > g.total {
 		panic("slots: more slots in use than held of " + g.upstream.name)
 	}
-	l := g.ledger
-	usable := max(0, min(len(g.idle), g.limit()-g.busy))
-	a := &l.own
-	if g.right == loaned {
-		a = &l.loaned
+	l := g.institution
+	usable := max(0, min(len(g.idle), g.maxBusy()-g.busy))
+	a := &l.owned
+	if g.right == rightBorrowed {
+		a = &l.borrowed
 	}
-	a.usable += usable - g.usable
-	a.low = min(a.low, a.usable)
+	a.count += usable - g.usable
+	a.minCount = min(a.minCount, a.count)
 	g.usable = usable
 	if usable == 0 {
 		a.groups = heap.Drop(a.groups, g)
@@ -187,74 +187,74 @@
 }
 
 // Position is the place among the groups with usable slots.
-func (g *group) Position() *int { return &g.at }
+func (g *group) Position() *int { return &g.heapIndex }
 
-// ledger is the account of one institution.
-type ledger struct {
-	own    account
-	loaned account
-	held   int
+// institutionSlots is the account of one institution.
+type institutionSlots struct {
+	owned    usableSlots
+	borrowed usableSlots
+	held     int
 	// lent is the number of own slots that peers have the use of.
 	lent int
 }
 
-// account is the usable slots held under one right.
-type account struct {
+// usableSlots is the usable slots held under one right.
+type usableSlots struct {
 	// groups have usable slots; the best is first.
 	groups []*group
-	usable int
-	// low is the least number of usable slots since it was last read.
-	low int
+	count  int
+	// minCount is the least number of usable slots since it was last read.
+	minCount int
 }
 
-// enter gives an idle slot a right.
-func (r *record) enter(to right) {
+// grantRight gives an idle slot a right.
+func (r *slotRecord) grantRight(to usageRight) {
 	r.right = to
 	g := r.group()
 	g.total++
-	g.ledger.held++
-	if r.use == busy {
+	g.institution.held++
+	if r.state == busy {
 		g.busy++
 	} else {
-		g.push(r)
+		g.pushIdle(r)
 	}
-	g.refile()
+	g.update()
 }
 
-// leave takes a slot out of its group. A busy slot stays busy without a right
+// revokeRight takes a slot out of its group. A busy slot stays busy without a right
 // until its task ends.
-func (r *record) leave() {
+func (r *slotRecord) revokeRight() {
 	g := r.group()
 	g.total--
-	g.ledger.held--
-	switch r.use {
+	g.institution.held--
+	switch r.state {
 	case busy:
 		g.busy--
 	case idle:
-		g.take(r)
+		g.removeIdle(r)
 	}
-	r.right = none
-	g.refile()
+	r.right = rightNone
+	g.update()
 }
 
-// closeSlot keeps a slot from being used before a time.
-func (p *Pool) closeSlot(r *record, until task.Time) {
-	r.use = closed
-	r.until = until
-	p.closed = heap.Put(p.closed, r)
+// startCooldown keeps a slot from being used before a time.
+func (p *Pool) startCooldown(r *slotRecord, until task.Time) {
+	r.state = coolingDown
+	r.cooldownEnd = until
+	p.coolingDown = heap.Put(p.coolingDown, r)
 }
 
 // EndCooldowns makes closed slots usable whose time has come.
 func (p *Pool) EndCooldowns(now task.Time) {
-	for len(p.closed) > 0 && p.closed[0].until <= now {
-		r := p.closed[0]
-		p.closed = heap.Drop(p.closed, r)
-		r.use = idle
+	for len(p.coolingDown) > 0 && p.coolingDown[0].cooldownEnd <= now {
+		r := p.coolingDown[0]
+		p.coolingDown = heap.Drop(p.coolingDown, r)
+		r.state = idle
 		g := r.group()
-		g.push(r)
-		g.refile()
-		if r.stale {
-			p.settle(r)
+		g.pushIdle(r)
+		g.update()
+		if r.recalled {
+			p.returnSlot(r)
 		}
 	}
 }
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -16,27 +16,27 @@
 // Pool is the account of the slots that this process may use. Taking and
 // releasing one costs the logarithm of the upstreams and allocates nothing.
 type Pool struct {
-	self      string
-	domain    string
-	upstreams map[string]*upstream
-	ledgers   map[string]*ledger
+	self         string
+	domain       string
+	upstreams    map[string]*upstream
+	institutions map[string]*institutionSlots
 	// nodes are those among which the slots were last divided.
 	nodes []string
 	owned int
-	// closed are slots that open again at a time, the earliest first.
-	closed []*record
+	// coolingDown are slots that open again at a time, the earliest first.
+	coolingDown []*slotRecord
 	// borrowed are the slots borrowed from each peer.
-	borrowed map[task.Incarnation]*debts
+	borrowed map[task.Incarnation]*lenderAccount
 }
 
 // NewPool returns an empty pool for a node in a failure domain.
 func NewPool(self, domain string) *Pool {
 	return &Pool{
-		self:      self,
-		domain:    domain,
-		upstreams: make(map[string]*upstream),
-		ledgers:   make(map[string]*ledger),
-		borrowed:  make(map[task.Incarnation]*debts),
+		self:         self,
+		domain:       domain,
+		upstreams:    make(map[string]*upstream),
+		institutions: make(map[string]*institutionSlots),
+		borrowed:     make(map[task.Incarnation]*lenderAccount),
 	}
 }
 
@@ -45,20 +45,20 @@
 // an own one that stays idle can be lent to any peer, while a borrowed one would
 // have to go home first.
 func (p *Pool) Acquire(institution string) (task.Slot, bool) {
-	l := p.ledgers[institution]
-	if l == nil || l.own.usable+l.loaned.usable == 0 {
+	l := p.institutions[institution]
+	if l == nil || l.owned.count+l.borrowed.count == 0 {
 		return task.Slot{}, false
 	}
-	groups := l.loaned.groups
+	groups := l.borrowed.groups
 	if len(groups) == 0 {
-		groups = l.own.groups
+		groups = l.owned.groups
 	}
 	g := groups[0]
-	r := g.pop()
-	r.use = busy
+	r := g.popIdle()
+	r.state = busy
 	g.busy++
-	g.refile()
-	return r.name(), true
+	g.update()
+	return r.slot(), true
 }
 
 // Release gives a slot back after its task ended.
@@ -70,24 +70,24 @@
 // refusal, or when a task may still run on it. EndCooldowns makes it usable again.
 func (p *Pool) ReleaseWithCooldown(s task.Slot, until task.Time) {
 	r := p.find(s)
-	if r == nil || r.use != busy {
+	if r == nil || r.state != busy {
 		return
 	}
-	r.use = idle
+	r.state = idle
 	g := r.group()
 	if g == nil {
 		return
 	}
 	g.busy--
 	if until > 0 {
-		p.closeSlot(r, until)
-		g.refile()
+		p.startCooldown(r, until)
+		g.update()
 		return
 	}
-	g.push(r)
-	g.refile()
-	if r.stale {
-		p.settle(r)
+	g.pushIdle(r)
+	g.update()
+	if r.recalled {
+		p.returnSlot(r)
 	}
 }
 
@@ -100,22 +100,22 @@
 		return
 	}
 	u.weight = weight
-	u.own.refile()
-	u.loaned.refile()
+	u.owned.update()
+	u.borrowed.update()
 }
 
 // Idle is the number of slots of an institution that may be taken now.
 func (p *Pool) Idle(institution string) int {
-	if l := p.ledgers[institution]; l != nil {
-		return l.own.usable + l.loaned.usable
+	if l := p.institutions[institution]; l != nil {
+		return l.owned.count + l.borrowed.count
 	}
 	return 0
 }
 
 // IdleOwn is the number of own slots among them.
 func (p *Pool) IdleOwn(institution string) int {
-	if l := p.ledgers[institution]; l != nil {
-		return l.own.usable
+	if l := p.institutions[institution]; l != nil {
+		return l.owned.count
 	}
 	return 0
 }
@@ -124,8 +124,8 @@
 // institutions.
 func (p *Pool) TotalIdleOwn() int {
 	n := 0
-	for _, l := range p.ledgers {
-		n += l.own.usable
+	for _, l := range p.institutions {
+		n += l.owned.count
 	}
 	return n
 }
@@ -133,7 +133,7 @@
 // Held is the number of slots of an institution that this process has the use
 // of: its own that aren't lent, and borrowed ones.
 func (p *Pool) Held(institution string) int {
-	if l := p.ledgers[institution]; l != nil {
+	if l := p.institutions[institution]; l != nil {
 		return l.held
 	}
 	return 0
@@ -141,7 +141,7 @@
 
 // Lent is the number of own slots of an institution that peers have the use of.
 func (p *Pool) Lent(institution string) int {
-	if l := p.ledgers[institution]; l != nil {
+	if l := p.institutions[institution]; l != nil {
 		return l.lent
 	}
 	return 0
@@ -152,7 +152,7 @@
 	return p.owned
 }
 
-func (p *Pool) find(s task.Slot) *record {
+func (p *Pool) find(s task.Slot) *slotRecord {
 	u := p.upstreams[s.Upstream]
 	if u == nil || int(s.Index) >= len(u.slots) {
 		return nil
@@ -160,11 +160,11 @@
 	return u.slots[s.Index]
 }
 
-func (p *Pool) ledger(institution string) *ledger {
-	l := p.ledgers[institution]
+func (p *Pool) institutionSlots(institution string) *institutionSlots {
+	l := p.institutions[institution]
 	if l == nil {
-		l = &ledger{}
-		p.ledgers[institution] = l
+		l = &institutionSlots{}
+		p.institutions[institution] = l
 	}
 	return l
 }
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -149,7 +149,7 @@
 	lender, borrower := NewPool("a", "melton"), NewPool("c", "hinckley")
 	lender.SetMembers(members())
 	borrower.SetMembers(members())
-	lent := lender.Lend(hollowell, slotsOf(lender), run("c"), 7)
+	lent := lender.Lend(hollowell, idleOwnSlots(lender), run("c"), 7)
 	borrower.Borrow(run("a"), 7, lent)
 	without := members()
 	without.Nodes = slices.DeleteFunc(without.Nodes, func(n task.Node) bool { return n.Name == "a" })
@@ -164,4 +164,4 @@
 	g.Expect(lender.IdleOwn(hollowell)).To(Equal(len(lent)))
 }
 
-func slotsOf(p *Pool) int { return p.IdleOwn(hollowell) }
+func idleOwnSlots(p *Pool) int { return p.IdleOwn(hollowell) }
