--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -1,7 +1,7 @@
-// Package admission decides by the institutions' terms which jobs are taken
-// on: quotas and ceilings over all entry processes, what can never run, what
-// can't be done in its time and when to come back, and how long tasks really
-// take.
+// Package admission decides which jobs are accepted under the declared settings of the
+// institutions. It enforces quotas and ceilings across all entry processes, refuses jobs that can
+// never run or would miss their time limit, spreads the retry times of refused callers, and
+// corrects declared run times by observed ones.
 package admission
 
 import (
@@ -13,49 +13,49 @@
 )
 
 const (
-	// estimateErrorFactor is how far a job's expected times may be off before it is said
-	// that it can never run.
+	// estimateErrorFactor is the factor by which expected run times may be too long. A job is
+	// refused as too large or never runnable only if it still doesn't fit after division by it.
 	estimateErrorFactor = 4
-	// maxRetryAfter bounds the time after which a refused caller is asked back.
+	// maxRetryAfter limits the retry time given to a refused caller.
 	maxRetryAfter = 30 * time.Second
 )
 
-// Job is what a decision needs to know of a job; times as expected.
+// Job describes a job to be decided on. Run times are expected ones.
 type Job struct {
-	// Work is the run time of all tasks, Longest that of the longest.
+	// Work is the total run time of all tasks, Longest the run time of the longest task.
 	Work, Longest time.Duration
-	// TimeLimit is the time that the job has.
+	// TimeLimit is the time left until the job's deadline.
 	TimeLimit time.Duration
-	// CPUMillis and MemoryMiB are what one task needs.
+	// CPUMillis and MemoryMiB are the CPU, in thousandths of a core, and the memory that one
+	// task needs.
 	CPUMillis, MemoryMiB uint32
 }
 
-// Capacity is what there is for an institution's jobs.
+// Capacity describes the resources and the backlog of an institution.
 type Capacity struct {
-	// Slots is how many this process can use at present.
+	// Slots is the number of slots that this process can use at present.
 	Slots int
-	// MaxSlots is how many the job could ever use at once; 0 if it isn't known.
+	// MaxSlots is the largest number of slots that the job could ever use at once, 0 if unknown.
 	MaxSlots int
-	// Queued is the expected run time of the waiting tasks.
+	// Queued is the total expected run time of the waiting tasks.
 	Queued time.Duration
-	// WaitPercent is the part of its time that a job may be expected to wait.
+	// WaitPercent is the percentage of its time limit that a job may be expected to wait.
 	WaitPercent int
-	// CPUMillis and MemoryMiB are the size of the largest worker; 0 if it
-	// isn't known.
+	// CPUMillis and MemoryMiB are the size of the largest worker, 0 if unknown.
 	CPUMillis, MemoryMiB uint32
 }
 
-// Refusal says why a job isn't taken on.
+// Refusal is the reason for which a job isn't accepted.
 type Refusal struct {
 	Reason pb.Reason
 	Detail string
-	// Excess is the time by which the job would miss its own; 0 if coming back
-	// can't help.
+	// Excess is the time by which the expected wait or run time exceeds what the time limit
+	// allows. It is 0 if a later attempt would be refused too.
 	Excess time.Duration
 }
 
-// Decide says whether a job is taken on; nil means yes. It depends on nothing
-// but its arguments.
+// Decide returns nil if the job is accepted, else the refusal. The result depends on the
+// arguments alone.
 func Decide(j Job, c Capacity) *Refusal {
 	if r := neverRunnable(j, c); r != nil {
 		return r
@@ -76,8 +76,9 @@
 	}
 }
 
-// tooLarge finds a job that can't be done in its time on the slots there are
-// though nobody waits; others may be lent or come back.
+// tooLarge refuses a job whose work doesn't fit into its time limit on the present slots, even
+// though no task is waiting. A later attempt may succeed, when peers lend slots or return borrowed
+// ones.
 func tooLarge(j Job, slots time.Duration) *Refusal {
 	if j.Work/slots/estimateErrorFactor <= j.TimeLimit {
 		return nil
@@ -89,8 +90,8 @@
 	}
 }
 
-// neverRunnable finds what no waiting can mend. Run times are believed only
-// within doubt; sizes as declared.
+// neverRunnable refuses a job that can't run however long it waits. Run times are assumed to be up
+// to estimateErrorFactor times too long, CPU and memory are taken as declared.
 func neverRunnable(j Job, c Capacity) *Refusal {
 	never := func(format string, args ...any) *Refusal {
 		return &Refusal{Reason: pb.Reason_REASON_NEVER_RUNNABLE, Detail: fmt.Sprintf(format, args...)}
@@ -108,15 +109,14 @@
 	return nil
 }
 
-// RetrySpreader spreads refused callers over the time in which there will be room
-// for them. If all were told the same time, they would come back as one burst,
-// and most be refused again.
+// RetrySpreader assigns refused callers different retry times, at the rate at which capacity
+// becomes free. With equal times they would return in one burst, and most would be refused again.
 type RetrySpreader struct {
-	// promisedUntil is when the capacity promised to those refused so far is used up.
+	// promisedUntil is when the capacity assigned to the callers refused so far is used up.
 	promisedUntil task.Time
 }
 
-// RetryAfter is when a refused job should come back, from now.
+// RetryAfter returns the time from now after which the caller of a refused job should retry.
 func (b *RetrySpreader) RetryAfter(now task.Time, r *Refusal, j Job, c Capacity) time.Duration {
 	if r.Excess == 0 {
 		return 0
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -10,8 +10,8 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// Kitchens declare 100 ms for labels that take 300 ms. Believed, the forecast
-// would take on three times what can be done.
+// Tasks declared with 100 ms take 300 ms. An estimate by the declaration would accept three times
+// the work that can be done in time.
 func TestEstimateFollowsWhatTasksTake(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := admission.NewEstimator()
@@ -24,10 +24,10 @@
 	g.Expect(e.Factor("hollowell", "other")).To(gomega.Equal(1.0))
 }
 
-// A job of hundreds of labels comes to an entry VM that can use two slots while
-// its peers have none idle. Nobody waits, yet it can't be done in its time here;
-// taken on, half of its labels would be printed for a job that fails.
-func TestJobTooLargeForTheSlotsAtPresentIsToldToComeBack(t *testing.T) {
+// A job of hundreds of tasks reaches an entry VM that can use two slots while its peers have no idle
+// ones. No task is waiting, but the job can't be done within its time limit. If it were accepted,
+// half of its tasks would run for a job that fails.
+func TestJobTooLargeForPresentSlotsIsRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	j := admission.Job{Work: time.Minute, Longest: 200 * time.Millisecond, TimeLimit: 5 * time.Second}
 	r := admission.Decide(j, admission.Capacity{Slots: 2, MaxSlots: 100, WaitPercent: 50})
@@ -37,9 +37,8 @@
 	g.Expect(admission.Decide(j, admission.Capacity{Slots: 20, MaxSlots: 100, WaitPercent: 50})).To(gomega.BeNil())
 }
 
-// A hundred callers are refused in the same moment. Their times to come back
-// must spread over the time that their work takes, and start anew when it is
-// past.
+// A hundred callers are refused at the same moment. Their retry times must be spread over the time
+// that their work takes, and start from the minimum again when that time has passed.
 func TestRefusedCallersAreSpread(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var b admission.RetrySpreader
--- a/core/admission/estimate.go
+++ b/core/admission/estimate.go
@@ -3,37 +3,37 @@
 import "time"
 
 const (
-	// minSampleWeight is the part of the newest task in a service's estimate.
+	// minSampleWeight is the least weight of a new sample in a service's running means.
 	minSampleWeight = 1.0 / 256
-	// declarationSamples is how many tasks' worth the declaration counts at first.
+	// declarationSamples is the number of samples for which the first declaration counts
+	// initially.
 	declarationSamples = 8
-	// Factors beyond these aren't believed.
+	// minFactor and maxFactor limit the correction factor.
 	minFactor = 0.05
 	maxFactor = 20
 )
 
-// serviceKey names a service of an institution.
+// serviceKey identifies a service of an institution.
 type serviceKey struct{ institution, service string }
 
-// runTimeMeans is the run time observed against the one declared, as running sums.
+// runTimeMeans holds the running means, in seconds, of the observed and the declared run times.
 type runTimeMeans struct {
 	observed, declared float64
 	count              float64
 }
 
-// Estimator corrects declared run times by what the tasks of a service really
-// took. Declarations are often off by a factor of two and more, and with them
-// every forecast of a wait.
+// Estimator corrects declared run times by observed ones. Declarations are often wrong by a factor
+// of two and more, and so would be every expected wait computed from them.
 type Estimator struct {
 	services map[serviceKey]*runTimeMeans
 }
 
-// NewEstimator returns one that believes every declaration.
+// NewEstimator returns an estimator without observations, whose factors are 1.
 func NewEstimator() *Estimator {
 	return &Estimator{services: make(map[serviceKey]*runTimeMeans)}
 }
 
-// Observe takes the run time of a task that ran to its end.
+// Observe records the run time of a task that ran to its end.
 func (e *Estimator) Observe(institution, service string, declared, took time.Duration) {
 	k := serviceKey{institution, service}
 	r := e.services[k]
@@ -47,7 +47,7 @@
 	r.declared += w * (declared.Seconds() - r.declared)
 }
 
-// Factor is what a service's tasks take over what they are declared to take.
+// Factor returns the ratio of observed to declared run times of a service's tasks.
 func (e *Estimator) Factor(institution, service string) float64 {
 	r := e.services[serviceKey{institution, service}]
 	if r == nil || r.declared <= 0 {
@@ -56,7 +56,7 @@
 	return min(max(r.observed/r.declared, minFactor), maxFactor)
 }
 
-// ExpectedRunTime is the run time to expect of a task with a declared one.
+// ExpectedRunTime returns the declared run time of a task multiplied by its service's factor.
 func (e *Estimator) ExpectedRunTime(institution, service string, declared time.Duration) time.Duration {
 	return time.Duration(float64(declared) * e.Factor(institution, service))
 }
--- a/core/admission/lending.go
+++ b/core/admission/lending.go
@@ -10,8 +10,8 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// PeerUp says that a process is connected. A former run of it that was
-// connected is gone; what it sent may still arrive and is not listened to.
+// PeerUp records a connection with a process. It replaces a former run of the same node, whose
+// delayed messages are ignored from now on.
 func (q *Quotas) PeerUp(p task.Incarnation) {
 	for old := range q.peers {
 		if old.Node == p.Node {
@@ -21,15 +21,13 @@
 	q.peers[p] = &quotaPeer{statusSentAt: -StatusInterval}
 }
 
-// PeerDown says that the connection with a process is lost. Loans go on until
-// their time.
+// PeerDown records the loss of the connection with a process. Loans remain valid until they expire.
 func (q *Quotas) PeerDown(p task.Incarnation) {
 	delete(q.peers, p)
 }
 
-// Tick is to be called once an interval: it works out what is asked of others
-// and given back to them, and takes back loans that have ended with the tasks
-// that may run on them.
+// Tick is to be called once per StatusInterval. It updates the demand sent to peers, returns unused
+// borrowed units, and reclaims expired loans once the tasks that may run on them must have ended.
 func (q *Quotas) Tick(now task.Time) {
 	q.demand = nil
 	for _, l := range q.sortedLimits {
@@ -58,7 +56,7 @@
 	}
 }
 
-// updateRequest doubles what is asked for while demand isn't met.
+// updateRequest doubles the number of requested units as long as task starts are refused.
 func (q *Quotas) updateRequest(l *limit) {
 	if !l.blocked {
 		l.requested = 0
@@ -67,7 +65,7 @@
 	l.requested = min(max(2*l.requested, 1+l.held/4), l.total)
 }
 
-// returnSurplus hands units back that weren't used since the last status.
+// returnSurplus returns borrowed units that haven't been used since the last tick.
 func (q *Quotas) returnSurplus(l *limit, now task.Time) {
 	if l.requested > 0 {
 		return
@@ -86,8 +84,8 @@
 	}
 }
 
-// Status is what is told to one peer; it rides on any message, once an
-// interval. Nil means that there is nothing to tell.
+// Status returns the status to be sent to a peer, at most one per StatusInterval, to be carried by
+// any message. It is nil if none is due.
 func (q *Quotas) Status(now task.Time, to task.Incarnation) *pb.QuotaStatus {
 	p := q.peers[to]
 	if p == nil || len(q.sortedLimits) == 0 || now-p.statusSentAt < StatusInterval {
@@ -114,8 +112,8 @@
 	return st
 }
 
-// SharesWith says whether units are lent between this process and a peer, or are
-// wanted, so that the peer should hear soon.
+// SharesWith reports whether units are on loan between this process and a peer, or are requested of
+// all peers. The peer's next status is then urgent.
 func (q *Quotas) SharesWith(with task.Incarnation) bool {
 	if len(q.demand) > 0 {
 		return true
@@ -128,15 +126,15 @@
 	return false
 }
 
-// nextSerial is never used twice, so that a loan that was ended and forgotten
-// isn't taken for a later one.
+// nextSerial returns a number that is never reused, so that a loan that ended isn't confused with a
+// later one.
 func (q *Quotas) nextSerial() uint64 {
 	q.serial++
 	return q.serial
 }
 
-// renew tells of a loan and, unless the units are needed here or aren't this
-// process's any more, lets it run on.
+// renew reports a loan to its borrower. It extends the loan unless this process needs the units or
+// doesn't own them any more.
 func (q *Quotas) renew(l *limit, out *loan, now task.Time, clock uint64) *pb.QuotaLoan {
 	w := &pb.QuotaLoan{
 		Institution: l.key.Institution,
@@ -163,7 +161,7 @@
 	}
 }
 
-// Receive takes what a peer tells.
+// Receive handles the status of a peer.
 func (q *Quotas) Receive(now task.Time, from task.Incarnation, st *pb.QuotaStatus) {
 	p := q.peers[from]
 	if p == nil || st == nil {
@@ -182,7 +180,7 @@
 	q.lend(now, from, st.GetDemand())
 }
 
-// applyReports takes back what a borrower says it doesn't use any more.
+// applyReports reclaims units that the borrower reports as returned.
 func (q *Quotas) applyReports(from task.Incarnation, p *quotaPeer, list []*pb.QuotaLoan) {
 	p.holdsPredecessorLoans = false
 	for _, r := range list {
@@ -195,8 +193,8 @@
 			continue
 		}
 		out := l.lentTo[from]
-		// Only an answer to the loan as it stands: one to an earlier state
-		// would take back units that are on their way to the borrower.
+		// The report must refer to the present state of the loan. One that refers to an
+		// earlier state would reclaim units that are in flight to the borrower.
 		if r.GetSerial() == out.serial && int(r.GetUnits()) < out.units {
 			l.lent -= out.units - int(r.GetUnits())
 			out.units = int(r.GetUnits())
@@ -209,9 +207,9 @@
 	return Key{w.GetInstitution(), w.GetTeam()}
 }
 
-// borrow takes a loan. Its time counts from this process's own clock reading
-// that the lender echoes: a message that was long on its way brings a loan
-// that has ended, and not a fresh one that the lender counts as over.
+// borrow records a loan. Its validity counts from this process's own clock reading, which the
+// lender echoes. A delayed message therefore yields a loan that has already expired, instead of one
+// that is valid here after the lender has reclaimed it.
 func (q *Quotas) borrow(from task.Incarnation, w *pb.QuotaLoan) {
 	l := q.limits[keyOf(w)]
 	if l == nil {
@@ -235,8 +233,8 @@
 	}
 }
 
-// lend gives units that aren't needed here to a process that wants some: its
-// part of what it wants, as the others are asked too.
+// lend gives units that aren't needed here to a peer that requests some. The peer requests them of
+// all processes, so it gets its request divided by the number of peers at most.
 func (q *Quotas) lend(now task.Time, to task.Incarnation, wanted []*pb.HeldSlots) {
 	for _, w := range wanted {
 		l := q.limits[Key{w.GetInstitution(), w.GetTeam()}]
--- a/core/admission/members.go
+++ b/core/admission/members.go
@@ -8,22 +8,23 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// memberList is what the platform's memberList says, and since when.
+// memberList is the content of the platform's member list and the times at which it was read.
 type memberList struct {
 	known bool
 	nodes []string
 	hash  uint64
-	// version is the list's, nodesVersion the first with these nodes.
+	// version is the version of the list, nodesVersion the first version seen with these nodes.
 	version, nodesVersion uint64
-	// slots is how many each institution's upstreams have.
+	// slots is the number of slots of each institution's listed upstreams.
 	slots map[string]int
-	// readAt is the latest reading, changedAt the first with these nodes.
+	// readAt is when the list was last read, changedAt when these nodes were first read.
 	readAt, changedAt task.Time
-	// agreed: every process there can be has said that it goes by these nodes.
+	// agreed: all declared entry processes are listed, and each has reported that it uses the
+	// same nodes and is within its limits.
 	agreed bool
 }
 
-// SetMembers takes a new version of the platform's list.
+// SetMembers applies a new version of the platform's member list.
 func (q *Quotas) SetMembers(now task.Time, m task.Members) {
 	nodes := make([]string, 0, len(m.Nodes))
 	for _, n := range m.Nodes {
@@ -57,17 +58,18 @@
 	q.list.agreed = false
 }
 
-// MembersUnchanged says that the list was read and hasn't changed.
+// MembersUnchanged records that the list was read and hasn't changed.
 func (q *Quotas) MembersUnchanged(now task.Time) {
 	q.list.readAt = now
 }
 
-// remainderUsable says whether the units that the list gives may be used.
+// remainderUsable reports whether the remainder units that the list assigns to this process may be
+// used.
 //
-// A process that is cut off from the platform doesn't learn that it was taken
-// off the list and its units were given to others. It stops to use them when
-// its reading is old; the others wait that long, unless they have heard from
-// every process there can be that it goes by the same list.
+// A process that is disconnected from the platform doesn't learn that it was removed from the list
+// and its units were reassigned. It stops using them when its last reading is older than
+// MaxListAge. The new owners wait for remainderWait and the longest task, unless all processes have
+// reported that they use the same list.
 func (q *Quotas) remainderUsable(now task.Time) bool {
 	if !q.list.known || now < q.floorUsableFrom || now-q.list.readAt >= MaxListAge {
 		return false
@@ -75,9 +77,9 @@
 	return q.list.agreed || now >= q.list.changedAt+remainderWait+q.maxTaskOverrun
 }
 
-// endWaitsEarly looks whether waits can end early, because every process there can be
-// is listed, has been heard and uses no more than it may. One that lives but
-// isn't listed can't be heard, so with fewer than declared the waits stand.
+// endWaitsEarly ends the waits for remainder and floor units if all declared entry processes are
+// listed and their reports show that the units aren't in use elsewhere. A live process that isn't
+// listed can't report, so the waits go on while fewer processes are listed than declared.
 func (q *Quotas) endWaitsEarly(now task.Time) {
 	if !q.list.known || len(q.list.nodes) < q.entryVMs || q.list.agreed && q.noPredecessorLoans {
 		return
@@ -91,8 +93,8 @@
 		if p == nil {
 			return
 		}
-		// What it said of an earlier list with the same nodes, before one with
-		// others in between, is void: it may go by that other one.
+		// A report made under an earlier list with the same nodes doesn't count if a list with
+		// other nodes came in between: the peer may use that one now.
 		same := p.nodesHash == q.list.hash && p.listVersion >= q.list.nodesVersion
 		agreed = agreed && same && p.withinLimits
 		cleared = cleared && !p.holdsPredecessorLoans
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// withinLimits says whether this process uses no more than it may.
+// withinLimits reports whether this process lends and holds no more units than it may.
 func (q *Quotas) withinLimits(now task.Time) bool {
 	for _, l := range q.sortedLimits {
 		if l.lent+l.held > l.ownUnits(q, now)+l.usableBorrowed(now) && !l.nonBinding() {
--- a/core/admission/quota.go
+++ b/core/admission/quota.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// LoanValidity is how long units of a quota may be used after the borrower's
-	// clock reading that the lender echoes.
+	// LoanValidity is how long lent units may be used, counted from the borrower's clock
+	// reading that the lender echoes.
 	LoanValidity = 3 * time.Second
-	// MaxListAge is how long after its last reading of the platform's list a
-	// process may use the units that the list gives it.
+	// MaxListAge is how long after its last reading of the platform's member list a process
+	// may use the units that the list assigns to it.
 	MaxListAge = 5 * time.Second
-	// remainderWait is how long such units wait for a former owner that can't be
-	// asked: the time that the list may lag at it, MaxListAge, and its loans.
+	// remainderWait is how long newly assigned units stay unused in case a former owner that
+	// can't be reached still uses them: the delay of the list at that owner, MaxListAge, and
+	// the loans that it has made.
 	remainderWait = 2*MaxListAge + 2*LoanValidity
-	// StatusInterval is how often a peer is told of quotas.
+	// StatusInterval is the time between two statuses sent to a peer.
 	StatusInterval = 500 * time.Millisecond
-	// clockDriftDivisor is the part by which clocks may run at different speeds.
+	// clockDriftDivisor: two clocks may differ in speed by one part in this number.
 	clockDriftDivisor = 64
 )
 
-// Key names one limit: a team's quota, or an institution's ceiling if there is
-// no team.
+// Key identifies a limit: the quota of a team, or the ceiling of an institution if Team is empty.
 type Key struct {
 	Institution string
 	Team        string
@@ -37,62 +37,61 @@
 	return cmp.Or(cmp.Compare(a.Institution, b.Institution), cmp.Compare(a.Team, b.Team))
 }
 
-// loan is units lent to or borrowed from one process.
+// loan is the units lent to or borrowed from one process.
 type loan struct {
 	units  int
 	serial uint64
-	// until is when the borrower stops to use them; at the lender, when that
-	// is certain.
+	// until is when the loan expires. The borrower stops using the units then; the lender's
+	// value is at least as late.
 	until task.Time
 }
 
-// limit is one quota or ceiling as this process sees it.
+// limit is the state of one quota or ceiling in this process.
 type limit struct {
 	key   Key
 	total int
-	// floor is the part that is this process's whatever happens, remainder the
-	// remaining units that the platform's list gives it.
+	// floor is the number of units that this process owns whether or not it is listed,
+	// remainder the number that the platform's member list assigns to it.
 	floor, remainder int
 	held, peak       int
 	lent             int
 	blocked          bool
 	requested        int
-	// slots is how many the institution's listed upstreams have: a limit that
-	// they can't exceed needs no sharing.
+	// slots is the number of slots of the institution's listed upstreams. A limit at or above
+	// that number can't be exceeded and needs no sharing.
 	slots    int
 	lentTo   map[task.Incarnation]*loan
 	borrowed map[task.Incarnation]*loan
 }
 
-// Quotas keeps quotas and ceilings that hold over all entry processes, with no
-// message per job.
+// Quotas enforces quotas and ceilings across all entry processes, without a message per job.
 //
-// Each limit is divided by the declared number of entry VMs; that part is a
-// process's own even if it is cut off from everybody. The units that are left
-// over go to processes by rendezvous hashing over the platform's list, and are
-// used only while the list is fresh. What a process doesn't use it lends, and a
-// loan ends by the borrower's clock before it ends by the lender's.
+// Each limit is divided by the declared number of entry VMs. Every process owns that part, the
+// floor, even if it is disconnected from all others. The remaining units are assigned by rendezvous
+// hashing over the platform's member list, and are used only while the list is recent. A process
+// lends the units that it doesn't use. A loan expires by the borrower's clock before it expires by
+// the lender's.
 //
-// It isn't safe for concurrent use.
+// Quotas isn't safe for concurrent use.
 type Quotas struct {
 	self         task.Incarnation
 	limits       map[Key]*limit
 	sortedLimits []*limit
 	entryVMs     int
-	// maxTaskOverrun is how long a task may hold a unit after the right to it ended:
+	// maxTaskOverrun is how long a task may hold a unit after the right to use the unit ended:
 	// the longest response time of all institutions.
 	maxTaskOverrun time.Duration
 	peers          map[task.Incarnation]*quotaPeer
 	list           memberList
 	demand         []*pb.HeldSlots
 	serial         uint64
-	// floorUsableFrom is when units lent by a former run of this node are certainly
-	// back.
+	// floorUsableFrom is when all units lent by a former run of this node must have been
+	// returned.
 	floorUsableFrom    task.Time
 	noPredecessorLoans bool
 }
 
-// quotaPeer is what a connected process last said.
+// quotaPeer is the latest status received from a connected process.
 type quotaPeer struct {
 	clockMs               uint64
 	listVersion           uint64
@@ -100,11 +99,11 @@
 	withinLimits          bool
 	statusReceived        bool
 	holdsPredecessorLoans bool
-	// statusSentAt is when it was last statusSentAt of quotas.
+	// statusSentAt is when the last status was sent to the process.
 	statusSentAt task.Time
 }
 
-// NewQuotas returns the state of a process that has just started.
+// NewQuotas returns the quotas of a process that has just started.
 func NewQuotas(self task.Incarnation) *Quotas {
 	return &Quotas{
 		self:            self,
@@ -114,8 +113,7 @@
 	}
 }
 
-// ApplySettings takes the declared limits. A lowered one is in force at once for
-// new starts.
+// ApplySettings applies the declared limits. A lowered limit applies at once to new task starts.
 func (q *Quotas) ApplySettings(s *pb.Settings) {
 	q.entryVMs = int(s.GetEntryVms())
 	q.maxTaskOverrun = 0
@@ -161,7 +159,7 @@
 	slices.SortFunc(q.sortedLimits, func(a, b *limit) int { return compareKeys(a.key, b.key) })
 }
 
-// divideUnits works out which units are this process's own.
+// divideUnits computes the units of each limit that this process owns.
 func (q *Quotas) divideUnits() {
 	n := q.entryVMs
 	if n == 0 {
@@ -180,9 +178,9 @@
 	}
 }
 
-// Allow says whether one more task of a team, of which one waits, may start; an
-// empty team asks for the institution's ceiling only. A refusal is remembered
-// as demand, which keeps units from being lent and asks others for theirs.
+// Allow reports whether a waiting task of a team may start. With an empty team, only the
+// institution's ceiling is checked. A refusal counts as demand: the limit's units aren't lent, and
+// more are requested of the peers.
 func (q *Quotas) Allow(now task.Time, institution, team string) bool {
 	if team != "" && !q.allow(now, Key{institution, team}) {
 		return false
@@ -198,14 +196,14 @@
 	return false
 }
 
-// HasCapacity says whether a limit lets one more task start.
+// HasCapacity reports whether a limit allows one more task to start.
 func (q *Quotas) HasCapacity(now task.Time, k Key) bool {
 	l := q.limits[k]
 	return l == nil || l.freeUnits(q, now) > 0
 }
 
-// Usable is how many tasks a limit lets run here at once, with the units that
-// are lent and will come home, and whether it is one that can be exceeded.
+// Usable returns the number of tasks that a limit allows to run here at once, including units that
+// are lent and will be returned. binding is false if the limit can't be exceeded; units is then 0.
 func (q *Quotas) Usable(now task.Time, k Key) (units int, binding bool) {
 	l := q.limits[k]
 	if l == nil || l.nonBinding() {
@@ -214,7 +212,7 @@
 	return l.held + max(l.freeUnits(q, now), 0) + l.lent, true
 }
 
-// freeUnits is how many more tasks the limit lets start here.
+// freeUnits returns how many more tasks the limit allows to start here.
 func (l *limit) freeUnits(q *Quotas, now task.Time) int {
 	if l.nonBinding() {
 		return l.total
@@ -222,13 +220,13 @@
 	return l.ownUnits(q, now) - l.lent + l.usableBorrowed(now) - l.held
 }
 
-// nonBinding says that the limit can't be exceeded, since the upstreams don't have
-// more slots.
+// nonBinding reports whether the limit can't be exceeded, because the upstreams have no more slots
+// than it allows.
 func (l *limit) nonBinding() bool {
 	return l.slots > 0 && l.slots <= l.total
 }
 
-// ownUnits is the units that are this process's, the lent ones included.
+// ownUnits returns the number of units that this process owns, including lent ones.
 func (l *limit) ownUnits(q *Quotas, now task.Time) int {
 	n := 0
 	if now >= q.floorUsableFrom {
@@ -240,7 +238,7 @@
 	return n
 }
 
-// usableBorrowed is the borrowed units whose time hasn't passed.
+// usableBorrowed returns the number of borrowed units that haven't expired.
 func (l *limit) usableBorrowed(now task.Time) int {
 	n := 0
 	for _, b := range l.borrowed {
@@ -251,10 +249,10 @@
 	return n
 }
 
-// Started takes account of a task start.
+// Started counts a task start.
 func (q *Quotas) Started(institution, team string) { q.adjustHeld(institution, team, 1) }
 
-// Ended takes account of the end of a task that was started.
+// Ended counts the end of a task counted by Started.
 func (q *Quotas) Ended(institution, team string) { q.adjustHeld(institution, team, -1) }
 
 func (q *Quotas) adjustHeld(institution, team string, n int) {
@@ -274,7 +272,7 @@
 	l.peak = max(l.peak, l.held)
 }
 
-// Held is how many slots a team's or an institution's tasks hold here.
+// Held returns the number of slots that tasks of a team or an institution hold in this process.
 func (q *Quotas) Held(k Key) int {
 	if l := q.limits[k]; l != nil {
 		return l.held
@@ -282,8 +280,8 @@
 	return 0
 }
 
-// MaxSlots is how many slots a team may hold at once over all processes; 0 if that
-// isn't limited.
+// MaxSlots returns the number of slots that a team may hold at once over all processes, 0 if
+// unlimited.
 func (q *Quotas) MaxSlots(institution, team string) int {
 	most := 0
 	for _, k := range []Key{{institution, team}, {Institution: institution}} {
@@ -298,20 +296,20 @@
 type LimitState struct {
 	Institution string `json:"institution"`
 	Team        string `json:"team,omitempty"`
-	// Limit holds over all processes; Own, less Lent, and Borrowed may be used
-	// here; Held is used.
+	// Limit applies over all processes. This process may use Own less Lent, and Borrowed. Held
+	// is the number in use.
 	Limit    int `json:"limit_slots"`
 	Own      int `json:"own_slots"`
 	Lent     int `json:"lent_slots"`
 	Borrowed int `json:"borrowed_slots"`
 	Held     int `json:"held_slots"`
-	// Wanted is what is asked of the other processes.
+	// Wanted is the number of units requested of other processes.
 	Wanted int `json:"wanted_slots"`
-	// Binding is false if the institution's upstreams have no more slots.
+	// Binding is false if the institution's upstreams have no more slots than the limit.
 	Binding bool `json:"binding"`
 }
 
-// Dump lists the limits in order of name.
+// Dump returns the state of all limits in the order of their names.
 func (q *Quotas) Dump(now task.Time) []LimitState {
 	list := make([]LimitState, 0, len(q.sortedLimits))
 	for _, l := range q.sortedLimits {
--- a/core/admission/quota_test.go
+++ b/core/admission/quota_test.go
@@ -45,11 +45,11 @@
 	}}}
 }
 
-// process is one entry process of the world.
+// process is one simulated entry process.
 type process struct {
 	self task.Incarnation
 	q    *admission.Quotas
-	// started is on the world's clock, which the process never reads.
+	// started is the simulation's time at the start; the process itself never reads that clock.
 	started             task.Time
 	demand              int
 	platformUnreachable bool
@@ -62,7 +62,7 @@
 	nodes []task.Node
 }
 
-// world is entry processes with a lagging list, cuts and late messages.
+// world simulates entry processes with delayed member lists, broken connections and late messages.
 type world struct {
 	rng          *rand.Rand
 	now          task.Time
@@ -140,7 +140,7 @@
 
 func (w *world) clock(p *process) task.Time { return w.now - p.started }
 
-// step advances the world and runs every process once.
+// step advances the simulation and runs every process once.
 func (w *world) step() {
 	w.now += step
 	for _, f := range w.scheduled[w.now] {
@@ -211,7 +211,7 @@
 	return n
 }
 
-// injectFault does one random thing to the world.
+// injectFault applies one random change: of demand, a connection, the list, or a process.
 func (w *world) injectFault() {
 	i, j := w.rng.IntN(nodeCount), w.rng.IntN(nodeCount)
 	p := w.nodes[i]
@@ -233,10 +233,9 @@
 	}
 }
 
-// Entry processes are cut off from each other and from the platform, taken off
-// the list while they live, killed and started again, and messages come up to
-// 20 s late. If each then took its idea of the quota for true, a team would
-// hold more slots than the contract allows and the other teams would wait.
+// Entry processes are disconnected from each other and from the platform, removed from the list
+// while they are alive, killed and restarted, and messages arrive up to 20 s late. At no time may
+// the processes together hold more slots than a team's quota or the institution's ceiling.
 func TestCeilingHoldsOverAllProcesses(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(rt, "seed"), time.Duration(rapid.IntRange(0, 20_000).Draw(rt, "late"))*time.Millisecond)
@@ -258,8 +257,8 @@
 	})
 }
 
-// All callers of a team reach the same entry VM. With a fixed share it could
-// use a quarter of the quota while the rest stood idle.
+// All callers of a team reach the same entry VM. With a fixed share it could use only a quarter of
+// the ceiling while the other units were idle.
 func TestIdleSharesAreLent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newWorld(1, 0)
@@ -272,9 +271,9 @@
 	g.Expect(most).To(gomega.BeNumerically(">=", ceiling-2))
 }
 
-// A failure domain is cut off from the platform and from all peers for longer
-// than any loan. Its part of the ceiling must go on being served there.
-func TestCutOffProcessKeepsItsOwnPart(t *testing.T) {
+// A failure domain is disconnected from the platform and all peers for longer than any loan lasts.
+// It must go on using its floor of the ceiling.
+func TestDisconnectedProcessKeepsItsFloor(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newWorld(2, 0)
 	for range 50 {
@@ -295,9 +294,9 @@
 	g.Expect(least).To(gomega.BeNumerically(">=", ceiling/nodeCount-1))
 }
 
-// An operator starts all entry VMs at once. Nothing can be lent out yet, and
-// callers mustn't wait for loans that nobody has.
-func TestNewProcessesServeOnceTheyHaveHeardEachOther(t *testing.T) {
+// All entry VMs start at once. No process can hold units of a former run, so a new one must use its
+// floor as soon as all processes have reported, without waiting for the longest loan.
+func TestNewProcessesServeOnceAllHaveReported(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newWorld(3, 0)
 	w.nodes[1].demand = 5
--- a/core/slots/property_test.go
+++ b/core/slots/property_test.go
@@ -275,7 +275,7 @@
 
 // Over any order of starts, loans, returns, deaths, cuts, expiries and lagging
 // lists, no owner gives a slot to two at a time and none is lost.
-func TestSlotsAreNeitherLostNorGivenTwice(t *testing.T) {
+func TestSlotsAreNeitherLostNorUsedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		t.Repeat(map[string]func(*rapid.T){
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -93,7 +93,7 @@
 // A task's start was refused or its end isn't known, and the slot is handed to
 // the next task at once: users see a series of refused starts, or two tasks on
 // a worker that has room for one.
-func TestReleasedLaterStaysClosed(t *testing.T) {
+func TestSlotIsUnusableDuringCooldown(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool("c", "hinckley")
 	p.SetMembers(members())
@@ -109,7 +109,7 @@
 // A borrowed slot's task was lost on a silent connection when the loan ends. Given
 // back at once, the lender would start a second task beside the first, which
 // may still be running.
-func TestBorrowedSlotOfALostTaskGoesBackLate(t *testing.T) {
+func TestBorrowedSlotOfALostTaskIsReturnedAfterCooldown(t *testing.T) {
 	g := NewWithT(t)
 	lender, borrower := NewPool("a", "melton"), NewPool("c", "hinckley")
 	lender.SetMembers(members())
