--- a/core/slots/bench_test.go
+++ b/core/slots/bench_test.go
@@ -7,7 +7,7 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// BenchmarkAcquireRelease is the cost of one placement at half load.
+// BenchmarkAcquireRelease measures one Release and Acquire with half of the slots in use.
 func BenchmarkAcquireRelease(b *testing.B) {
 	for _, upstreams := range []int{48, 384, 1000, 6700} {
 		b.Run(fmt.Sprintf("upstreams=%d", upstreams), func(b *testing.B) {
--- a/core/slots/counts.go
+++ b/core/slots/counts.go
@@ -1,7 +1,7 @@
 package slots
 
-// Counts is the number of slots by their use, over all institutions: own ones,
-// and apart from them those borrowed.
+// Counts is the number of slots over all institutions: owned ones by state, and borrowed ones in any
+// state.
 type Counts struct {
 	Busy        int `json:"busy"`
 	Idle        int `json:"idle"`
@@ -10,7 +10,7 @@
 	Borrowed    int `json:"borrowed"`
 }
 
-// Counts goes through all slots, for dumps and metrics.
+// Counts counts the slots by iterating over all of them, for dumps and metrics.
 func (p *Pool) Counts() Counts {
 	var c Counts
 	for _, u := range p.upstreams {
--- a/core/slots/loans.go
+++ b/core/slots/loans.go
@@ -8,16 +8,16 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// All asks for everything.
+// All as a number of slots means no limit.
 const All = math.MaxInt
 
-// Return is slots that go back to their lender.
+// Return is a set of slots of one loan that are returned to their lender.
 type Return struct {
 	Loan  uint64
 	Slots []task.Slot
 }
 
-// lenderAccount are the slots borrowed from one peer, and those to be given back.
+// lenderAccount holds the slots borrowed from one peer, and the returns that are due to it.
 type lenderAccount struct {
 	slots   []*slotRecord
 	returns []Return
@@ -49,7 +49,7 @@
 	d.returns = append(d.returns, Return{loan, []task.Slot{s}})
 }
 
-// Lend gives a peer the use of up to n idle own slots under a loan.
+// Lend lends up to n idle owned slots to a peer under a loan.
 func (p *Pool) Lend(institution string, n int, to task.Incarnation, loan uint64) []task.Slot {
 	l := p.institutions[institution]
 	if l == nil {
@@ -70,9 +70,9 @@
 	return list
 }
 
-// TakeBack ends the loan of a slot, at its return or when the lender reclaims
-// it. It reports false if the slot isn't lent under that loan: returned twice,
-// reclaimed before, or not owned any more.
+// TakeBack ends the loan of a slot when the borrower returns it or the lender reclaims it. It
+// reports false if the slot isn't lent under that loan: it was returned or reclaimed before, or isn't
+// owned any more.
 func (p *Pool) TakeBack(s task.Slot, loan uint64) bool {
 	r := p.find(s)
 	if r == nil || r.state != lent || r.loan != loan {
@@ -84,8 +84,7 @@
 	return true
 }
 
-// Borrow takes over slots from a lender. Those that can't be used here go
-// straight back.
+// Borrow records slots lent by a peer. Slots that can't be used here are returned at once.
 func (p *Pool) Borrow(lender task.Incarnation, loan uint64, list []task.Slot) {
 	d := p.lenderAccount(lender)
 	for _, s := range list {
@@ -101,14 +100,14 @@
 	}
 }
 
-// returnSlot gives a borrowed slot back.
+// returnSlot returns a borrowed slot to its lender.
 func (p *Pool) returnSlot(r *slotRecord) {
 	d := p.lenderAccount(r.peer)
 	p.dropBorrowed(r)
 	d.queueReturn(r.loan, r.slot())
 }
 
-// dropBorrowed ends the use of a borrowed slot without a word to the lender.
+// dropBorrowed ends the use of a borrowed slot without returning it to the lender.
 func (p *Pool) dropBorrowed(r *slotRecord) {
 	p.lenderAccount(r.peer).remove(r)
 	r.revokeRight()
@@ -119,8 +118,7 @@
 	}
 }
 
-// ReturnIdle ends the use of up to n idle slots borrowed from a lender and
-// says of how many.
+// ReturnIdle returns up to n idle slots to their lender. The result is the number of slots returned.
 func (p *Pool) ReturnIdle(lender task.Incarnation, n int) int {
 	d := p.borrowed[lender]
 	if d == nil {
@@ -139,7 +137,7 @@
 	return returned
 }
 
-// IdleBorrowed is the number of idle slots borrowed from a lender.
+// IdleBorrowed returns the number of idle slots borrowed from a lender.
 func (p *Pool) IdleBorrowed(lender task.Incarnation) int {
 	n := 0
 	if d := p.borrowed[lender]; d != nil {
@@ -152,8 +150,8 @@
 	return n
 }
 
-// EndLoan ends the use of a loan's slots: idle ones are given back now, busy
-// ones when their tasks end.
+// EndLoan ends the use of a loan's slots. Idle ones are returned now, busy ones when their tasks
+// have ended, and those in cooldown at its end.
 func (p *Pool) EndLoan(lender task.Incarnation, loan uint64) {
 	d := p.borrowed[lender]
 	if d == nil {
@@ -166,9 +164,8 @@
 	}
 }
 
-// recall gives a slot back as soon as it is idle. On a closed slot a task may
-// still run: given back early, the lender would start another beside it, which
-// shows as a refusal, so it stays here until it opens.
+// recall returns a slot as soon as it is idle. A task may still run on a slot in cooldown. If it were
+// returned early, the lender would start another task on it, which the upstream would refuse.
 func (p *Pool) recall(r *slotRecord) {
 	if r.state == idle {
 		p.returnSlot(r)
@@ -177,8 +174,8 @@
 	r.recalled = true
 }
 
-// LenderUnreachable ends the use of all slots borrowed from a peer that can't be
-// reached. Tasks that run on them are left alone.
+// LenderUnreachable ends the use of all slots borrowed from a peer that can't be reached. Tasks that
+// run on them go on.
 func (p *Pool) LenderUnreachable(lender task.Incarnation) {
 	d := p.borrowed[lender]
 	if d == nil {
@@ -190,7 +187,7 @@
 	delete(p.borrowed, lender)
 }
 
-// Returns takes the slots that go back to a lender now.
+// Returns returns the slots to be returned to a lender, and removes them from the account.
 func (p *Pool) Returns(lender task.Incarnation) []Return {
 	d := p.borrowed[lender]
 	if d == nil {
@@ -201,7 +198,7 @@
 	return list
 }
 
-// Borrowed is the number of slots held from a lender.
+// Borrowed returns the number of slots borrowed from a lender.
 func (p *Pool) Borrowed(lender task.Incarnation) int {
 	if d := p.borrowed[lender]; d != nil {
 		return len(d.slots)
@@ -209,8 +206,8 @@
 	return 0
 }
 
-// SpareBorrowed is the number of borrowed slots of an institution that were
-// idle all the time since the last call with reset set.
+// SpareBorrowed returns the least number of usable borrowed slots of an institution since the last
+// call with reset set.
 func (p *Pool) SpareBorrowed(institution string, reset bool) int {
 	l := p.institutions[institution]
 	if l == nil {
--- a/core/slots/members.go
+++ b/core/slots/members.go
@@ -7,11 +7,11 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// SetMembers divides the slots anew after a change of the list. Only upstreams
-// that are new are divided while the failure domain's nodes stay the same.
+// SetMembers divides the slots according to a new member list. If the nodes of the failure domain
+// haven't changed, only upstreams that are new or have another number of slots are divided.
 //
-// A busy slot that another node owns from now on is given up when its task
-// ends; until then the upstream's own limit refuses a second use.
+// A busy slot that gets another owner is given up when its task ends. Until then the upstream's own
+// limit prevents a second task on it.
 func (p *Pool) SetMembers(m task.Members) {
 	nodes := domainNodes(m, p.domain, p.self)
 	same := slices.Equal(nodes, p.nodes)
@@ -26,8 +26,8 @@
 	p.recallMoved(m)
 }
 
-// domainNodes lists the nodes that share a domain's slots, in name order. A node
-// counts itself, because it serves until it has stopped.
+// domainNodes lists the nodes among which a domain's slots are divided, in the order of their names.
+// It includes self in any case, because a node uses its slots until it has stopped.
 func domainNodes(m task.Members, domain, self string) []string {
 	var nodes []string
 	if self != "" {
@@ -84,7 +84,7 @@
 	}
 }
 
-// takeOwnership makes a slot this process's takeOwnership. Borrowed before, it stays in use.
+// takeOwnership records that this process owns a slot. If it was borrowed, its task goes on.
 func (p *Pool) takeOwnership(r *slotRecord) {
 	if r.right == rightBorrowed {
 		p.dropBorrowed(r)
@@ -93,8 +93,8 @@
 	r.grantRight(rightOwned)
 }
 
-// giveUpOwnership gives a slot up to its new owner. If it is lent, the borrower finds
-// out by the list as well.
+// giveUpOwnership gives up a slot that another node owns now. If the slot is lent, its borrower
+// learns of the change by the member list too.
 func (p *Pool) giveUpOwnership(r *slotRecord) {
 	p.owned--
 	switch r.state {
@@ -111,7 +111,7 @@
 	}
 }
 
-// dropUnlisted gives up the slots of upstreams that leave or have left.
+// dropUnlisted gives up the slots of upstreams that are leaving or no longer listed.
 func (p *Pool) dropUnlisted() {
 	var gone []string
 	for name, u := range p.upstreams {
@@ -136,8 +136,8 @@
 	}
 }
 
-// recallMoved gives back borrowed slots that have passed from their lender to
-// another node, which doesn't know of the loan.
+// recallMoved recalls borrowed slots that another node than the lender owns now, since the new owner
+// doesn't know of the loan.
 func (p *Pool) recallMoved(m task.Members) {
 	nodes := make(map[string][]string)
 	for _, d := range p.sortedLenders() {
--- a/core/slots/property_test.go
+++ b/core/slots/property_test.go
@@ -10,21 +10,21 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// loanRecord is a loan on its way or in use.
+// loanRecord is a loan that is in flight or in use.
 type loanRecord struct {
 	from, to string
 	loan     uint64
 	slots    []task.Slot
 }
 
-// message is a message between two nodes: a grant or returns.
+// message is a message between two nodes: a loan, or returns if there are any.
 type message struct {
 	loanRecord
 	returns []Return
 }
 
-// world is three nodes, what runs on their slots, and the messages between
-// them. It keeps by itself which loans each owner has given.
+// world simulates three nodes, the tasks that run on their slots, and the messages between them. It
+// records separately which loans each owner has made.
 type world struct {
 	t        *rapid.T
 	pools    map[string]*Pool
@@ -63,7 +63,7 @@
 
 func (w *world) node() string { return rapid.SampledFrom(nodeNames).Draw(w.t, "node") }
 
-// pick draws the position of an element.
+// pick draws an index into n elements.
 func (w *world) pick(n int) int {
 	if n == 0 {
 		w.t.Skip("nothing to pick")
@@ -160,7 +160,7 @@
 	}
 }
 
-// expire ends a loan on the lender's clock, whatever the borrower does.
+// expire ends a loan by the lender's clock, whatever the borrower does.
 func (w *world) expire(*rapid.T) {
 	l := w.loans[w.pick(len(w.loans))]
 	for _, s := range slices.Clone(l.slots) {
@@ -184,7 +184,7 @@
 	w.pools[w.node()].SetWeight(u, rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(w.t, "weight"))
 }
 
-// changeMembers brings one node a new list; the others lag.
+// changeMembers gives one node a new member list; the others keep theirs.
 func (w *world) changeMembers(*rapid.T) {
 	m := members()
 	m.Upstreams[w.pick(len(m.Upstreams))].Leaving = rapid.Bool().Draw(w.t, "leaving")
@@ -212,7 +212,7 @@
 	}
 }
 
-// checkCounts compares each account with a count of its records.
+// checkCounts compares the counts of each pool with its slot records.
 func (w *world) checkCounts(*rapid.T) {
 	for _, n := range nodeNames {
 		p := w.pools[n]
@@ -230,16 +230,15 @@
 			usable += u.owned.usable + u.borrowed.usable
 		}
 		if owned != p.owned || usable != p.Idle(hollowell) || held != p.Held(hollowell) {
-			w.t.Fatalf("%s: owned %d, usable %d, held %d; accounts say %d, %d, %d", n, owned, usable, held, p.owned, p.Idle(hollowell), p.Held(hollowell))
+			w.t.Fatalf("%s: records have owned %d, usable %d, held %d; the pool counts %d, %d, %d", n, owned, usable, held, p.owned, p.Idle(hollowell), p.Held(hollowell))
 		}
 		if lent := p.Counts().Lent; lent != p.Lent(hollowell) {
-			w.t.Fatalf("%s: %d slots are lent, the account says %d", n, lent, p.Lent(hollowell))
+			w.t.Fatalf("%s: %d slots are lent, the pool counts %d", n, lent, p.Lent(hollowell))
 		}
 	}
 }
 
-// endAll lets all tasks and loans end, after which each owner must have all
-// its slots again.
+// endAll ends all tasks and loans, after which each owner must have all its slots idle.
 func (w *world) endAll() {
 	for _, n := range nodeNames {
 		w.setMembers(n, members())
@@ -273,8 +272,8 @@
 	}
 }
 
-// Over any order of starts, loans, returns, deaths, cuts, expiries and lagging
-// lists, no owner gives a slot to two at a time and none is lost.
+// In any order of starts, loans, returns, restarts, disconnections, expiries and delayed lists, no
+// owner lets a slot be used twice at once, and no slot is lost.
 func TestSlotsAreNeitherLostNorUsedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
--- a/core/slots/record.go
+++ b/core/slots/record.go
@@ -7,42 +7,41 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// usageRight is the title under which this process may use a slot.
+// usageRight is the right under which this process uses a slot.
 type usageRight uint8
 
 const (
-	// rightNone: the slot isn't this process's to start tasks on.
+	// rightNone: this process may not start tasks on the slot.
 	rightNone usageRight = iota
 	rightOwned
 	rightBorrowed
 )
 
-// slotState is what a slot is doing.
+// slotState is the state of a slot.
 type slotState uint8
 
 const (
 	idle slotState = iota
 	busy
-	// lent: a peer has the use of this own slot.
+	// lent: this process owns the slot, and a peer may use it.
 	lent
-	// coolingDown: not to be used before a time.
+	// coolingDown: the slot must not be used before its cooldownEnd.
 	coolingDown
 )
 
-// slotRecord is the account of one slot.
+// slotRecord is the state of one slot in this process.
 type slotRecord struct {
 	upstream *upstream
 	index    uint32
 	right    usageRight
 	state    slotState
-	// recalled marks a borrowed slot that goes back to its lender when its task
-	// ends.
+	// recalled marks a borrowed slot that is to be returned as soon as it is idle.
 	recalled bool
-	// cooldownEnd is when a closed slot opens.
+	// cooldownEnd is when a slot in cooldown becomes idle.
 	cooldownEnd task.Time
-	// heapIndex is the position among the closed slots.
+	// heapIndex is the position in Pool.coolingDown.
 	heapIndex int
-	// peer and loan are those of a lent or borrowed slot.
+	// peer is the borrower of a lent slot, or the lender of a borrowed one; loan is the loan.
 	peer task.Incarnation
 	loan uint64
 	// borrowedIndex is the position among the slots borrowed from the peer.
@@ -63,7 +62,7 @@
 	return nil
 }
 
-// Before orders closed slots by the time they open.
+// Before orders slots in cooldown by its end.
 func (r *slotRecord) Before(o *slotRecord) bool {
 	if r.cooldownEnd != o.cooldownEnd {
 		return r.cooldownEnd < o.cooldownEnd
@@ -74,17 +73,17 @@
 	return r.index < o.index
 }
 
-// Position is the place among the closed slots.
+// Position returns the position in Pool.coolingDown.
 func (r *slotRecord) Position() *int { return &r.heapIndex }
 
-// upstream is the account of one upstream's slots.
+// upstream holds the slots of one upstream.
 type upstream struct {
 	name        string
 	institution string
 	domain      string
 	weight      float64
 	listed      bool
-	// dividedSlots is the number of slots that were dividedSlots with the present nodes.
+	// dividedSlots is the number of slots that were divided among Pool.nodes.
 	dividedSlots uint32
 	slots        []*slotRecord
 	owned        group
@@ -109,8 +108,7 @@
 	}
 }
 
-// group is the slots of one upstream that are held under one right; lent ones
-// don't count.
+// group is the slots of one upstream that are held under the same right, without lent ones.
 type group struct {
 	upstream    *upstream
 	institution *institutionSlots
@@ -119,7 +117,8 @@
 	total       int
 	busy        int
 	usable      int
-	// load orders the groups: the part in use for the weight.
+	// load is the sort key of the groups: the fraction of slots in use, one more start included,
+	// divided by the upstream's weight.
 	load      float64
 	heapIndex int
 }
@@ -144,7 +143,7 @@
 	}
 }
 
-// maxBusy is the number of slots that may be busy at once.
+// maxBusy returns the number of slots that may be busy at once.
 func (g *group) maxBusy() int {
 	w := g.upstream.weight
 	if w >= 1 {
@@ -156,7 +155,7 @@
 	return max(1, int(math.Ceil(w*float64(g.total))))
 }
 
-// update brings the ledger up to date after a change.
+// update recomputes the usable slots and the load of the group, and its place in the heap.
 func (g *group) update() {
 	if g.busy < 0 || g.busy+len(g.idle) > g.total {
 		panic("slots: more slots in use than held of " + g.upstream.name)
@@ -178,7 +177,7 @@
 	a.groups = heap.Put(a.groups, g)
 }
 
-// Before puts the least loaded group first.
+// Before orders groups by load, the least first.
 func (g *group) Before(o *group) bool {
 	if g.load != o.load {
 		return g.load < o.load
@@ -186,28 +185,28 @@
 	return g.upstream.name < o.upstream.name
 }
 
-// Position is the place among the groups with usable slots.
+// Position returns the position among the groups with usable slots.
 func (g *group) Position() *int { return &g.heapIndex }
 
-// institutionSlots is the account of one institution.
+// institutionSlots is the slots of one institution in this process.
 type institutionSlots struct {
 	owned    usableSlots
 	borrowed usableSlots
 	held     int
-	// lent is the number of own slots that peers have the use of.
+	// lent is the number of owned slots that are lent to peers.
 	lent int
 }
 
-// usableSlots is the usable slots held under one right.
+// usableSlots is the slots of one institution, held under the same right, that can be taken now.
 type usableSlots struct {
-	// groups have usable slots; the best is first.
+	// groups is a heap of the groups with usable slots, the least loaded first.
 	groups []*group
 	count  int
-	// minCount is the least number of usable slots since it was last read.
+	// minCount is the least count since the last reset by Pool.SpareBorrowed.
 	minCount int
 }
 
-// grantRight gives an idle slot a right.
+// grantRight puts an idle or busy slot into the group of a right.
 func (r *slotRecord) grantRight(to usageRight) {
 	r.right = to
 	g := r.group()
@@ -221,8 +220,8 @@
 	g.update()
 }
 
-// revokeRight takes a slot out of its group. A busy slot stays busy without a right
-// until its task ends.
+// revokeRight removes a slot from its group. A busy slot stays busy, without a right, until its task
+// ends.
 func (r *slotRecord) revokeRight() {
 	g := r.group()
 	g.total--
@@ -237,14 +236,14 @@
 	g.update()
 }
 
-// startCooldown keeps a slot from being used before a time.
+// startCooldown prevents the use of a slot before a given time.
 func (p *Pool) startCooldown(r *slotRecord, until task.Time) {
 	r.state = coolingDown
 	r.cooldownEnd = until
 	p.coolingDown = heap.Put(p.coolingDown, r)
 }
 
-// EndCooldowns makes closed slots usable whose time has come.
+// EndCooldowns makes slots idle whose cooldown has ended.
 func (p *Pool) EndCooldowns(now task.Time) {
 	for len(p.coolingDown) > 0 && p.coolingDown[0].cooldownEnd <= now {
 		r := p.coolingDown[0]
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -1,6 +1,6 @@
-// Package slots divides the execution slots of a failure domain's upstreams
-// among its entry processes, and keeps account of those that one process may
-// use: its own, less those lent to peers, and those borrowed from peers.
+// Package slots assigns the execution slots of a failure domain's upstreams to its entry processes,
+// and tracks those that one process may use: the slots that it owns and hasn't lent to peers, and
+// those borrowed from peers.
 package slots
 
 import (
@@ -8,24 +8,24 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// Owner picks the owner of a slot among the nodes of its failure domain.
+// Owner returns the node, of those of the slot's failure domain, that owns a slot.
 func Owner(slot task.Slot, nodes []string) string {
 	return rendezvous.Owner(nodes, slot.Upstream, slot.Index)
 }
 
-// Pool is the account of the slots that this process may use. Taking and
-// releasing one costs the logarithm of the upstreams and allocates nothing.
+// Pool tracks the slots that this process may use. Acquire and Release take time logarithmic in the
+// number of upstreams and allocate nothing.
 type Pool struct {
 	self         string
 	domain       string
 	upstreams    map[string]*upstream
 	institutions map[string]*institutionSlots
-	// nodes are those among which the slots were last divided.
+	// nodes are the nodes among which the slots were last divided.
 	nodes []string
 	owned int
-	// coolingDown are slots that open again at a time, the earliest first.
+	// coolingDown is a heap of the slots in cooldown, ordered by the end of the cooldown.
 	coolingDown []*slotRecord
-	// borrowed are the slots borrowed from each peer.
+	// borrowed holds the slots borrowed from each peer.
 	borrowed map[task.Incarnation]*lenderAccount
 }
 
@@ -40,10 +40,9 @@
 	}
 }
 
-// Acquire takes an idle slot of an institution's upstreams, of the upstream
-// with the least load for its weight. Borrowed slots go before own ones, because
-// an own one that stays idle can be lent to any peer, while a borrowed one would
-// have to go home first.
+// Acquire takes an idle slot of an institution, from the upstream with the least load relative to
+// its weight. It prefers borrowed slots, because an idle slot that this process owns can be lent to
+// any peer, while a borrowed one must first be returned to its lender.
 func (p *Pool) Acquire(institution string) (task.Slot, bool) {
 	l := p.institutions[institution]
 	if l == nil || l.owned.count+l.borrowed.count == 0 {
@@ -61,13 +60,13 @@
 	return r.slot(), true
 }
 
-// Release gives a slot back after its task ended.
+// Release makes a slot idle after its task has ended.
 func (p *Pool) Release(s task.Slot) {
 	p.ReleaseWithCooldown(s, 0)
 }
 
-// ReleaseWithCooldown gives a slot back that must not be used before a time: after a
-// refusal, or when a task may still run on it. EndCooldowns makes it usable again.
+// ReleaseWithCooldown releases a slot that must not be used before a given time: after its upstream
+// refused a start, or while a task may still run on it. EndCooldowns makes it idle.
 func (p *Pool) ReleaseWithCooldown(s task.Slot, until task.Time) {
 	r := p.find(s)
 	if r == nil || r.state != busy {
@@ -91,9 +90,9 @@
 	}
 }
 
-// SetWeight says how much of its load an upstream should get, from 0 (closed:
-// nothing is started on it) to 1. In between it is preferred less, and at most
-// that part of the slots held is used at once, but one at least.
+// SetWeight sets the share of its normal load that an upstream gets, from 0 (no task is started on
+// it) to 1. With a weight in between it is chosen less often, and at most that fraction of its slots
+// held here, but at least one, is used at once.
 func (p *Pool) SetWeight(name string, weight float64) {
 	u := p.upstreams[name]
 	if u == nil || u.weight == weight {
@@ -104,7 +103,7 @@
 	u.borrowed.update()
 }
 
-// Idle is the number of slots of an institution that may be taken now.
+// Idle returns the number of slots of an institution that Acquire could take now.
 func (p *Pool) Idle(institution string) int {
 	if l := p.institutions[institution]; l != nil {
 		return l.owned.count + l.borrowed.count
@@ -112,7 +111,7 @@
 	return 0
 }
 
-// IdleOwn is the number of own slots among them.
+// IdleOwn returns how many of them this process owns.
 func (p *Pool) IdleOwn(institution string) int {
 	if l := p.institutions[institution]; l != nil {
 		return l.owned.count
@@ -120,7 +119,7 @@
 	return 0
 }
 
-// TotalIdleOwn is the number of own slots that may be taken now, over all
+// TotalIdleOwn returns the number of owned slots that Acquire could take now, over all
 // institutions.
 func (p *Pool) TotalIdleOwn() int {
 	n := 0
@@ -130,8 +129,8 @@
 	return n
 }
 
-// Held is the number of slots of an institution that this process has the use
-// of: its own that aren't lent, and borrowed ones.
+// Held returns the number of slots of an institution that this process may use, idle or busy: owned
+// ones that aren't lent, and borrowed ones.
 func (p *Pool) Held(institution string) int {
 	if l := p.institutions[institution]; l != nil {
 		return l.held
@@ -139,7 +138,7 @@
 	return 0
 }
 
-// Lent is the number of own slots of an institution that peers have the use of.
+// Lent returns the number of owned slots of an institution that are lent to peers.
 func (p *Pool) Lent(institution string) int {
 	if l := p.institutions[institution]; l != nil {
 		return l.lent
@@ -147,7 +146,7 @@
 	return 0
 }
 
-// Owned is the number of slots owned over all institutions, lent ones included.
+// Owned returns the number of owned slots over all institutions, including lent ones.
 func (p *Pool) Owned() int {
 	return p.owned
 }
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -22,8 +22,8 @@
 
 const hollowell = "hollowell"
 
-// members lists nodes a and b in melton and c in hinckley, each domain with
-// two upstreams of four slots.
+// members lists the nodes a and b in melton and c in hinckley, and in each domain two upstreams of
+// four slots.
 func members() task.Members {
 	m := task.Members{Nodes: []task.Node{
 		{Name: "a", FailureDomain: "melton"},
@@ -90,9 +90,9 @@
 	g.Expect(p.Idle(hollowell)).To(Equal(1), "half of four slots, one in use")
 }
 
-// A task's start was refused or its end isn't known, and the slot is handed to
-// the next task at once: users see a series of refused starts, or two tasks on
-// a worker that has room for one.
+// A start on a slot was refused, or it isn't known whether its task has ended. If the slot were used
+// again at once, a series of starts would be refused, or two tasks would run on a worker that has
+// room for one.
 func TestSlotIsUnusableDuringCooldown(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool("c", "hinckley")
@@ -106,9 +106,8 @@
 	g.Expect(p.Idle(hollowell)).To(Equal(1))
 }
 
-// A borrowed slot's task was lost on a silent connection when the loan ends. Given
-// back at once, the lender would start a second task beside the first, which
-// may still be running.
+// A task on a borrowed slot was lost on a silent connection when the loan ends, and may still be
+// running. If the slot were returned at once, the lender would start a second task beside it.
 func TestBorrowedSlotOfALostTaskIsReturnedAfterCooldown(t *testing.T) {
 	g := NewWithT(t)
 	lender, borrower := NewPool("a", "melton"), NewPool("c", "hinckley")
@@ -125,9 +124,8 @@
 	g.Expect(borrower.Returns(run("a"))).To(Equal([]Return{{7, []task.Slot{s}}}))
 }
 
-// A loan runs out on the lender's clock, the slot is lent again, and then the
-// first borrower's return arrives. Taken for the second loan's, it would let
-// the lender start a task beside the second borrower's.
+// A loan expires by the lender's clock, the slot is lent again, and then the first borrower's return
+// arrives. If it ended the second loan, the lender would start a task beside the second borrower's.
 func TestReturnOfAnExpiredLoanIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	lender := NewPool("a", "melton")
@@ -141,9 +139,9 @@
 	g.Expect(lender.Idle(hollowell)).To(BeZero())
 }
 
-// The list reaches one node later than the others, and a slot that it has on
-// loan passes to a node that knows nothing of the loan. Callers see refused
-// starts until the borrower has the list as well.
+// One node gets the member list later than the others, and a slot that it has borrowed passes to a
+// node that doesn't know of the loan. Starts on the slot are refused until the borrower has the list
+// too.
 func TestLoanEndsWhenTheSlotPassesToAnotherNode(t *testing.T) {
 	g := NewWithT(t)
 	lender, borrower := NewPool("a", "melton"), NewPool("c", "hinckley")
