--- a/core/heap/heap.go
+++ b/core/heap/heap.go
@@ -1,21 +1,20 @@
-// Package heap is a binary heap of elements that know their position, so that
-// one whose order has changed is moved, or dropped, in logarithmic time.
-// Nothing is allocated but the slice.
+// Package heap implements a binary heap whose elements store their position, so that an element whose
+// order has changed can be moved or removed in logarithmic time. It allocates nothing but the slice.
 package heap
 
 // Absent is the position of an element that isn't in a heap.
 const Absent = -1
 
-// Item is an element. Its position is Absent at first and belongs to the heap.
+// Item is an element of a heap. Its position must be Absent initially, and is changed by the heap only.
 type Item[T any] interface {
 	comparable
-	// Before says whether the element comes out before another.
+	// Before reports whether the element comes before another one.
 	Before(T) bool
-	// Position is where the heap keeps the element's position.
+	// Position points to the element's position.
 	Position() *int
 }
 
-// Put inserts an element, or restores the order after its change.
+// Put inserts an element, or restores the order after the element has changed.
 func Put[T Item[T]](h []T, e T) []T {
 	p := e.Position()
 	if *p == Absent {
@@ -28,7 +27,7 @@
 	return h
 }
 
-// Drop removes an element if it is there.
+// Drop removes an element if it is in the heap.
 func Drop[T Item[T]](h []T, e T) []T {
 	i := *e.Position()
 	if i == Absent {
--- a/core/queue/heap.go
+++ b/core/queue/heap.go
@@ -2,7 +2,7 @@
 
 import "sapphirepoint.example/sapphirepoint/core/heap"
 
-// Before is the order of service of two jobs.
+// Before orders jobs by priority and then by rank.
 func (e *queuedJob) Before(o *queuedJob) bool {
 	if e.job.Priority != o.job.Priority {
 		return e.job.Priority > o.job.Priority
@@ -15,7 +15,7 @@
 
 func (e *queuedJob) Position() *int { return &e.heapIndex }
 
-// Before is the order of two teams: that of their first jobs.
+// Before orders teams by their first jobs.
 func (t *team) Before(o *team) bool { return t.jobHeap[0].Before(o.jobHeap[0]) }
 
 func (t *team) Position() *int { return &t.heapIndex }
@@ -29,9 +29,8 @@
 	inst.teamHeap = heap.Put(inst.teamHeap, t)
 }
 
-// firstAllowed finds the first team that allow accepts among those from a
-// position down. Only what stands below teams that aren't accepted is looked
-// at.
+// firstAllowed returns the first team for which allow returns true, in the subheap at index i. It
+// descends only below teams that aren't allowed.
 func (inst *institution) firstAllowed(i int, allow func(string) bool) *team {
 	if i >= len(inst.teamHeap) {
 		return nil
--- a/core/queue/late.go
+++ b/core/queue/late.go
@@ -6,32 +6,32 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// maxLateScan bounds the waiting tasks that CountLate looks at.
+// maxLateScan limits the number of waiting tasks that CountLate examines.
 const maxLateScan = 64
 
-// LatenessCriteria says which waiting tasks count as late.
+// LatenessCriteria defines which waiting tasks count as late.
 type LatenessCriteria struct {
-	// StartInterval is the expected time between two starts.
+	// StartInterval is the expected time between two task starts.
 	StartInterval time.Duration
-	// Tolerance is how long a task may hold up the answer of a job whose
-	// longest task takes TypicalRunTime, and longer for a longer job in proportion.
+	// Tolerance is how long a task may delay the result of a job whose longest task runs for
+	// TypicalRunTime. For other jobs it is proportional to the longest task's run time.
 	Tolerance      time.Duration
 	TypicalRunTime time.Duration
-	// MaxSlack bounds how much longer a task may wait because it is declared
-	// shorter than the longest of its job. Declared times are often wrong: a
-	// task that waits because it is declared short may prove the longest.
+	// MaxSlack limits the slack that a task has because it is declared shorter than the longest
+	// task of its job. Declared times are often wrong: a task that waits because it is declared
+	// short may turn out to be the longest.
 	MaxSlack time.Duration
 }
 
-// CountLate counts the waiting tasks of an institution that are expected to start
-// later than they should by more than the tolerance, were the institution's
-// slots to come free one after the other. It looks at the first tasks only.
+// CountLate counts the waiting tasks of an institution that are expected to start too late by more
+// than the tolerance, assuming that one task starts per StartInterval. It examines the first
+// maxLateScan tasks only.
 func (q *Queue) CountLate(now task.Time, institution string, d LatenessCriteria) int {
 	inst := q.institutions[institution]
 	if inst == nil {
 		return 0
 	}
-	s := latenessScan{now: now, demand: d}
+	s := latenessScan{now: now, criteria: d}
 	for _, t := range inst.teamHeap {
 		for _, e := range t.jobHeap {
 			s.addJob(e)
@@ -43,20 +43,20 @@
 	return s.late
 }
 
-// latenessScan is one count of late tasks.
+// latenessScan is the state of one call of CountLate.
 type latenessScan struct {
-	now     task.Time
-	demand  LatenessCriteria
-	scanned int
-	late    int
+	now      task.Time
+	criteria LatenessCriteria
+	scanned  int
+	late     int
 }
 
 func (s *latenessScan) addJob(e *queuedJob) {
-	tolerance := time.Duration(float64(s.demand.Tolerance) * float64(e.longest) / float64(s.demand.TypicalRunTime))
+	tolerance := time.Duration(float64(s.criteria.Tolerance) * float64(e.longest) / float64(s.criteria.TypicalRunTime))
 	for i := len(e.waiting) - 1; i >= 0 && s.scanned < maxLateScan; i-- {
 		s.scanned++
-		start := s.now + time.Duration(s.scanned)*s.demand.StartInterval
-		slack := min(e.longest-e.job.RunTimes[e.waiting[i]], s.demand.MaxSlack)
+		start := s.now + time.Duration(s.scanned)*s.criteria.StartInterval
+		slack := min(e.longest-e.job.RunTimes[e.waiting[i]], s.criteria.MaxSlack)
 		if start <= e.job.Arrived+slack+tolerance {
 			return
 		}
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -1,14 +1,14 @@
 // Package queue orders the tasks that wait for a slot.
 //
-// Priority goes first. Within a priority each task has a rank, the time by
-// which it has to start: for the longest task of a job that is the arrival of
-// the job, for a shorter one as much later as it is shorter, because it can
-// wait without holding up the answer. Longer jobs are ranked later by a part of
-// their length, since the same wait is a smaller part of their response. A
-// rank never passes the last moment that leaves time before the deadline.
+// Tasks of higher priority come first. Within a priority, tasks are ordered by rank, the time by
+// which a task should start. The longest task of a job is ranked at the job's arrival. A shorter task
+// has slack: it can start later by the difference in length without delaying the job's result, and
+// is ranked later by it. All tasks of a job are ranked later by a fraction of the longest one's run
+// time, since the same wait is a smaller fraction of a long job's response time. A rank is at most
+// the deadline minus the run time of the longest task.
 //
-// Ranks are fixed when a job is added, so a job is overtaken only by jobs that
-// arrive within a span in proportion to its own length: none starves.
+// Ranks don't depend on the present time, so a job can be overtaken only by jobs that arrive within a
+// period proportional to its own length. No job starves.
 package queue
 
 import (
@@ -19,67 +19,66 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// DefaultRunTime is the expected run time of a task of which nothing is known.
+// DefaultRunTime is the expected run time of a task without any other estimate.
 const DefaultRunTime = 200 * time.Millisecond
 
-// JobID numbers the jobs of one incarnation.
+// JobID identifies a job within one incarnation of a process.
 type JobID uint64
 
-// Job is what the order depends on.
+// Job holds the properties of a job on which the order depends.
 type Job struct {
 	ID          JobID
 	Institution string
 	Team        string
-	// Priority: higher is served first.
+	// Priority is the job's priority; a higher one is served first.
 	Priority uint32
 	Arrived  task.Time
 	Deadline task.Time
-	// RunTimes is the expected run time of each task.
+	// RunTimes holds the expected run time of each task.
 	RunTimes []task.Time
 }
 
-// Ref names one task of a job.
+// Ref identifies a task of a job.
 type Ref struct {
 	Job   JobID
 	Index int
 }
 
-// Order sets how ranks are worked out.
+// Order configures the computation of ranks.
 type Order struct {
-	// LengthPercent is the part of a job's longest task by which its rank is
-	// put back, in percent.
+	// LengthPercent is the percentage of the longest task's run time by which the ranks of a job
+	// are later.
 	LengthPercent int
-	// SlackPercent is the part of a task's slack by which it is put back, in
-	// percent.
+	// SlackPercent is the percentage of a task's slack by which its rank is later.
 	SlackPercent int
 	// FIFO ranks all tasks of a job by its arrival alone.
 	FIFO bool
 }
 
-// DefaultOrder is the order that measured best; see docs/design/placement.md.
+// DefaultOrder performed best in the comparison in docs/design/placement.md.
 var DefaultOrder = Order{LengthPercent: 100, SlackPercent: 100}
 
-// queuedJob is a job that has waiting tasks, or may have some again.
+// queuedJob is a job with waiting tasks, or one whose tasks may be requeued.
 type queuedJob struct {
 	job     Job
 	longest task.Time
-	// waiting are the indexes of waiting tasks, the longest last.
+	// waiting holds the indexes of the waiting tasks, the longest last.
 	waiting []int32
 	held    bool
 	team    *team
-	// heapIndex is the position in the team's heap, -1 if it isn't there.
+	// heapIndex is the position in the team's heap, heap.Absent if it isn't in there.
 	heapIndex int
-	// rank is that of the next waiting task.
+	// rank is the rank of the next waiting task.
 	rank task.Time
 }
 
 // team holds the jobs of one team of an institution.
 type team struct {
 	name string
-	// jobCount counts the team's jobs, those without waiting tasks included.
+	// jobCount is the number of the team's jobs, including those without waiting tasks.
 	jobCount int
 	jobHeap  []*queuedJob
-	// heapIndex is the position in the institution's heap, -1 if it isn't there.
+	// heapIndex is the position in the institution's heap, heap.Absent if it isn't in there.
 	heapIndex int
 }
 
@@ -91,20 +90,20 @@
 	runTime     task.Time
 }
 
-// Queue holds waiting tasks for each institution. Adding, taking and dropping
-// cost the logarithm of the jobs and teams that wait.
+// Queue holds the waiting tasks of all institutions. Adding, taking and removing take time
+// logarithmic in the number of waiting jobs and teams.
 type Queue struct {
 	order        Order
 	jobs         map[JobID]*queuedJob
 	institutions map[string]*institution
 }
 
-// New returns an empty queue with the default order.
+// New returns an empty queue with DefaultOrder.
 func New() *Queue {
 	return NewWithOrder(DefaultOrder)
 }
 
-// NewWithOrder returns an empty queue with an order.
+// NewWithOrder returns an empty queue with a given order.
 func NewWithOrder(o Order) *Queue {
 	return &Queue{
 		order:        o,
@@ -163,12 +162,12 @@
 	return int(b) - int(a)
 }
 
-// nextTask is the waiting task to be served first.
+// nextTask returns the index of the waiting task to be served first.
 func (e *queuedJob) nextTask() int {
 	return int(e.waiting[len(e.waiting)-1])
 }
 
-// latestStart is the latest start of a task that doesn't hold up its job's answer.
+// latestStart returns the latest start of a task that doesn't delay its job's result.
 func (e *queuedJob) latestStart(index int) task.Time {
 	return e.job.Arrived + e.longest - e.job.RunTimes[index]
 }
@@ -182,7 +181,7 @@
 	return min(r, e.job.Deadline-e.longest)
 }
 
-// update puts a job where it belongs after a change.
+// update moves a job to its place in the heaps after a change.
 func (q *Queue) update(inst *institution, e *queuedJob) {
 	t := e.team
 	if e.held || len(e.waiting) == 0 {
@@ -194,7 +193,7 @@
 	inst.updateTeam(t)
 }
 
-// Hold keeps a job's tasks from being served until it is released.
+// Hold stops or resumes the serving of a job's tasks.
 func (q *Queue) Hold(id JobID, held bool) {
 	e := q.jobs[id]
 	if e == nil || e.held == held {
@@ -204,8 +203,8 @@
 	q.update(q.institutions[e.job.Institution], e)
 }
 
-// Next takes the task to be served next for an institution, from the teams
-// that allow accepts; nil accepts all.
+// Next takes the first waiting task of an institution, from the teams for which allow returns true;
+// nil allows all teams.
 func (q *Queue) Next(_ task.Time, institution string, allow func(team string) bool) (Ref, bool) {
 	inst := q.institutions[institution]
 	if inst == nil {
@@ -224,7 +223,7 @@
 	return Ref{e.job.ID, index}, true
 }
 
-// Requeue puts back a task that never ran.
+// Requeue puts back a task that was taken but never ran.
 func (q *Queue) Requeue(r Ref) {
 	e := q.jobs[r.Job]
 	if e == nil {
@@ -241,7 +240,7 @@
 	q.update(inst, e)
 }
 
-// Remove drops a job with all its waiting tasks.
+// Remove removes a job and its waiting tasks.
 func (q *Queue) Remove(id JobID) {
 	e := q.jobs[id]
 	if e == nil {
@@ -261,7 +260,7 @@
 	}
 }
 
-// Tasks is the number of waiting tasks of an institution.
+// Tasks returns the number of waiting tasks of an institution.
 func (q *Queue) Tasks(institution string) int {
 	inst := q.institutions[institution]
 	if inst == nil {
@@ -270,7 +269,7 @@
 	return inst.tasks
 }
 
-// Work is the expected run time of all waiting tasks of an institution.
+// Work returns the total expected run time of an institution's waiting tasks.
 func (q *Queue) Work(institution string) task.Time {
 	inst := q.institutions[institution]
 	if inst == nil {
@@ -279,7 +278,7 @@
 	return inst.runTime
 }
 
-// Jobs is the number of jobs held.
+// Jobs returns the number of jobs in the queue.
 func (q *Queue) Jobs() int {
 	return len(q.jobs)
 }
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// A team has used up its quota while others wait behind it. Were the queue to
-// stop at its first job, the other teams' labels would be held up as well.
+// A team has used up its quota while tasks of other teams wait behind its job. If the queue stopped
+// at that job, the other teams would be delayed as well.
 func TestTeamWithoutQuotaIsPassedOver(t *testing.T) {
 	g := NewWithT(t)
 	q := New()
@@ -86,8 +86,8 @@
 	g.Expect(ok).To(BeFalse())
 }
 
-// Short jobs keep arriving faster than they are served. Without a bound on how
-// far they go ahead, a long job that came first would never start.
+// Short jobs arrive faster than they are served. Without a limit on how far they can overtake, a long
+// job that arrived first would never start.
 func TestLongJobIsNotStarved(t *testing.T) {
 	g := NewWithT(t)
 	q := New()
@@ -104,8 +104,8 @@
 	t.Fatal("the long job never started")
 }
 
-// Over any order of calls each waiting task is served once, none of a held or
-// removed job is, and what comes out is never ranked after what stays.
+// In any order of calls, each waiting task is served once, no task of a held or removed job is
+// served, and no served task has a later rank than one that stays waiting.
 func TestQueueAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New()
--- a/core/rendezvous/rendezvous.go
+++ b/core/rendezvous/rendezvous.go
@@ -1,18 +1,18 @@
-// Package rendezvous divides things among nodes by rendezvous (highest random
-// weight) hashing: every node that knows the same nodes comes to the same
-// owners, and a node that joins or leaves moves only its own share.
+// Package rendezvous assigns objects to nodes by rendezvous (highest random weight) hashing. All
+// processes with the same list of nodes compute the same owners. A node that joins or leaves changes
+// the owners of its own share of the objects only.
 package rendezvous
 
 import (
 	"github.com/cespare/xxhash/v2"
 )
 
-// stackBufferBytes is room for the names hashed without an allocation.
+// stackBufferBytes is the size of a key up to which hashing doesn't allocate.
 const stackBufferBytes = 128
 
-// Owner picks the node that owns one of the things of a name, told apart by an
-// index; "" if there are no nodes. Things whose indices are 65,536 apart share
-// their owner.
+// Owner returns the node that owns an object, identified by a name and an index, or "" if there are no
+// nodes. Only the low 16 bits of the index count: objects of a name whose indexes are 65,536 apart
+// have the same owner.
 func Owner(nodes []string, name string, index uint32) string {
 	var best string
 	var bestScore uint64
@@ -24,8 +24,7 @@
 	return best
 }
 
-// Score is a node's weight for one of the things of a name; the highest owns
-// it.
+// Score returns the weight of a node for an object. The node with the highest weight owns the object.
 func Score(node, name string, index uint32) uint64 {
 	var buf [stackBufferBytes]byte
 	b := append(buf[:0], node...)
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry limits how many task starts may be retries and spaces them
-// out, so that a failing upstream doesn't multiply the load on the others.
+// Package retry limits the fraction of task starts that are retries and delays them, so that a
+// failing upstream doesn't multiply the load on the others.
 package retry
 
 import (
@@ -11,25 +11,24 @@
 )
 
 const (
-	// BaseDelay is the delay before the first retry of a task.
+	// BaseDelay is the upper limit of the delay before the first retry of a task.
 	BaseDelay = 2 * time.Millisecond
-	// MaxDelay bounds the back-off before any retry; a spent budget may make
-	// the wait longer.
+	// MaxDelay limits the backoff before any retry. A retry beyond the budget may wait longer.
 	MaxDelay = 500 * time.Millisecond
-	// Burst is the number of retries an institution's budget holds at most,
-	// and at first; Rate is how many a second it gains without any start, so
-	// that work goes on after an outage.
+	// Burst is the largest and the initial number of retries in an institution's budget. Rate is
+	// the number that it gains per second without any task start, so that tasks are retried
+	// after an outage.
 	Burst = 20
 	Rate  = 10
-	// upstreamBurst and upstreamRate are the same for one upstream.
+	// upstreamBurst and upstreamRate are the corresponding values of an upstream's budget.
 	upstreamBurst = 8
 	upstreamRate  = 1
-	// percent is the unit in which ratios are declared.
+	// percent converts declared percentages to ratios.
 	percent = 100
 )
 
-// Budget allows a number of retries in proportion to first starts, and a few a
-// second besides.
+// Budget is a token bucket of retries. It gains a fraction of a retry with each first start, and some
+// retries per second.
 type Budget struct {
 	tokens     float64
 	ratio      float64
@@ -38,7 +37,7 @@
 	refilledAt task.Time
 }
 
-// NewBudget returns a budget of the given retries for each hundred starts.
+// NewBudget returns an institution's budget of retryPercent retries per hundred first starts.
 func NewBudget(retryPercent uint32) *Budget {
 	return &Budget{tokens: Burst, ratio: float64(retryPercent) / percent, maxTokens: Burst, rate: Rate}
 }
@@ -47,7 +46,7 @@
 	return &Budget{tokens: upstreamBurst, ratio: ratio, maxTokens: upstreamBurst, rate: upstreamRate}
 }
 
-// SetPercent changes the ratio from now on.
+// SetPercent changes the ratio of retries to first starts.
 func (b *Budget) SetPercent(retryPercent uint32) {
 	b.ratio = float64(retryPercent) / percent
 }
@@ -64,9 +63,9 @@
 	}
 }
 
-// Reserve takes one retry and returns how long it has to wait for it. Retries
-// beyond the budget wait in line for what it gains, so that a task whose
-// upstreams all refuse doesn't spin.
+// Reserve takes one retry and returns the time until the budget covers it. Retries beyond the budget
+// wait for what it gains, one after the other, so that a task refused by all its upstreams isn't
+// retried in a tight loop.
 func (b *Budget) Reserve(now task.Time) time.Duration {
 	b.refill(now)
 	b.tokens--
@@ -76,12 +75,12 @@
 	return time.Duration(-b.tokens / b.rate * float64(time.Second))
 }
 
-// Cancel gives back a retry that was reserved and won't be made.
+// Cancel returns a reserved retry that won't be made.
 func (b *Budget) Cancel() {
 	b.tokens++
 }
 
-// Take spends one retry if there is one.
+// Take takes one retry if the budget has one.
 func (b *Budget) Take(now task.Time) bool {
 	b.refill(now)
 	if b.tokens < 1 {
@@ -91,19 +90,20 @@
 	return true
 }
 
-// Remaining is the number of retries the budget holds; below 0, so many wait.
+// Remaining returns the number of retries in the budget. A negative value is the number of reserved
+// retries that it doesn't cover yet.
 func (b *Budget) Remaining() float64 {
 	return b.tokens
 }
 
-// Budgets is the budgets of all institutions and upstreams.
+// Budgets holds the budgets of all institutions and upstreams.
 type Budgets struct {
 	rng          *rand.Rand
 	institutions map[string]*Budget
 	upstreams    map[string]*Budget
 }
 
-// NewBudgets returns no budgets; the random source jitters delays.
+// NewBudgets returns an empty set of budgets. rng supplies the jitter of delays.
 func NewBudgets(rng *rand.Rand) *Budgets {
 	return &Budgets{
 		rng:          rng,
@@ -112,14 +112,14 @@
 	}
 }
 
-// ApplySettings takes the declared ratios.
+// ApplySettings applies the declared retry percentages.
 func (b *Budgets) ApplySettings(s *pb.Settings) {
 	for _, inst := range s.GetInstitutions() {
 		b.institution(inst.GetName()).SetPercent(inst.GetRetryPercent())
 	}
 }
 
-// SetMembers forgets upstreams that aren't listed any more.
+// SetMembers drops the budgets of upstreams that aren't in the list.
 func (b *Budgets) SetMembers(list []task.Upstream) {
 	listed := make(map[string]bool, len(list))
 	for _, u := range list {
@@ -157,19 +157,18 @@
 	b.upstream(upstream, budget.ratio).Started()
 }
 
-// Retry is the answer to a wish to start a task again.
+// Retry is the decision on a retry.
 type Retry struct {
-	// Delay is how long to wait. If it can't be made in time, OK is false.
+	// Delay is the time to wait before the retry. OK is false if the retry would be too late.
 	Delay time.Duration
 	OK    bool
-	// UpstreamExhausted says that the upstream has caused more retries than its
-	// budget holds, and should be left alone.
+	// UpstreamExhausted: the upstream has caused more retries than its budget allows, and should
+	// get no tasks for a while.
 	UpstreamExhausted bool
 }
 
-// Next decides on the retry of a task that an upstream hasn't started. Attempt
-// is the number of its starts that came to nothing, and deadline the latest
-// time at which it is worth starting.
+// Next decides on the retry of a task whose start an upstream didn't carry out. attempt is the number
+// of its starts that failed, deadline the time before which the retry has to be made.
 func (b *Budgets) Next(now, deadline task.Time, institution, upstream string, attempt int) Retry {
 	budget := b.institution(institution)
 	r := Retry{UpstreamExhausted: !b.upstream(upstream, budget.ratio).Take(now)}
@@ -181,14 +180,14 @@
 	return r
 }
 
-// Remaining is what an institution's budget holds.
+// Remaining returns the number of retries in an institution's budget, see Budget.Remaining.
 func (b *Budgets) Remaining(institution string) float64 {
 	return b.institution(institution).Remaining()
 }
 
-// Delay is the jittered exponential back-off before retry number attempt,
-// counted from 0. Jitter is over half of the span, so that tasks refused at
-// the same moment don't come back at the same moment.
+// Delay returns the exponential backoff with jitter before retry number attempt, counted from 0. The
+// jitter covers half of the delay, so that tasks refused at the same time aren't retried at the same
+// time.
 func Delay(rng *rand.Rand, attempt int) task.Time {
 	limit := MaxDelay
 	if attempt < 8 {
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -25,10 +25,10 @@
 	return b
 }
 
-// Every upstream refuses and thousands of tasks come back again and again. The
-// refusals would crowd out the work of those that still run. However starts
-// and refusals fall, the retries made by any time are bounded by the declared
-// part of the first starts, a burst, and a few a second.
+// All upstreams refuse, and thousands of tasks are retried again and again. Without a limit, the
+// retries would displace the tasks of upstreams that still work. In any order of starts and refusals,
+// the retries made by any time are at most the declared fraction of the first starts, plus a burst
+// and a few per second.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		percent := rapid.Uint32Range(0, 50).Draw(rt, "percent")
@@ -66,9 +66,8 @@
 	})
 }
 
-// One upstream refuses whatever it is given. Its own budget must be spent long
-// before the institution's, so that it is left alone and the retries of other
-// upstreams' tasks go on.
+// One upstream refuses every start. Its own budget must be used up long before the institution's, so
+// that it gets no more tasks and the retries of other upstreams' tasks go on.
 func TestUpstreamThatCausesRetriesIsSpentFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := budgets(10)
@@ -82,9 +81,8 @@
 	g.Expect(other.Delay).To(gomega.BeNumerically("<=", retry.BaseDelay))
 }
 
-// An outage has used the budget up and no task has started since. When the
-// upstreams are back, the waiting tasks must get their retries though no first
-// start has earned any.
+// An outage has used up the budget, and no task has started since. When the upstreams work again, the
+// waiting tasks must be retried although no first start has credited the budget.
 func TestSpentBudgetRecoversWithoutStarts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := budgets(0)
