--- a/core/admission/members.go
+++ b/core/admission/members.go
@@ -68,7 +68,7 @@
 //
 // A process that is disconnected from the platform doesn't learn that it was removed from the list
 // and its units were reassigned. It stops using them when its last reading is older than
-// MaxListAge. The new owners wait for remainderWait and the longest task, unless all processes have
+// MaxListAge. The new owners wait for remainderWait plus maxTaskOverrun, unless all processes have
 // reported that they use the same list.
 func (q *Quotas) remainderUsable(now task.Time) bool {
 	if !q.list.known || now < q.floorUsableFrom || now-q.list.readAt >= MaxListAge {
@@ -84,7 +84,7 @@
 	if !q.list.known || len(q.list.nodes) < q.entryVMs || q.list.agreed && q.noPredecessorLoans {
 		return
 	}
-	agreed, cleared := true, true
+	agreed, noneHeld := true, true
 	for _, name := range q.list.nodes {
 		if name == q.self.Node {
 			continue
@@ -97,10 +97,10 @@
 		// other nodes came in between: the peer may use that one now.
 		same := p.nodesHash == q.list.hash && p.listVersion >= q.list.nodesVersion
 		agreed = agreed && same && p.withinLimits
-		cleared = cleared && !p.holdsPredecessorLoans
+		noneHeld = noneHeld && !p.holdsPredecessorLoans
 	}
 	q.list.agreed = q.list.agreed || agreed
-	if cleared && !q.noPredecessorLoans {
+	if noneHeld && !q.noPredecessorLoans {
 		q.noPredecessorLoans = true
 		q.floorUsableFrom = min(q.floorUsableFrom, now)
 	}
--- a/core/admission/quota.go
+++ b/core/admission/quota.go
@@ -41,8 +41,8 @@
 type loan struct {
 	units  int
 	serial uint64
-	// until is when the loan expires. The borrower stops using the units then; the lender's
-	// value is at least as late.
+	// until is when the loan expires. The borrower stops using the units then. The lender's value
+	// is a time by which the borrower must have stopped.
 	until task.Time
 }
 
@@ -53,10 +53,13 @@
 	// floor is the number of units that this process owns whether or not it is listed,
 	// remainder the number that the platform's member list assigns to it.
 	floor, remainder int
-	held, peak       int
-	lent             int
-	blocked          bool
-	requested        int
+	// held is the number of units in use, peak the largest number since the last Tick.
+	held, peak int
+	lent       int
+	// blocked: a task start was refused since the last Tick.
+	blocked bool
+	// requested is the number of units requested of the peers.
+	requested int
 	// slots is the number of slots of the institution's listed upstreams. A limit at or above
 	// that number can't be exceeded and needs no sharing.
 	slots    int
@@ -87,17 +90,19 @@
 	serial         uint64
 	// floorUsableFrom is when all units lent by a former run of this node must have been
 	// returned.
-	floorUsableFrom    task.Time
+	floorUsableFrom task.Time
+	// noPredecessorLoans: no peer holds such units any more.
 	noPredecessorLoans bool
 }
 
 // quotaPeer is the latest status received from a connected process.
 type quotaPeer struct {
-	clockMs               uint64
-	listVersion           uint64
-	nodesHash             uint64
-	withinLimits          bool
-	statusReceived        bool
+	clockMs        uint64
+	listVersion    uint64
+	nodesHash      uint64
+	withinLimits   bool
+	statusReceived bool
+	// holdsPredecessorLoans: the process has borrowed units from a former run of this node.
 	holdsPredecessorLoans bool
 	// statusSentAt is when the last status was sent to the process.
 	statusSentAt task.Time
--- a/core/admission/quota_test.go
+++ b/core/admission/quota_test.go
@@ -75,8 +75,8 @@
 	maxDelay     time.Duration
 }
 
-func newWorld(seed uint64, maxLate time.Duration) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), scheduled: make(map[task.Time][]func()), maxDelay: maxLate}
+func newWorld(seed uint64, maxDelay time.Duration) *world {
+	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), scheduled: make(map[task.Time][]func()), maxDelay: maxDelay}
 	w.publish(nil)
 	for i := range w.nodes {
 		w.start(i)
@@ -87,13 +87,13 @@
 func nodeName(i int) string { return fmt.Sprintf("n%d", i) }
 
 func (w *world) publish(without []int) {
-	out := make(map[int]bool)
+	omitted := make(map[int]bool)
 	for _, i := range without {
-		out[i] = true
+		omitted[i] = true
 	}
 	l := publishedList{at: w.now}
 	for i := range nodeCount {
-		if !out[i] {
+		if !omitted[i] {
 			l.nodes = append(l.nodes, task.Node{Name: nodeName(i)})
 		}
 	}
@@ -124,13 +124,13 @@
 	b.q.PeerUp(a.self)
 }
 
-func (w *world) setDisconnected(i, j int, cut bool) {
-	if w.disconnected[i][j] == cut {
+func (w *world) setDisconnected(i, j int, disconnected bool) {
+	if w.disconnected[i][j] == disconnected {
 		return
 	}
-	w.disconnected[i][j], w.disconnected[j][i] = cut, cut
+	w.disconnected[i][j], w.disconnected[j][i] = disconnected, disconnected
 	a, b := w.nodes[i], w.nodes[j]
-	if cut {
+	if disconnected {
 		a.q.PeerDown(b.self)
 		b.q.PeerDown(a.self)
 		return
--- a/core/heap/heap.go
+++ b/core/heap/heap.go
@@ -1,11 +1,13 @@
-// Package heap implements a binary heap whose elements store their position, so that an element whose
-// order has changed can be moved or removed in logarithmic time. It allocates nothing but the slice.
+// Package heap implements a binary heap whose elements store their position, so that an element
+// whose order has changed can be moved or removed in logarithmic time. It allocates nothing but the
+// slice.
 package heap
 
 // Absent is the position of an element that isn't in a heap.
 const Absent = -1
 
-// Item is an element of a heap. Its position must be Absent initially, and is changed by the heap only.
+// Item is an element of a heap. Its position must be Absent initially, and is changed by the heap
+// only.
 type Item[T any] interface {
 	comparable
 	// Before reports whether the element comes before another one.
--- a/core/queue/bench_test.go
+++ b/core/queue/bench_test.go
@@ -8,8 +8,8 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// BenchmarkServe measures the serving of one task, with a number of jobs waiting. For every ten tasks
-// served, a job of ten tasks is added and about one is removed.
+// BenchmarkServe measures the serving of one task, with a number of jobs waiting. For every ten
+// tasks served, a job of ten tasks is added and about one is removed.
 func BenchmarkServe(b *testing.B) {
 	for _, jobs := range []int{10, 100, 1000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("jobs=%d", jobs), func(b *testing.B) {
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -1,14 +1,14 @@
 // Package queue orders the tasks that wait for a slot.
 //
 // Tasks of higher priority come first. Within a priority, tasks are ordered by rank, the time by
-// which a task should start. The longest task of a job is ranked at the job's arrival. A shorter task
-// has slack: it can start later by the difference in length without delaying the job's result, and
-// is ranked later by it. All tasks of a job are ranked later by a fraction of the longest one's run
-// time, since the same wait is a smaller fraction of a long job's response time. A rank is at most
-// the deadline minus the run time of the longest task.
+// which a task should start. The longest task of a job is ranked at the job's arrival. A shorter
+// task has slack: it can start later by the difference in length without delaying the job's result,
+// and is ranked later by it. All tasks of a job are ranked later by a fraction of the longest one's
+// run time, since the same wait is a smaller fraction of a long job's response time. A rank is at
+// most the deadline minus the run time of the longest task.
 //
-// Ranks don't depend on the present time, so a job can be overtaken only by jobs that arrive within a
-// period proportional to its own length. No job starves.
+// Ranks don't depend on the present time, so a job can be overtaken only by jobs that arrive within
+// a period proportional to its own length. No job starves.
 package queue
 
 import (
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -86,8 +86,8 @@
 	g.Expect(ok).To(BeFalse())
 }
 
-// Short jobs arrive faster than they are served. Without a limit on how far they can overtake, a long
-// job that arrived first would never start.
+// Short jobs arrive faster than they are served. Without a limit on how far they can overtake, a
+// long job that arrived first would never start.
 func TestLongJobIsNotStarved(t *testing.T) {
 	g := NewWithT(t)
 	q := New()
--- a/core/rendezvous/rendezvous.go
+++ b/core/rendezvous/rendezvous.go
@@ -10,9 +10,9 @@
 // stackBufferBytes is the size of a key up to which hashing doesn't allocate.
 const stackBufferBytes = 128
 
-// Owner returns the node that owns an object, identified by a name and an index, or "" if there are no
-// nodes. Only the low 16 bits of the index count: objects of a name whose indexes are 65,536 apart
-// have the same owner.
+// Owner returns the node that owns an object, identified by a name and an index, or "" if there are
+// no nodes. Only the low 16 bits of the index count: objects of a name whose indexes are 65,536
+// apart have the same owner.
 func Owner(nodes []string, name string, index uint32) string {
 	var best string
 	var bestScore uint64
@@ -24,7 +24,8 @@
 	return best
 }
 
-// Score returns the weight of a node for an object. The node with the highest weight owns the object.
+// Score returns the weight of a node for an object. The node with the highest weight owns the
+// object.
 func Score(node, name string, index uint32) uint64 {
 	var buf [stackBufferBytes]byte
 	b := append(buf[:0], node...)
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -27,8 +27,8 @@
 	percent = 100
 )
 
-// Budget is a token bucket of retries. It gains a fraction of a retry with each first start, and some
-// retries per second.
+// Budget is a token bucket of retries. It gains a fraction of a retry with each first start, and
+// some retries per second.
 type Budget struct {
 	tokens     float64
 	ratio      float64
@@ -167,8 +167,8 @@
 	UpstreamExhausted bool
 }
 
-// Next decides on the retry of a task whose start an upstream didn't carry out. attempt is the number
-// of its starts that failed, deadline the time before which the retry has to be made.
+// Next decides on the retry of a task whose start an upstream didn't carry out. attempt is the
+// number of its starts that failed, deadline the time before which the retry has to be made.
 func (b *Budgets) Next(now, deadline task.Time, institution, upstream string, attempt int) Retry {
 	budget := b.institution(institution)
 	r := Retry{UpstreamExhausted: !b.upstream(upstream, budget.ratio).Take(now)}
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -26,9 +26,9 @@
 }
 
 // All upstreams refuse, and thousands of tasks are retried again and again. Without a limit, the
-// retries would displace the tasks of upstreams that still work. In any order of starts and refusals,
-// the retries made by any time are at most the declared fraction of the first starts, plus a burst
-// and a few per second.
+// retries would displace the tasks of upstreams that still work. In any order of starts and
+// refusals, the retries made by any time are at most the declared fraction of the first starts,
+// plus a burst and a few per second.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		percent := rapid.Uint32Range(0, 50).Draw(rt, "percent")
@@ -81,8 +81,8 @@
 	g.Expect(other.Delay).To(gomega.BeNumerically("<=", retry.BaseDelay))
 }
 
-// An outage has used up the budget, and no task has started since. When the upstreams work again, the
-// waiting tasks must be retried although no first start has credited the budget.
+// An outage has used up the budget, and no task has started since. When the upstreams work again,
+// the waiting tasks must be retried although no first start has credited the budget.
 func TestSpentBudgetRecoversWithoutStarts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := budgets(0)
--- a/core/slots/loans.go
+++ b/core/slots/loans.go
@@ -71,8 +71,8 @@
 }
 
 // TakeBack ends the loan of a slot when the borrower returns it or the lender reclaims it. It
-// reports false if the slot isn't lent under that loan: it was returned or reclaimed before, or isn't
-// owned any more.
+// reports false if the slot isn't lent under that loan: it was returned or reclaimed before, or
+// isn't owned any more.
 func (p *Pool) TakeBack(s task.Slot, loan uint64) bool {
 	r := p.find(s)
 	if r == nil || r.state != lent || r.loan != loan {
@@ -164,8 +164,8 @@
 	}
 }
 
-// recall returns a slot as soon as it is idle. A task may still run on a slot in cooldown. If it were
-// returned early, the lender would start another task on it, which the upstream would refuse.
+// recall returns a slot as soon as it is idle. A task may still run on a slot in cooldown. If it
+// were returned early, the lender would start another task on it, which the upstream would refuse.
 func (p *Pool) recall(r *slotRecord) {
 	if r.state == idle {
 		p.returnSlot(r)
@@ -213,9 +213,9 @@
 	if l == nil {
 		return 0
 	}
-	low := l.borrowed.minCount
+	minCount := l.borrowed.minCount
 	if reset {
 		l.borrowed.minCount = l.borrowed.count
 	}
-	return low
+	return minCount
 }
