--- a/core/fleet/handover_test.go
+++ b/core/fleet/handover_test.go
@@ -14,16 +14,15 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// expectNothingAgain checks that no task was started more than once.
-func (w *world) expectNothingAgain(g *WithT, seed uint64) {
+// expectNoTaskStartedTwice checks that no task was started more than once.
+func (w *world) expectNoTaskStartedTwice(g *WithT, seed uint64) {
 	for id, j := range w.jobs {
 		g.Expect(j.starts).To(BeNumerically("<=", j.work.Tasks()), "seed %d: job %s", seed, id)
 	}
 }
 
-// The leader is stopped as planned, in the middle of jobs of which some tasks
-// have ended. The next one goes on with the rest: a label that was printed isn't
-// printed again.
+// The leader is stopped as planned while jobs run of which some tasks have ended. The next
+// leader must continue with the remaining tasks only.
 func TestPlannedStopRunsNothingAgain(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(20) {
@@ -32,14 +31,14 @@
 		w.run(1500 * time.Millisecond)
 		w.stop(w.leader())
 		w.run(4 * time.Second)
-		g.Expect(w.truth.broken).To(BeEmpty())
-		w.expectNothingAgain(g, seed)
+		g.Expect(w.checker.violations).To(BeEmpty())
+		w.expectNoTaskStartedTwice(g, seed)
 	}
 }
 
-// The VM of the leader that is stopped is so busy that its messages are 120 ms
-// late, the word on what has ended among them. The next leader waits for it,
-// however long it takes: a label that was printed isn't printed again.
+// The stopped leader's VM is so busy that its messages, the report of its progress among
+// them, are 120 ms late. The next leader must wait for that report, and must not run tasks
+// again that have ended.
 func TestPlannedStopOfABusyLeader(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(20) {
@@ -47,20 +46,19 @@
 		w.load(60, 3*time.Second)
 		w.run(1500 * time.Millisecond)
 		n := w.leader()
-		w.lag[n.name] = 120 * time.Millisecond
+		w.sendDelay[n.name] = 120 * time.Millisecond
 		w.stop(n)
 		w.run(4 * time.Second)
-		g.Expect(w.truth.broken).To(BeEmpty())
-		w.expectNothingAgain(g, seed)
+		g.Expect(w.checker.violations).To(BeEmpty())
+		w.expectNoTaskStartedTwice(g, seed)
 	}
 }
 
-// A deployment starts for the first time, and for some seconds nobody knows the
-// configuration or how the runners are divided. No process counts as alone then:
-// small VMs would all connect with each other, and their heartbeats take the
-// processor from callers for the rest of the day. Once all is known and no
-// scheduler is in reach, one does.
-func TestNobodyIsAloneBeforeTheStart(t *testing.T) {
+// A deployment starts for the first time, and for some seconds no process knows the
+// configuration or the layout. No process may widen the number of seats then: all small VMs
+// would connect with each other, and their heartbeats would take CPU from callers from then
+// on. Once everything is known and no scheduler is reachable, seats are widened.
+func TestSeatsAreNotWidenedBeforeTheConfigurationIsKnown(t *testing.T) {
 	g := NewWithT(t)
 	n := fleet.New(schedule.DefaultConfig(), grace, 400, 0)
 	n.Registered(0, "a#1", 1)
@@ -81,8 +79,8 @@
 	g.Expect(n.SeatDoublings()).To(BeNumerically(">", 0))
 }
 
-// Two processes tell each other that they live. One answers the heartbeat of the
-// other at once, so that they go in pairs, and neither sends more for that.
+// A process answers a heartbeat with its own at once, so that the heartbeats of two processes
+// go in pairs. The number of heartbeats must not grow by this.
 func TestHeartbeatsGoInPairs(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(1)
@@ -104,13 +102,13 @@
 	g.Expect(len(sent)).To(BeNumerically("~", 2*3*time.Second/leader.HeartbeatInterval, 4))
 	for i := 2; i+1 < len(sent); i += 2 {
 		pair, next := sent[i]-sent[i-1], sent[i+1]-sent[i]
-		g.Expect(min(pair, next)).To(BeNumerically("<=", 2*delay))
+		g.Expect(min(pair, next)).To(BeNumerically("<=", 2*messageDelay))
 	}
 }
 
-// A failure domain is cut off for some seconds, and each side has a leader. As the
-// cut heals, that of the domain takes no runner of the others: they are led, and
-// their jobs would be held up.
+// A failure domain is partitioned for some seconds, and each side has a leader. When the
+// partition heals, the domain's leader must not take runners of the other side: they have a
+// leader, and their jobs would be delayed.
 func TestNoRunnerIsTakenAsACutHeals(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(10) {
@@ -123,7 +121,7 @@
 			domain = "b"
 		}
 		w.cutOff(domain, 3*time.Second)
-		w.linkDelay = 300 * time.Millisecond
+		w.connectDelay = 300 * time.Millisecond
 		w.run(2900 * time.Millisecond)
 		taken := make(map[workload.RunnerID]uint64)
 		for _, r := range w.runners {
@@ -136,6 +134,6 @@
 			}
 		}
 		g.Expect(w.leader()).To(Equal(old))
-		g.Expect(w.truth.broken).To(BeEmpty())
+		g.Expect(w.checker.violations).To(BeEmpty())
 	}
 }
--- a/core/schedule/accept.go
+++ b/core/schedule/accept.go
@@ -7,17 +7,18 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Accepting stored jobs, and refusing them truthfully.
+// Acceptance and refusal of stored jobs. A caller is told that its job was refused only when it
+// is certain that no copy of the job runs.
 
-// submitStored takes a stored job, or another copy of one.
+// submitStored handles the submission of a stored job, which may be a copy of a known one.
 func (s *Scheduler) submitStored(sub Submission) {
 	id := sub.Job.ID
-	s.custody.askedAt = s.now
-	if !s.custody.loaded {
+	s.rows.lastRequestAt = s.now
+	if !s.rows.loaded {
 		s.submitEarly(sub)
 		return
 	}
-	if k, ok := s.custody.kept[id]; ok {
+	if k, ok := s.rows.retained[id]; ok {
 		s.submitEnded(sub, k)
 		return
 	}
@@ -29,8 +30,8 @@
 	j := newJob(sub.Job, s.now)
 	j.entry = sub.Entry
 	j.setDue(s.now, sub.RemainingObjective)
-	s.timed(j)
-	if !s.sure() {
+	s.updateDue(j)
+	if !s.ownsRows() {
 		s.answer(sub.Entry, id, workload.GaveUp, "another process may schedule")
 		return
 	}
@@ -38,27 +39,27 @@
 		s.refuse(Answer{Entry: sub.Entry, Job: id, Outcome: workload.NotRun, Reason: reason, RetryAfter: s.retryAfter(j)})
 		return
 	}
-	j.stored = &stored{epoch: s.custody.epoch, waiters: map[EntryID]Time{sub.Entry: s.now + sub.RemainingTimeout}}
+	j.stored = &stored{epoch: s.rows.epoch, waiters: map[EntryID]Time{sub.Entry: s.now + sub.RemainingTimeout}}
 	s.jobs[id] = j
-	s.custody.open++
+	s.rows.open++
 	s.save(j)
 }
 
-// submitEnded takes another copy of a job that has ended.
-func (s *Scheduler) submitEnded(sub Submission, k kept) {
+// submitEnded handles a copy of a job that has ended.
+func (s *Scheduler) submitEnded(sub Submission, k retained) {
 	id := sub.Job.ID
-	if k.saving > 0 || !s.sure() {
+	if k.saving > 0 || !s.ownsRows() {
 		s.answer(sub.Entry, id, workload.GaveUp, "the job's end is being written")
 		return
 	}
 	s.answer(sub.Entry, id, workload.Accepted, "known")
 	if k.state == ledger.CancelledEarly {
-		// From now on its caller may ask for it.
-		s.keepAndSave(id, ledger.Cancelled)
+		// From now on callers may query the job.
+		s.retainAndSave(id, ledger.Cancelled)
 	}
 }
 
-// submitAgain takes another copy of a job in hand.
+// submitAgain handles a copy of a job that hasn't ended.
 func (s *Scheduler) submitAgain(j *job, sub Submission) {
 	if j.stored == nil || j.stored.accepted {
 		s.answer(sub.Entry, j.work.ID, workload.Accepted, "known")
@@ -67,37 +68,39 @@
 	j.stored.waiters[sub.Entry] = s.now + sub.RemainingTimeout
 }
 
-// storedRefusal is the reason why a job isn't accepted; "" if it is. Nothing of
-// it has been written, so a refusal is true.
+// storedRefusal returns the reason why a job isn't accepted; "" if it is. No record of the job
+// has been written at that point, so the job can be refused safely.
 func (s *Scheduler) storedRefusal(j *job) string {
-	if s.custody.failingFor > storeTrouble {
+	if s.rows.failingFor > storeFailureThreshold {
 		return "the store doesn't answer"
 	}
 	reason, _ := s.refusal(j)
 	return reason
 }
 
-// refusal is one that waits until it is certain that it is true.
+// refusal is a refusal that is held back until it is certain that no other process has accepted
+// a copy of the job.
 type refusal struct {
 	answer Answer
 	since  Time
 }
 
-// refuse tells a caller that its job isn't accepted. If another process may have
-// accepted a copy of it, the ownership is proved first.
+// refuse refuses a job. If another process may have accepted a copy of it, the answer waits
+// until this process's ownership of the rows is proved.
 func (s *Scheduler) refuse(a Answer) {
-	s.custody.refusals = append(s.custody.refusals, refusal{answer: a, since: s.now})
-	s.settleRefusals()
+	s.rows.refusals = append(s.rows.refusals, refusal{answer: a, since: s.now})
+	s.resolveRefusals()
 }
 
-// settleRefusals gives the refusals that are certain, and those that can't be.
-func (s *Scheduler) settleRefusals() {
-	s.custody.refusals = slices.DeleteFunc(s.custody.refusals, func(r refusal) bool {
+// resolveRefusals sends the refusals that are certain. Those that stay uncertain for
+// refusalTimeout are sent as GaveUp.
+func (s *Scheduler) resolveRefusals() {
+	s.rows.refusals = slices.DeleteFunc(s.rows.refusals, func(r refusal) bool {
 		r.answer.At = s.now
 		switch {
-		case s.certain(r.since):
+		case s.knowsAllAccepted(r.since):
 			s.count(workload.NotRun)
-		case s.now-r.since > refusalWait:
+		case s.now-r.since > refusalTimeout:
 			r.answer.Outcome = workload.GaveUp
 			s.count(workload.GaveUp)
 		default:
@@ -108,60 +111,60 @@
 	})
 }
 
-// earlySubmission is one that came before the stored jobs were known.
+// earlySubmission is a submission that arrived before the stored jobs were loaded.
 type earlySubmission struct {
 	Submission
 	at Time
 }
 
-// submitEarly keeps a submission until it can be told whether the job is known.
+// submitEarly keeps a submission until the stored jobs are loaded.
 func (s *Scheduler) submitEarly(sub Submission) {
 	id := sub.Job.ID
-	if s.leading && s.custody.failingFor > storeTrouble {
+	if s.leading && s.rows.failingFor > storeFailureThreshold {
 		s.answer(sub.Entry, id, workload.GaveUp, "the store doesn't answer")
 		return
 	}
-	s.custody.early[id] = append(s.custody.early[id], earlySubmission{Submission: sub, at: s.now})
+	s.rows.early[id] = append(s.rows.early[id], earlySubmission{Submission: sub, at: s.now})
 }
 
-// dropEarly forgets the submissions of an entry process that has ended or is silent.
+// dropEarly drops the submissions of an entry process that has ended or is unreachable.
 func (s *Scheduler) dropEarly(entry EntryID) {
-	for _, id := range sortedKeys(s.custody.early) {
-		s.custody.early[id] = slices.DeleteFunc(s.custody.early[id], func(e earlySubmission) bool { return e.Entry == entry })
-		if len(s.custody.early[id]) == 0 {
-			delete(s.custody.early, id)
+	for _, id := range sortedKeys(s.rows.early) {
+		s.rows.early[id] = slices.DeleteFunc(s.rows.early[id], func(e earlySubmission) bool { return e.Entry == entry })
+		if len(s.rows.early[id]) == 0 {
+			delete(s.rows.early, id)
 		}
 	}
 }
 
-// expireEarly answers callers to whom nothing can be said.
+// expireEarly answers GaveUp to submissions that have waited too long for the stored jobs.
 func (s *Scheduler) expireEarly() {
-	for _, id := range sortedKeys(s.custody.early) {
-		rest := slices.DeleteFunc(s.custody.early[id], func(e earlySubmission) bool {
-			expired := s.now-e.at > min(limboWait, e.RemainingTimeout)
+	for _, id := range sortedKeys(s.rows.early) {
+		rest := slices.DeleteFunc(s.rows.early[id], func(e earlySubmission) bool {
+			expired := s.now-e.at > min(leadershipTimeout, e.RemainingTimeout)
 			if expired {
 				s.answer(e.Entry, id, workload.GaveUp, "the stored jobs couldn't be read")
 			}
 			return expired
 		})
-		if s.custody.early[id] = rest; len(rest) == 0 {
-			delete(s.custody.early, id)
+		if s.rows.early[id] = rest; len(rest) == 0 {
+			delete(s.rows.early, id)
 		}
 	}
 }
 
-// submitCopies decides on a job that has come once or more. If it is refused,
-// all copies are: a caller who was told that it doesn't run would see it run.
+// submitCopies decides on all early submissions of one job. If the first is refused all are:
+// otherwise a caller who was told that the job doesn't run would see it run.
 func (s *Scheduler) submitCopies(list []earlySubmission) {
 	id := list[0].Job.ID
 	s.submitStored(list[0].Submission)
-	_, known := s.custody.kept[id]
+	_, known := s.rows.retained[id]
 	known = known || s.jobs[id] != nil
 	for _, e := range list[1:] {
 		if known {
 			s.submitStored(e.Submission)
 			continue
 		}
-		s.refuse(Answer{Entry: e.Entry, Job: id, Outcome: workload.NotRun, Reason: "a copy was refused", RetryAfter: retryLeast})
+		s.refuse(Answer{Entry: e.Entry, Job: id, Outcome: workload.NotRun, Reason: "a copy was refused", RetryAfter: minRetryAfter})
 	}
 }
--- a/core/schedule/evacuation.go
+++ b/core/schedule/evacuation.go
@@ -6,14 +6,14 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Evacuated failure domains get no new tasks. What runs there goes on to its end: its
-// runners serve as before, and a run that is stopped would only come later.
+// Evacuated failure domains get no new tasks. Runs there go on to their end: their runners work as
+// before, and restarting a task elsewhere would only delay it.
 
-// SetEvacuated says which failure domains are evacuated.
+// SetEvacuated sets which failure domains are evacuated.
 func (s *Scheduler) SetEvacuated(now Time, domains []string) {
 	s.now = now
 	s.evacuated = domains
-	for _, r := range s.list {
+	for _, r := range s.runnerList {
 		r.evacuated = s.evacuates(r.info.Domain)
 	}
 	s.refuseEvacuated()
@@ -22,39 +22,38 @@
 
 func (s *Scheduler) evacuates(domain string) bool { return slices.Contains(s.evacuated, domain) }
 
-// closed reports whether all runners of a service are in evacuated domains.
-func (s *Scheduler) closed(service string) bool {
+// allEvacuated reports whether all runners of a service are in evacuated domains.
+func (s *Scheduler) allEvacuated(service string) bool {
 	if len(s.evacuated) == 0 {
 		return false
 	}
-	some := false
-	for _, r := range s.list {
+	hasRunners := false
+	for _, r := range s.runnerList {
 		if r.info.Service != service || r.gone {
 			continue
 		}
 		if !r.evacuated {
 			return false
 		}
-		some = true
+		hasRunners = true
 	}
-	return some
+	return hasRunners
 }
 
 const evacuatedReason = "all runners are in evacuated failure domains"
 
-// refuseEvacuated ends the jobs of which nothing runs and nothing can be started any
-// more: their callers learn that at once. Of those that are held back it isn't known yet
-// what runs.
+// refuseEvacuated refuses jobs that have no run and can't be started any more, so that their
+// callers learn it at once. Jobs that are held back are left alone: their runs aren't known yet.
 func (s *Scheduler) refuseEvacuated() {
 	if len(s.evacuated) == 0 || !s.leading {
 		return
 	}
-	closed := make(map[string]bool)
+	allEvacuated := make(map[string]bool)
 	for _, service := range s.queuedServices() {
-		closed[service] = s.closed(service)
+		allEvacuated[service] = s.allEvacuated(service)
 	}
-	for _, j := range s.jobsInOrder() {
-		if j.stored == nil && closed[j.work.Service] && j.idle() && !s.heldBack(j) {
+	for _, j := range s.sortedJobs() {
+		if j.stored == nil && allEvacuated[j.work.Service] && j.idle() && !s.heldBack(j) {
 			j.noRoom = !j.started
 			s.finish(j, workload.NotRun, evacuatedReason)
 		}
--- /dev/null
+++ b/core/schedule/incarnation.go
@@ -0,0 +1,65 @@
+package schedule
+
+import "time"
+
+// A runner may restart under the same id. Its new incarnation has no memory of the previous one:
+// earlier runs have ended without being listed, and its clock, its sequence of ends and the
+// tokens that it has seen start anew. Its answers contain the start time of the incarnation.
+
+// checkIncarnation reports whether an answer comes from the known incarnation of a runner. An
+// answer of a later one begins that incarnation; an answer of an earlier one is late. Nothing
+// else in either may be used.
+func (s *Scheduler) checkIncarnation(r *runner, born int64) bool {
+	switch {
+	case born == 0 || born == r.born:
+		return true
+	case r.born == 0:
+		r.born = born
+		return true
+	case born > r.born:
+		s.beginIncarnation(r, born)
+	}
+	return false
+}
+
+// startConfirmTime is within what time runners usually confirm a start; runs take longer.
+const startConfirmTime = 5 * time.Millisecond
+
+// ackCursor returns the sequence up to which the runner is told to forget ends. It is 0 while a
+// start has stayed unconfirmed for long: the runner may have restarted, carried the start out, and
+// given the end of that run the sequence of an end recorded before.
+func (r *runner) ackCursor(now Time) uint64 {
+	for _, u := range r.runs {
+		if !u.confirmed && now-u.started >= startConfirmTime {
+			return 0
+		}
+	}
+	return r.acknowledged
+}
+
+// beginIncarnation handles the restart of a runner. A start that was unconfirmed or sent twice may
+// still arrive at the new incarnation, so its task waits until the runner lists its runs or the
+// lease must have expired. Orders from before the restart that arrive later still have a lower
+// token.
+func (s *Scheduler) beginIncarnation(r *runner, born int64) {
+	s.emit(Decision{Event: "runner-restarted", Runner: r.info.ID, Token: r.token, Age: s.now - r.clockAt})
+	runs := r.sortedRuns()
+	held := r.token != 0
+	r.release()
+	r.born = born
+	r.clock, r.clockAt, r.aliveUntil, r.noLeaseUntil = 0, 0, 0, 0
+	r.health = newHealth()
+	for _, u := range runs {
+		if u.task == nil {
+			continue
+		}
+		if !u.confirmed || u.startAttempts > 1 {
+			u.task.notBefore = s.now + maxRunLife(maxLease)
+		}
+		s.requeue(u.task)
+	}
+	if held && s.leading {
+		s.term++
+		s.acquire(r)
+	}
+}
--- /dev/null
+++ b/core/schedule/incarnation_test.go
@@ -0,0 +1,128 @@
+package schedule
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/onsi/gomega"
+
+	"sapphirepoint.example/sapphirepoint/core/workload"
+)
+
+const (
+	firstIncarnation  = 1_760_000_000_000
+	secondIncarnation = firstIncarnation + 5000
+)
+
+// incarnationClock is a clock reading of an incarnation whose clock began at the time since.
+func (b *harness) incarnationClock(born int64, since Time) ClockReading {
+	return ClockReading{Milliseconds: (b.now - since).Milliseconds() + 1, ReceivedAt: b.now, SentAt: b.now, Born: born}
+}
+
+// answerAll answers the Holds, those of the given runner for the given incarnation.
+func (b *harness) answerAll(id workload.RunnerID, born int64, since Time, running ...workload.RunKey) {
+	for _, h := range take[Hold](b) {
+		if h.Runner != id {
+			b.held(h)
+			continue
+		}
+		b.s.Held(b.now, HoldResult{Runner: id, Token: h.Token, ListOnly: h.ListOnly, Outcome: Accepted, Running: running, Clock: b.incarnationClock(born, since)})
+	}
+}
+
+// restartedHarness returns a harness with a task on r1, which then restarts, and the time of the
+// restart.
+func restartedHarness(t *testing.T, confirmed bool) (*harness, Start, Time) {
+	b := leading(t, testRunner("r1"))
+	b.s.runners["r1"].born = firstIncarnation
+	b.submit(testJob(1, 400*ms), 4*time.Second)
+	c := one[Start](b)
+	if confirmed {
+		b.started(c, Accepted)
+	}
+	b.now += 20 * ms
+	return b, c, b.now
+}
+
+// Guards against a runner that restarts under its id: its tasks would be waited for, and its new
+// ends, numbered from one, would be taken for old ones.
+func TestRestartedRunnerIsReacquired(t *testing.T) {
+	b, c, since := restartedHarness(t, true)
+	before := b.s.runners["r1"].token
+	b.s.Held(b.now, HoldResult{Runner: "r1", Token: before, Outcome: Accepted, Clock: b.incarnationClock(secondIncarnation, since)})
+	b.answerAll("r1", secondIncarnation, since)
+	r := b.s.runners["r1"]
+	b.g.Expect(r.token).To(BeNumerically(">", before), "it must refuse orders from before the restart")
+	again := one[Start](b)
+	b.g.Expect(again.Run.Task).To(Equal(c.Run.Task))
+	b.g.Expect(again.Run.Number).To(BeNumerically(">", c.Run.Number))
+	b.g.Expect(again.LeaseEnd).To(BeNumerically("<", 2000), "on the new clock")
+	b.s.Started(b.now, StartResult{Runner: "r1", Run: again.Run, Outcome: Accepted, Clock: b.incarnationClock(secondIncarnation, since)})
+	b.s.Held(b.now, HoldResult{
+		Runner: "r1", Token: r.token, Outcome: Accepted, Clock: b.incarnationClock(secondIncarnation, since),
+		Ends: []workload.End{{Sequence: 1, Run: again.Run, Kind: workload.Done}},
+	})
+	b.g.Expect(one[Answer](b).Outcome).To(Equal(workload.Completed))
+}
+
+// Guards against two runs of a task whose start arrived just after the runner had restarted.
+func TestStartAcceptedByTheNewIncarnationIsAdopted(t *testing.T) {
+	b, c, since := restartedHarness(t, false)
+	b.s.Started(b.now, StartResult{Runner: "r1", Run: c.Run, Outcome: Accepted, Clock: b.incarnationClock(secondIncarnation, since)})
+	b.answerAll("r1", secondIncarnation, since, c.Run)
+	b.tick(100 * ms)
+	b.g.Expect(take[Start](b)).To(BeEmpty())
+	b.s.Held(b.now, HoldResult{
+		Runner: "r1", Token: b.s.runners["r1"].token, Outcome: Accepted, Clock: b.incarnationClock(secondIncarnation, since),
+		Ends: []workload.End{{Sequence: 1, Run: c.Run, Kind: workload.Done}},
+	})
+	b.g.Expect(one[Answer](b).Outcome).To(Equal(workload.Completed))
+}
+
+// Guards against a late answer or list of the previous incarnation that overwrites the state of
+// the present one.
+func TestLateAnswerOfAnEarlierIncarnationIsIgnored(t *testing.T) {
+	b, c, since := restartedHarness(t, true)
+	b.s.Held(b.now, HoldResult{Runner: "r1", Token: b.s.runners["r1"].token, Outcome: Accepted, Clock: b.incarnationClock(secondIncarnation, since)})
+	b.answerAll("r1", secondIncarnation, since)
+	again := one[Start](b)
+	old := testRunner("r1")
+	old.Born = firstIncarnation
+	b.s.SetRunners(b.now, []workload.Runner{old})
+	b.s.Started(b.now, StartResult{Runner: "r1", Run: c.Run, Outcome: Accepted, Clock: b.incarnationClock(firstIncarnation, 0)})
+	r := b.s.runners["r1"]
+	b.g.Expect(r.born).To(BeEquivalentTo(secondIncarnation))
+	b.g.Expect(r.runs).To(HaveKey(again.Run))
+	b.g.Expect(r.clock).To(BeNumerically("<", 1000))
+}
+
+// Guards against a new incarnation that goes unnoticed when the list of runners is the first to
+// show it.
+func TestRunnerListShowsANewIncarnation(t *testing.T) {
+	b, c, since := restartedHarness(t, true)
+	reborn := testRunner("r1")
+	reborn.Born = secondIncarnation
+	b.s.SetRunners(b.now, []workload.Runner{reborn})
+	b.answerAll("r1", secondIncarnation, since)
+	b.g.Expect(one[Start](b).Run.Task).To(Equal(c.Run.Task))
+}
+
+// Guards against an end that is acknowledged before it was listed: the runner has restarted and
+// accepted a start whose answer was lost, and its first end has the sequence of an earlier one.
+func TestNoEndIsAcknowledgedWhileAStartIsUnconfirmed(t *testing.T) {
+	b := leading(t, testRunner("r1"))
+	b.submit(testJob(1, 60*ms), 4*time.Second)
+	c := one[Start](b)
+	b.started(c, Accepted)
+	b.end("r1", 1, c.Run, workload.Done)
+	b.wait(100 * ms)
+	b.g.Expect(b.s.runners["r1"].acknowledged).To(BeEquivalentTo(1))
+	b.submit(testJob(1, 60*ms), 4*time.Second)
+	c = one[Start](b)
+	b.g.Expect(one[Hold](b).Acknowledged).To(BeEquivalentTo(1), "the start isn't overdue yet")
+	b.tick(20 * ms)
+	b.s.requestList(b.s.runners["r1"])
+	b.g.Expect(one[Hold](b).Acknowledged).To(BeZero())
+	b.started(c, Accepted)
+	b.g.Expect(b.s.runners["r1"].ackCursor(b.now)).To(BeEquivalentTo(1))
+}
--- a/entry/process.go
+++ b/entry/process.go
@@ -18,23 +18,23 @@
 	"sapphirepoint.example/sapphirepoint/peer"
 )
 
-// Time is a reading of the process's monotonic clock.
+// Time is a time on the process's monotonic clock.
 type Time = task.Time
 
 const (
-	// pendingInterval is how often the counts of waiting jobs are published; they
-	// may be two seconds old, and come with heartbeats.
+	// pendingInterval is how often the counts of waiting jobs are published. They
+	// come with heartbeats and may be up to two seconds old.
 	pendingInterval = 200 * time.Millisecond
-	// gaugeInterval is how often gauges are brought up to date.
+	// gaugeInterval is how often gauges are updated.
 	gaugeInterval = time.Second
-	// configurationWait is how long requests wait for the first configuration. A
-	// process accepts connections some 20 ms before it has read it.
-	configurationWait = 300 * time.Millisecond
-	// eventQueue bounds the events that wait for the loop.
-	eventQueue = 8192
+	// configurationTimeout is how long requests wait for the first configuration. A
+	// process accepts connections some 20 ms before it has read the configuration.
+	configurationTimeout = 300 * time.Millisecond
+	// eventQueueSize bounds the events that wait for the loop.
+	eventQueueSize = 8192
 )
 
-// Process is one entry process.
+// Process is an entry process.
 type Process struct {
 	cfg      Config
 	log      zerolog.Logger
@@ -46,18 +46,19 @@
 	metrics  *metrics
 	events   chan func()
 	calls    *workers
-	// ended is closed when a planned stop is over.
+	// ended is closed when the loop has returned.
 	ended chan struct{}
 
-	// mostRunners is the longest list of runners read before the layout was known,
-	// and mostSince when; they belong to the goroutine that reads it.
-	mostRunners int
-	mostSince   time.Time
+	// maxRunnersSeen is the length of the longest list of runners read before the
+	// layout was known, and maxRunnersSeenAt is when it was read. Only the goroutine
+	// of watchRunners uses them.
+	maxRunnersSeen   int
+	maxRunnersSeenAt time.Time
 
-	// self belongs to the goroutine that watches the members.
+	// self is this process's registration. Only the goroutine of watchMembers uses it.
 	self peer.Member
 
-	// What follows belongs to the loop.
+	// The fields below are used only by the loop.
 	node     *fleet.Node
 	replies  map[uint64]chan Reply
 	queries  map[uint64]chan fleet.StateAnswer
@@ -66,22 +67,23 @@
 	// pendingAt is when the counts of waiting jobs were last published.
 	pendingAt Time
 
-	// What follows is read by others.
-	ready     atomic.Bool
-	laidOut   atomic.Bool
-	stopping  atomic.Bool
-	readOften atomic.Bool
-	// toldRunners: others tell this process the list of runners.
-	toldRunners atomic.Bool
-	leads       atomic.Bool
-	readNow     chan struct{}
-	declared    atomic.Pointer[routing.Table]
-	// configured is closed with the first configuration.
+	// The fields below are shared with other goroutines.
+	ready             atomic.Bool
+	layoutKnown       atomic.Bool
+	stopping          atomic.Bool
+	shouldPollRunners atomic.Bool
+	// receivesRunnerList is set while another process sends the list of runners to this one.
+	receivesRunnerList atomic.Bool
+	leads              atomic.Bool
+	// readNow makes watchRunners read the list of runners at once.
+	readNow       chan struct{}
+	configuration atomic.Pointer[routing.Table]
+	// configured is closed when the first configuration is in force.
 	configured chan struct{}
 	pending    atomic.Pointer[map[string]int]
 }
 
-// New opens the socket for peers; Run does the rest.
+// New creates a process and opens its socket for peers. Run starts the rest.
 func New(cfg Config, runners Runners, store Store, log zerolog.Logger) (*Process, error) {
 	identity, err := peer.NewIdentity()
 	if err != nil {
@@ -96,7 +98,7 @@
 		identity: identity,
 		clock:    c,
 		metrics:  newMetrics(),
-		events:   make(chan func(), eventQueue),
+		events:   make(chan func(), eventQueueSize),
 		calls:    newWorkers(),
 		ended:    make(chan struct{}),
 		node:     fleet.New(cfg.Schedule, cfg.Grace, cfg.MilliCPU, c.now()),
@@ -107,23 +109,23 @@
 		configured: make(chan struct{}),
 	}
 	p.node.SetDomain(cfg.Domain)
-	p.declared.Store(&routing.Table{})
+	p.configuration.Store(&routing.Table{})
 	p.pending.Store(&map[string]int{})
 	p.mesh, err = peer.Listen(cfg.PeerAddress, identity, p, log)
 	return p, err
 }
 
-// Run works until the context ends or a planned stop is over.
+// Run runs the process until the context ends or a planned stop is complete.
 func (p *Process) Run(ctx context.Context) error {
 	p.log.Info().Str("peers", p.mesh.Address()).Msg("process-started")
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { p.mesh.Run(ctx); return nil })
-	group.Go(func() error { p.watchOperator(ctx); return nil })
+	group.Go(func() error { p.watchOperatorSettings(ctx); return nil })
 	group.Go(func() error { p.watchLayout(ctx); return nil })
 	group.Go(func() error { p.watchRunners(ctx); return nil })
-	group.Go(func() error { p.watchStrain(ctx); return nil })
+	group.Go(func() error { p.watchCPUStarvation(ctx); return nil })
 	group.Go(func() error { p.register(ctx); p.watchMembers(ctx); return nil })
 	group.Go(func() error { defer cancel(); p.loop(ctx); return nil })
 	err := group.Wait()
@@ -131,9 +133,9 @@
 	return err
 }
 
-// post hands an event to the loop. It waits while the queue is full: whoever
-// brings events then slows down, and nothing is lost. After the end events are
-// dropped.
+// post queues an event for the loop. It blocks while the queue is full, so the
+// sources of events slow down and no event is lost. Events posted after the loop
+// has ended are dropped.
 func (p *Process) post(f func(now Time)) {
 	select {
 	case p.events <- func() { f(p.clock.now()) }:
@@ -157,17 +159,17 @@
 			p.node.Tick(p.clock.now())
 			p.publish()
 		}
-		p.carryOut(ctx)
+		p.execute(ctx)
 		if p.node.StopComplete(p.clock.now()) {
 			p.node.GiveUp(p.clock.now())
-			p.carryOut(ctx)
+			p.execute(ctx)
 			return
 		}
 	}
 }
 
-// carryOut does what the node commands.
-func (p *Process) carryOut(ctx context.Context) {
+// execute carries out the commands that the node has issued.
+func (p *Process) execute(ctx context.Context) {
 	for _, c := range p.node.Ready() {
 		switch c := c.(type) {
 		case fleet.Send:
@@ -177,17 +179,17 @@
 		case fleet.Disconnect:
 			p.mesh.Drop(string(c.Peer))
 		case fleet.Order:
-			p.order(ctx, c)
+			p.executeOrder(ctx, c)
 		case fleet.ProbeStore:
 			go p.probeStore(ctx)
 		case fleet.StoreCall:
-			go p.storeCall(ctx, c, string(p.node.Self()))
+			go p.callStore(ctx, c, string(p.node.Self()))
 		case fleet.Answer:
-			p.reply(c.Reply)
+			p.deliverReply(c.Reply)
 		case fleet.StateAnswer:
-			p.stateAnswer(c)
+			p.deliverState(c)
 		case fleet.ReadRunners:
-			p.readRunnersNow()
+			p.requestRunnersRead()
 		case fleet.Notice:
 			p.logNotice(c)
 		default:
@@ -196,7 +198,7 @@
 	}
 }
 
-func (p *Process) order(ctx context.Context, c fleet.Order) {
+func (p *Process) executeOrder(ctx context.Context, c fleet.Order) {
 	switch o := c.Order.(type) {
 	case schedule.Start:
 		p.calls.run(func() { p.startTask(ctx, c.Shard, o) })
@@ -230,23 +232,23 @@
 	e.Msg(n.Event)
 }
 
-// publish shows others what the node knows.
+// publish copies the node's state to the fields that other goroutines read.
 func (p *Process) publish() {
 	p.ready.Store(p.node.Serves())
-	p.laidOut.Store(p.node.LayoutKnown())
+	p.layoutKnown.Store(p.node.LayoutKnown())
 	now := p.clock.now()
-	p.readOften.Store(p.node.ShouldPollRunners())
-	p.toldRunners.Store(p.node.ReceivesRunnerList())
+	p.shouldPollRunners.Store(p.node.ShouldPollRunners())
+	p.receivesRunnerList.Store(p.node.ReceivesRunnerList())
 	p.leads.Store(p.node.Leads())
 	if now-p.pendingAt >= pendingInterval {
 		p.pendingAt = now
 		pending := p.node.Pending()
 		p.pending.Store(&pending)
 	}
-	if p.declared.Load().Version() != p.node.ConfigVersion() {
-		first := p.declared.Load().Current() == nil
+	if p.configuration.Load().Version() != p.node.ConfigVersion() {
+		first := p.configuration.Load().Current() == nil
 		table := p.node.Table()
-		p.declared.Store(&table)
+		p.configuration.Store(&table)
 		if first {
 			close(p.configured)
 		}
@@ -257,29 +259,30 @@
 	}
 }
 
-// Stop begins a planned stop: others take over what this process schedules,
-// and it serves its callers until the grace is nearly over.
+// Stop begins a planned stop: other processes take over the shards that this one
+// leads, and it answers its callers until the grace period is nearly over.
 func (p *Process) Stop() {
 	p.stopping.Store(true)
 	p.ready.Store(false)
 	p.post(func(now Time) { p.node.Stop(now) })
 }
 
-// Ready reports whether new callers should come here.
+// Ready reports whether this process accepts new callers.
 func (p *Process) Ready() bool { return p.ready.Load() }
 
 // Stopping reports whether a planned stop has begun.
 func (p *Process) Stopping() bool { return p.stopping.Load() }
 
-// Configuration is the configuration in force; empty before the first.
-func (p *Process) Configuration() *routing.Table { return p.declared.Load() }
+// Configuration returns the configuration in force; it is empty before the first one.
+func (p *Process) Configuration() *routing.Table { return p.configuration.Load() }
 
-// AwaitConfiguration is the configuration in force; it waits a while for the first.
+// AwaitConfiguration returns the configuration in force. It waits up to
+// configurationTimeout for the first one.
 func (p *Process) AwaitConfiguration(ctx context.Context) *routing.Table {
 	if table := p.Configuration(); table.Current() != nil {
 		return table
 	}
-	ctx, cancel := context.WithTimeout(ctx, configurationWait)
+	ctx, cancel := context.WithTimeout(ctx, configurationTimeout)
 	defer cancel()
 	select {
 	case <-p.configured:
@@ -288,7 +291,7 @@
 	return p.Configuration()
 }
 
-// Pending is the number of jobs of a queue of which no task has started.
+// Pending returns the number of jobs of a queue of which no task has started.
 func (p *Process) Pending(queue string) int { return (*p.pending.Load())[queue] }
 
 // PeerUp implements peer.Handler.
