--- a/core/admission/lending.go
+++ b/core/admission/lending.go
@@ -10,69 +10,67 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// PeerUp says that a process is connected. A former run of it that was
-// connected is gone; what it sent may still arrive and is not listened to.
+// PeerUp records a connection with a process. It replaces a former run of the same node, whose
+// delayed messages are ignored from now on.
 func (q *Quotas) PeerUp(p task.Incarnation) {
 	for old := range q.peers {
 		if old.Node == p.Node {
 			delete(q.peers, old)
 		}
 	}
-	q.peers[p] = &quotaPeer{told: -Interval}
+	q.peers[p] = &quotaPeer{statusSentAt: -StatusInterval}
 }
 
-// PeerDown says that the connection with a process is lost. Loans go on until
-// their time.
+// PeerDown records the loss of the connection with a process. Loans remain valid until they expire.
 func (q *Quotas) PeerDown(p task.Incarnation) {
 	delete(q.peers, p)
 }
 
-// Tick is to be called once an interval: it works out what is asked of others
-// and given back to them, and takes back loans that have ended with the tasks
-// that may run on them.
+// Tick is to be called once per StatusInterval. It updates the demand sent to peers, returns unused
+// borrowed units, and reclaims expired loans once the tasks that may run on them must have ended.
 func (q *Quotas) Tick(now task.Time) {
 	q.demand = nil
-	for _, l := range q.order {
-		q.takeBack(l, now)
-		q.ask(l)
-		q.giveBack(l, now)
+	for _, l := range q.sortedLimits {
+		q.reclaimExpired(l, now)
+		q.updateRequest(l)
+		q.returnSurplus(l, now)
 		l.peak = l.held
 		l.blocked = false
-		if l.asked > 0 {
+		if l.requested > 0 {
 			q.demand = append(q.demand, &pb.HeldSlots{
 				Institution: l.key.Institution,
 				Team:        l.key.Team,
 				Slots:       uint32(l.held),
-				Wanted:      uint32(l.asked),
+				Wanted:      uint32(l.requested),
 			})
 		}
 	}
 }
 
-func (q *Quotas) takeBack(l *limit, now task.Time) {
+func (q *Quotas) reclaimExpired(l *limit, now task.Time) {
 	for p, out := range l.lentTo {
-		if now >= out.until+q.overhang {
+		if now >= out.until+q.maxTaskOverrun {
 			l.lent -= out.units
 			delete(l.lentTo, p)
 		}
 	}
 }
 
-// ask doubles what is asked for while demand isn't met.
-func (q *Quotas) ask(l *limit) {
+// updateRequest doubles the number of requested units as long as task starts are refused.
+func (q *Quotas) updateRequest(l *limit) {
 	if !l.blocked {
-		l.asked = 0
+		l.requested = 0
 		return
 	}
-	l.asked = min(max(2*l.asked, 1+l.held/4), l.total)
+	l.requested = min(max(2*l.requested, 1+l.held/4), l.total)
 }
 
-// giveBack hands units back that weren't used since the last status.
-func (q *Quotas) giveBack(l *limit, now task.Time) {
-	if l.asked > 0 {
+// returnSurplus returns borrowed units that haven't been used since the last tick.
+func (q *Quotas) returnSurplus(l *limit, now task.Time) {
+	if l.requested > 0 {
 		return
 	}
-	surplus := l.base(q, now) - l.lent + l.usable(now) - l.peak
+	surplus := l.ownUnits(q, now) - l.lent + l.usableBorrowed(now) - l.peak
 	for _, p := range sortedLoans(l.borrowed) {
 		b := l.borrowed[p]
 		n := min(surplus, b.units)
@@ -80,47 +78,47 @@
 			b.units -= n
 			surplus -= n
 		}
-		if now >= b.until+q.overhang {
+		if now >= b.until+q.maxTaskOverrun {
 			delete(l.borrowed, p)
 		}
 	}
 }
 
-// Status is what is told to one peer; it rides on any message, once an
-// interval. Nil means that there is nothing to tell.
+// Status returns the status to be sent to a peer, at most one per StatusInterval, to be carried by
+// any message. It is nil if none is due.
 func (q *Quotas) Status(now task.Time, to task.Incarnation) *pb.QuotaStatus {
 	p := q.peers[to]
-	if p == nil || len(q.order) == 0 || now-p.told < Interval {
+	if p == nil || len(q.sortedLimits) == 0 || now-p.statusSentAt < StatusInterval {
 		return nil
 	}
-	p.told = now
+	p.statusSentAt = now
 	st := &pb.QuotaStatus{
 		ClockMs:        uint64(now.Milliseconds()),
 		MembersVersion: q.list.version,
 		NodesHash:      q.list.hash,
-		Settled:        q.settledHere(now),
+		Settled:        q.withinLimits(now),
 		Demand:         q.demand,
 	}
-	for _, l := range q.order {
-		if out := l.lentTo[to]; out != nil && p.heard {
-			st.Loans = append(st.Loans, q.extend(l, out, now, p.clock))
+	for _, l := range q.sortedLimits {
+		if out := l.lentTo[to]; out != nil && p.statusReceived {
+			st.Loans = append(st.Loans, q.renew(l, out, now, p.clockMs))
 		}
 		for _, lender := range sortedLoans(l.borrowed) {
 			if lender.Node == to.Node {
-				st.Borrowed = append(st.Borrowed, l.report(lender))
+				st.Borrowed = append(st.Borrowed, l.borrowedReport(lender))
 			}
 		}
 	}
 	return st
 }
 
-// Sharing says whether units are lent between this process and a peer, or are
-// wanted, so that the peer should hear soon.
-func (q *Quotas) Sharing(with task.Incarnation) bool {
+// SharesWith reports whether units are on loan between this process and a peer, or are requested of
+// all peers. The peer's next status is then urgent.
+func (q *Quotas) SharesWith(with task.Incarnation) bool {
 	if len(q.demand) > 0 {
 		return true
 	}
-	for _, l := range q.order {
+	for _, l := range q.sortedLimits {
 		if l.lentTo[with] != nil || l.borrowed[with] != nil {
 			return true
 		}
@@ -128,16 +126,16 @@
 	return false
 }
 
-// nextSerial is never used twice, so that a loan that was ended and forgotten
-// isn't taken for a later one.
+// nextSerial returns a number that is never reused, so that a loan that ended isn't confused with a
+// later one.
 func (q *Quotas) nextSerial() uint64 {
 	q.serial++
 	return q.serial
 }
 
-// extend tells of a loan and, unless the units are needed here or aren't this
-// process's any more, lets it run on.
-func (q *Quotas) extend(l *limit, out *loan, now task.Time, clock uint64) *pb.QuotaLoan {
+// renew reports a loan to its borrower. It extends the loan unless this process needs the units or
+// doesn't own them any more.
+func (q *Quotas) renew(l *limit, out *loan, now task.Time, clock uint64) *pb.QuotaLoan {
 	w := &pb.QuotaLoan{
 		Institution: l.key.Institution,
 		Team:        l.key.Team,
@@ -145,14 +143,14 @@
 		Serial:      out.serial,
 		ClockMs:     clock,
 	}
-	if l.asked == 0 && l.lent <= l.base(q, now) {
-		w.ValidMs = uint32(LoanValid.Milliseconds())
-		out.until = max(out.until, now+LoanValid+LoanValid/drift)
+	if l.requested == 0 && l.lent <= l.ownUnits(q, now) {
+		w.ValidMs = uint32(LoanValidity.Milliseconds())
+		out.until = max(out.until, now+LoanValidity+LoanValidity/clockDriftDivisor)
 	}
 	return w
 }
 
-func (l *limit) report(lender task.Incarnation) *pb.QuotaLoan {
+func (l *limit) borrowedReport(lender task.Incarnation) *pb.QuotaLoan {
 	b := l.borrowed[lender]
 	return &pb.QuotaLoan{
 		Institution: l.key.Institution,
@@ -163,31 +161,31 @@
 	}
 }
 
-// Receive takes what a peer tells.
+// Receive handles the status of a peer.
 func (q *Quotas) Receive(now task.Time, from task.Incarnation, st *pb.QuotaStatus) {
 	p := q.peers[from]
 	if p == nil || st == nil {
 		return
 	}
-	p.heard = true
-	p.clock = max(p.clock, st.GetClockMs())
-	p.version = st.GetMembersVersion()
-	p.nodes = st.GetNodesHash()
-	p.settled = st.GetSettled()
-	q.reports(from, p, st.GetBorrowed())
+	p.statusReceived = true
+	p.clockMs = max(p.clockMs, st.GetClockMs())
+	p.listVersion = st.GetMembersVersion()
+	p.nodesHash = st.GetNodesHash()
+	p.withinLimits = st.GetSettled()
+	q.applyReports(from, p, st.GetBorrowed())
 	for _, w := range st.GetLoans() {
 		q.borrow(from, w)
 	}
-	q.settle(now)
+	q.endWaitsEarly(now)
 	q.lend(now, from, st.GetDemand())
 }
 
-// reports takes back what a borrower says it doesn't use any more.
-func (q *Quotas) reports(from task.Incarnation, p *quotaPeer, list []*pb.QuotaLoan) {
-	p.owesPredecessor = false
+// applyReports reclaims units that the borrower reports as returned.
+func (q *Quotas) applyReports(from task.Incarnation, p *quotaPeer, list []*pb.QuotaLoan) {
+	p.holdsPredecessorLoans = false
 	for _, r := range list {
 		if r.GetLenderRun() != q.self.Run {
-			p.owesPredecessor = true
+			p.holdsPredecessorLoans = true
 			continue
 		}
 		l := q.limits[keyOf(r)]
@@ -195,8 +193,8 @@
 			continue
 		}
 		out := l.lentTo[from]
-		// Only an answer to the loan as it stands: one to an earlier state
-		// would take back units that are on their way to the borrower.
+		// The report must refer to the present state of the loan. One that refers to an
+		// earlier state would reclaim units that are in flight to the borrower.
 		if r.GetSerial() == out.serial && int(r.GetUnits()) < out.units {
 			l.lent -= out.units - int(r.GetUnits())
 			out.units = int(r.GetUnits())
@@ -209,9 +207,9 @@
 	return Key{w.GetInstitution(), w.GetTeam()}
 }
 
-// borrow takes a loan. Its time counts from this process's own clock reading
-// that the lender echoes: a message that was long on its way brings a loan
-// that has ended, and not a fresh one that the lender counts as over.
+// borrow records a loan. Its validity counts from this process's own clock reading, which the
+// lender echoes. A delayed message therefore yields a loan that has already expired, instead of one
+// that is valid here after the lender has reclaimed it.
 func (q *Quotas) borrow(from task.Incarnation, w *pb.QuotaLoan) {
 	l := q.limits[keyOf(w)]
 	if l == nil {
@@ -235,15 +233,15 @@
 	}
 }
 
-// lend gives units that aren't needed here to a process that wants some: its
-// part of what it wants, as the others are asked too.
+// lend gives units that aren't needed here to a peer that requests some. The peer requests them of
+// all processes, so it gets its request divided by the number of peers at most.
 func (q *Quotas) lend(now task.Time, to task.Incarnation, wanted []*pb.HeldSlots) {
 	for _, w := range wanted {
 		l := q.limits[Key{w.GetInstitution(), w.GetTeam()}]
-		if l == nil || l.blocked || l.asked > 0 {
+		if l == nil || l.blocked || l.requested > 0 {
 			continue
 		}
-		spare := l.base(q, now) - l.lent - max(l.peak, l.held) - l.held/4
+		spare := l.ownUnits(q, now) - l.lent - max(l.peak, l.held) - l.held/4
 		part := (int(w.GetWanted()) + len(q.peers) - 1) / len(q.peers)
 		n := min(spare, part)
 		if n <= 0 {
@@ -256,7 +254,7 @@
 		}
 		out.units += n
 		out.serial = q.nextSerial()
-		out.until = now + LoanValid + LoanValid/drift
+		out.until = now + LoanValidity + LoanValidity/clockDriftDivisor
 		l.lent += n
 	}
 }
--- a/core/dispatch/status.go
+++ b/core/dispatch/status.go
@@ -25,7 +25,7 @@
 // by the keep-alives of the connection layer.
 func (c *Core) statusIntervalFor(to task.Incarnation) time.Duration {
 	now := announced{c.settings.Version(), c.view.Version(), c.draining, len(c.health.Ejected())}
-	if c.peers[to].announced != now || c.admission.quotas.Sharing(to) {
+	if c.peers[to].announced != now || c.admission.quotas.SharesWith(to) {
 		return c.cfg.StatusInterval
 	}
 	return c.cfg.IdleStatusInterval
--- a/core/dispatch/upstreams.go
+++ b/core/dispatch/upstreams.go
@@ -35,7 +35,7 @@
 		service:  request.GetService(),
 		team:     request.GetTeam(),
 		declared: declared,
-		expected: c.admission.estimate.Expect(institution, request.GetService(), declared),
+		expected: c.admission.estimate.ExpectedRunTime(institution, request.GetService(), declared),
 	}
 	c.admission.inUse[institution]++
 	c.countWaiting(s.sub, -1)
@@ -120,7 +120,7 @@
 	sub := s.sub
 	c.countWaiting(sub, 1)
 	r := c.budgets.Next(c.now, sub.deadline, sub.id.Institution, s.slot.Upstream, s.attempt)
-	if r.UpstreamSpent {
+	if r.UpstreamExhausted {
 		c.health.Close(c.now, s.slot.Upstream)
 		c.applyWeights()
 	}
