--- a/bench/scenarios.go
+++ b/bench/scenarios.go
@@ -39,9 +39,9 @@
 	c.AdmissionPolicy.OverloadWaitPercent = c.AdmissionPolicy.WaitPercent
 }
 
-func alone(c *dispatch.Config) { c.Health.Alone = true }
+func alone(c *dispatch.Config) { c.Health.IgnorePeers = true }
 
-func noHealth(c *dispatch.Config) { c.Health.Off = true }
+func noHealth(c *dispatch.Config) { c.Health.Disabled = true }
 
 // all runs stresses side by side.
 func all(list []Stress) []*Run {
--- a/core/claim/answers.go
+++ b/core/claim/answers.go
@@ -15,8 +15,8 @@
 	resultOverhead = 90
 )
 
-// Kept is the final answer to one submission.
-type Kept struct {
+// RetainedAnswer is the final answer to one submission.
+type RetainedAnswer struct {
 	ID     task.ID
 	Answer *pb.Answer
 	// Until is when it may be forgotten.
@@ -34,7 +34,7 @@
 // number and the claim row still names its holder.
 type Answers struct {
 	limit int
-	byID  map[task.ID]*Kept
+	byID  map[task.ID]*RetainedAnswer
 	lists map[string]*answerList
 	bytes int
 	seq   uint64
@@ -48,13 +48,13 @@
 // id: the ids of a kind are kept equally long, so that the oldest is the first
 // to be forgotten.
 type answerList struct {
-	kinds [2][]*Kept
+	kinds [2][]*RetainedAnswer
 	bytes int
 }
 
 // NewAnswers returns a store that keeps up to limit bytes an institution.
 func NewAnswers(limit int) *Answers {
-	return &Answers{limit: limit, byID: make(map[task.ID]*Kept), lists: make(map[string]*answerList)}
+	return &Answers{limit: limit, byID: make(map[task.ID]*RetainedAnswer), lists: make(map[string]*answerList)}
 }
 
 // Put keeps an answer and forgets the oldest of the institution beyond the
@@ -64,7 +64,7 @@
 		return
 	}
 	a.seq++
-	k := &Kept{ID: id, Answer: answer, Until: until, seq: a.seq, size: sizeOf(answer)}
+	k := &RetainedAnswer{ID: id, Answer: answer, Until: until, seq: a.seq, size: sizeOf(answer)}
 	list := a.lists[id.Institution]
 	if list == nil {
 		list = &answerList{}
@@ -139,9 +139,9 @@
 // Bytes is what they cost, in bytes.
 func (a *Answers) Bytes() int { return a.bytes }
 
-// Kept lists what is kept, institutions in name order, oldest first.
-func (a *Answers) Kept() []*Kept {
-	list := make([]*Kept, 0, len(a.byID))
+// All lists what is kept, institutions in name order, oldest first.
+func (a *Answers) All() []*RetainedAnswer {
+	list := make([]*RetainedAnswer, 0, len(a.byID))
 	for _, name := range sortedKeys(a.lists) {
 		for _, kept := range a.lists[name].kinds {
 			list = append(list, kept...)
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -51,7 +51,7 @@
 				used[n] = used[n] || fresh
 			}
 		}
-		restored := Restore(is.Handed(now), now+valid)
+		restored := Restore(is.ValidBlocks(now), now+valid)
 		for n := range issued {
 			if fresh := restored.State(now, n) == Fresh; fresh && used[n] {
 				t.Fatalf("number %d is fresh after the handover", n)
--- a/core/claim/issuer.go
+++ b/core/claim/issuer.go
@@ -126,9 +126,9 @@
 	Used  []uint64
 }
 
-// Handed lists the blocks that are still valid, for a process that is to
+// ValidBlocks lists the blocks that are still valid, for a process that is to
 // answer for this one after its planned stop.
-func (is *Issuer) Handed(now task.Time) []Block {
+func (is *Issuer) ValidBlocks(now task.Time) []Block {
 	var list []Block
 	for _, b := range is.blocks {
 		if now < b.expires {
--- a/core/dispatch/adopt.go
+++ b/core/dispatch/adopt.go
@@ -127,7 +127,7 @@
 	var list []*pb.HandedHolder
 	for _, holder := range c.adoptedHolders() {
 		a := c.succession.adopted[holder]
-		list = append(list, handedHolder(holder, a.issuer.Handed(c.now), c.retentionMs(a.until)))
+		list = append(list, handedHolder(holder, a.issuer.ValidBlocks(c.now), c.retentionMs(a.until)))
 	}
 	return list
 }
--- a/core/dispatch/handover.go
+++ b/core/dispatch/handover.go
@@ -112,7 +112,7 @@
 	messages := []*pb.Handover{current}
 	bytes := 0
 	retainUntil := c.now + c.cfg.IDValidity
-	for _, k := range c.answers.Kept() {
+	for _, k := range c.answers.All() {
 		if bytes > handoverChunkBytes {
 			current = &pb.Handover{Sequence: current.GetSequence() + 1, From: c.cfg.Self.Proto()}
 			messages = append(messages, current)
@@ -124,7 +124,7 @@
 		retainUntil = max(retainUntil, k.Until)
 	}
 	current.Last = true
-	current.Holders = append(c.handedAdopted(), handedHolder(c.cfg.Self, c.issuer.Handed(c.now), c.retentionMs(retainUntil)))
+	current.Holders = append(c.handedAdopted(), handedHolder(c.cfg.Self, c.issuer.ValidBlocks(c.now), c.retentionMs(retainUntil)))
 	return messages
 }
 
--- a/core/dispatch/upstreams.go
+++ b/core/dispatch/upstreams.go
@@ -121,7 +121,7 @@
 	c.countWaiting(sub, 1)
 	r := c.budgets.Next(c.now, sub.deadline, sub.id.Institution, s.slot.Upstream, s.attempt)
 	if r.UpstreamSpent {
-		c.health.Close(c.now, s.slot.Upstream)
+		c.health.MarkUnavailable(c.now, s.slot.Upstream)
 		c.applyWeights()
 	}
 	if !r.OK {
@@ -156,12 +156,12 @@
 // of a peer.
 func (c *Core) receiveSharedState(from task.Incarnation, st *pb.PeerStatus) {
 	c.admission.quotas.Receive(c.now, from, st.GetQuotas())
-	if !c.cfg.Health.Alone {
-		c.health.Reported(from.Node, st.GetEjected())
+	if !c.cfg.Health.IgnorePeers {
+		c.health.SetPeerReport(from.Node, st.GetEjected())
 	}
 }
 
 func (c *Core) dropSharedState(p task.Incarnation) {
 	c.admission.quotas.PeerDown(p)
-	c.health.Reported(p.Node, nil)
+	c.health.SetPeerReport(p.Node, nil)
 }
--- a/core/health/health.go
+++ b/core/health/health.go
@@ -34,30 +34,30 @@
 
 // Config is the limits; times as durations.
 type Config struct {
-	// FirstClosed is how long an upstream stays closed after its first
-	// ejection; each further one in a row doubles it up to MaxClosed.
-	FirstClosed, MaxClosed time.Duration
-	// FirstAway and MaxAway are the same for one that can't be reached.
-	FirstAway, MaxAway time.Duration
+	// BaseEjectionTime is how long an upstream stays closed after its first
+	// ejection; each further one in a row doubles it up to MaxEjectionTime.
+	BaseEjectionTime, MaxEjectionTime time.Duration
+	// BaseUnavailableTime and MaxUnavailableTime are the same for one that can't be reached.
+	BaseUnavailableTime, MaxUnavailableTime time.Duration
 	// MaxEjectedPercent limits the upstreams of an institution in a failure
 	// domain that are closed for failures at once.
 	MaxEjectedPercent int
 	// Self is the name by which peers list this process.
 	Self string
-	// Alone ignores what peers report.
-	Alone bool
-	// Off gives every upstream its full weight, to compare with.
-	Off bool
+	// IgnorePeers ignores what peers report.
+	IgnorePeers bool
+	// Disabled gives every upstream its full weight, to compare with.
+	Disabled bool
 }
 
 // DefaultConfig returns the usual limits.
 func DefaultConfig() Config {
 	return Config{
-		FirstClosed:       2 * time.Second,
-		MaxClosed:         5 * time.Minute,
-		FirstAway:         50 * time.Millisecond,
-		MaxAway:           2 * time.Second,
-		MaxEjectedPercent: 50,
+		BaseEjectionTime:    2 * time.Second,
+		MaxEjectionTime:     5 * time.Minute,
+		BaseUnavailableTime: 50 * time.Millisecond,
+		MaxUnavailableTime:  2 * time.Second,
+		MaxEjectedPercent:   50,
 	}
 }
 
@@ -197,7 +197,7 @@
 // Observe takes a result.
 func (t *Tracker) Observe(now task.Time, r Result) {
 	u := t.upstreams[r.Upstream]
-	if u == nil || t.cfg.Off {
+	if u == nil || t.cfg.Disabled {
 		return
 	}
 	switch r.Outcome {
@@ -317,7 +317,7 @@
 	}
 	u.state = ejected
 	u.closedAt = now
-	u.wait = backOff(t.rng, t.cfg.FirstClosed, t.cfg.MaxClosed, u.level-1)
+	u.wait = backOff(t.rng, t.cfg.BaseEjectionTime, t.cfg.MaxEjectionTime, u.level-1)
 	u.until = now + u.wait
 	t.reweigh(u)
 }
@@ -345,15 +345,15 @@
 		u.awayFor = 0
 	}
 	u.state = away
-	u.until = now + backOff(t.rng, t.cfg.FirstAway, t.cfg.MaxAway, u.awayFor)
+	u.until = now + backOff(t.rng, t.cfg.BaseUnavailableTime, t.cfg.MaxUnavailableTime, u.awayFor)
 	u.refused = 0
 	t.reweigh(u)
 }
 
-// Close makes an upstream go away for a while at somebody else's wish, such
+// MarkUnavailable makes an upstream go away for a while at somebody else's wish, such
 // as a retry budget that is spent.
-func (t *Tracker) Close(now task.Time, name string) {
-	if u := t.upstreams[name]; u != nil && !t.cfg.Off {
+func (t *Tracker) MarkUnavailable(now task.Time, name string) {
+	if u := t.upstreams[name]; u != nil && !t.cfg.Disabled {
 		t.goAway(now, u)
 	}
 }
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -247,7 +247,7 @@
 	cfg := health.DefaultConfig()
 	cfg.Self = "entry-2"
 	h := seasonedWith(cfg)
-	h.Reported("entry-1", []string{"u03"})
+	h.SetPeerReport("entry-1", []string{"u03"})
 	fail(h, time.Second, "u03")
 	succeed(h, time.Second, "u00", "u08", "u09")
 	h.Tick(2 * time.Second)
@@ -256,7 +256,7 @@
 		h.Tick(now)
 		g.Expect(h.Weight("u03")).To(gomega.BeZero())
 	}
-	h.Reported("entry-1", nil)
+	h.SetPeerReport("entry-1", nil)
 	h.Tick(31 * time.Second)
 	g.Expect(h.Weight("u03")).To(gomega.Equal(health.MinWeight))
 }
--- a/core/health/share.go
+++ b/core/health/share.go
@@ -26,14 +26,14 @@
 	return list
 }
 
-// Reported takes what a peer lists, in place of what it listed before; nothing
+// SetPeerReport takes what a peer lists, in place of what it listed before; nothing
 // if it is gone.
 //
 // A report closes no upstream: the peer may be at fault itself, and its
 // mistake would be everybody's. It makes one failure here enough to close it,
 // and leaves the trials, each of which may cost a caller's job, to the process
 // that is first by name of those which have closed it.
-func (t *Tracker) Reported(peer string, names []string) {
+func (t *Tracker) SetPeerReport(peer string, names []string) {
 	for _, name := range t.reports[peer] {
 		if u := t.upstreams[name]; u != nil {
 			u.reporters = slices.DeleteFunc(u.reporters, func(p string) bool { return p == peer })
