--- a/core/claim/answers.go
+++ b/core/claim/answers.go
@@ -11,7 +11,7 @@
 // the list entry and the headers, and those of each result, as measured by
 // BenchmarkAnswers.
 const (
-	keptOverhead   = 550
+	answerOverhead = 550
 	resultOverhead = 90
 )
 
@@ -40,16 +40,16 @@
 	seq   uint64
 }
 
-func sizeOf(a *pb.Answer) int {
-	return proto.Size(a) + keptOverhead + resultOverhead*len(a.GetResults())
+func encodedCost(a *pb.Answer) int {
+	return proto.Size(a) + answerOverhead + resultOverhead*len(a.GetResults())
 }
 
 // answerList holds one institution's answers, oldest first, apart by kind of
 // id: the ids of a kind are kept equally long, so that the oldest is the first
 // to be forgotten.
 type answerList struct {
-	kinds [2][]*RetainedAnswer
-	bytes int
+	answersByKind [2][]*RetainedAnswer
+	bytes         int
 }
 
 // NewAnswers returns a store that keeps up to limit bytes an institution.
@@ -64,51 +64,51 @@
 		return
 	}
 	a.seq++
-	k := &RetainedAnswer{ID: id, Answer: answer, Until: until, seq: a.seq, size: sizeOf(answer)}
+	k := &RetainedAnswer{ID: id, Answer: answer, Until: until, seq: a.seq, size: encodedCost(answer)}
 	list := a.lists[id.Institution]
 	if list == nil {
 		list = &answerList{}
 		a.lists[id.Institution] = list
 	}
-	kind := kindOf(id)
-	list.kinds[kind] = append(list.kinds[kind], k)
+	kind := idKindIndex(id)
+	list.answersByKind[kind] = append(list.answersByKind[kind], k)
 	a.byID[id] = k
-	a.grow(list, k.size)
+	a.addBytes(list, k.size)
 	for list.bytes > a.limit {
-		a.dropOldest(list)
+		a.evictOldest(list)
 	}
 }
 
-func kindOf(id task.ID) int {
+func idKindIndex(id task.ID) int {
 	if id.Issued() {
 		return 0
 	}
 	return 1
 }
 
-func (a *Answers) grow(list *answerList, n int) {
+func (a *Answers) addBytes(list *answerList, n int) {
 	list.bytes += n
 	a.bytes += n
 }
 
-// dropOldest forgets the answer that was put first. Chosen by the time until
+// evictOldest forgets the answer that was put first. Chosen by the time until
 // which they may be kept, a new answer under an issued id would go before old
 // ones under own keys, and its caller, asking again at once, wouldn't find it.
-func (a *Answers) dropOldest(list *answerList) {
-	issued, own := list.kinds[0], list.kinds[1]
+func (a *Answers) evictOldest(list *answerList) {
+	issued, own := list.answersByKind[0], list.answersByKind[1]
 	if len(own) == 0 || len(issued) > 0 && issued[0].seq < own[0].seq {
-		a.dropFirst(list, 0)
+		a.evictFirst(list, 0)
 		return
 	}
-	a.dropFirst(list, 1)
+	a.evictFirst(list, 1)
 }
 
-func (a *Answers) dropFirst(list *answerList, kind int) {
-	k := list.kinds[kind][0]
-	list.kinds[kind][0] = nil
-	list.kinds[kind] = list.kinds[kind][1:]
+func (a *Answers) evictFirst(list *answerList, kind int) {
+	k := list.answersByKind[kind][0]
+	list.answersByKind[kind][0] = nil
+	list.answersByKind[kind] = list.answersByKind[kind][1:]
 	delete(a.byID, k.ID)
-	a.grow(list, -k.size)
+	a.addBytes(list, -k.size)
 }
 
 // Get finds the answer of a submission; nil if it isn't kept.
@@ -122,12 +122,12 @@
 // Expire forgets what is past its time.
 func (a *Answers) Expire(now task.Time) {
 	for name, list := range a.lists {
-		for kind := range list.kinds {
-			for len(list.kinds[kind]) > 0 && list.kinds[kind][0].Until <= now {
-				a.dropFirst(list, kind)
+		for kind := range list.answersByKind {
+			for len(list.answersByKind[kind]) > 0 && list.answersByKind[kind][0].Until <= now {
+				a.evictFirst(list, kind)
 			}
 		}
-		if len(list.kinds[0])+len(list.kinds[1]) == 0 {
+		if len(list.answersByKind[0])+len(list.answersByKind[1]) == 0 {
 			delete(a.lists, name)
 		}
 	}
@@ -143,7 +143,7 @@
 func (a *Answers) All() []*RetainedAnswer {
 	list := make([]*RetainedAnswer, 0, len(a.byID))
 	for _, name := range sortedKeys(a.lists) {
-		for _, kept := range a.lists[name].kinds {
+		for _, kept := range a.lists[name].answersByKind {
 			list = append(list, kept...)
 		}
 	}
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -24,7 +24,7 @@
 
 // A caller asks again under an id whose answer was forgotten long ago. If the
 // number were fresh a second time, its labels would be printed a second time.
-func TestANumberIsFreshOnce(t *testing.T) {
+func TestNumberIsFreshOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const valid = 10 * time.Second
 		is := NewIssuer(valid)
@@ -71,9 +71,9 @@
 
 // Answers under own keys fill the limit when others under issued ids follow.
 // The newest answer must be there when its caller asks again a moment later.
-func TestAnswersForgetTheOldestFirst(t *testing.T) {
+func TestAnswersEvictTheOldestFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
-	a := NewAnswers(20 * keptOverhead)
+	a := NewAnswers(20 * answerOverhead)
 	for i := range 30 {
 		a.Put(task.ID{Institution: "hollowell", OwnKey: fmt.Sprint(i)}, &pb.Answer{}, time.Hour)
 	}
@@ -81,7 +81,7 @@
 		id, answer := answerOf(i, 4)
 		a.Put(id, answer, time.Minute)
 		g.Expect(a.Get(id)).To(gomega.BeIdenticalTo(answer))
-		g.Expect(a.Bytes()).To(gomega.BeNumerically("<=", 20*keptOverhead))
+		g.Expect(a.Bytes()).To(gomega.BeNumerically("<=", 20*answerOverhead))
 	}
 	a.Expire(time.Hour)
 	g.Expect(a.Len()).To(gomega.BeZero())
--- a/core/claim/holders.go
+++ b/core/claim/holders.go
@@ -41,11 +41,11 @@
 	}
 	h.rows[id] = holderRow{holder, until}
 	for len(h.order) > h.limit {
-		h.dropFirst()
+		h.evictFirst()
 	}
 }
 
-func (h *Holders) dropFirst() {
+func (h *Holders) evictFirst() {
 	delete(h.rows, h.order[0])
 	h.order = h.order[1:]
 }
@@ -59,7 +59,7 @@
 // Expire drops rows past their time.
 func (h *Holders) Expire(now task.Time) {
 	for len(h.order) > 0 && h.rows[h.order[0]].until <= now {
-		h.dropFirst()
+		h.evictFirst()
 	}
 }
 
--- a/core/claim/issuer.go
+++ b/core/claim/issuer.go
@@ -64,7 +64,7 @@
 	if number == 0 || number >= is.next {
 		return Unissued
 	}
-	b := is.find(number)
+	b := is.findBlock(number)
 	if b == nil || now >= b.expires {
 		return Expired
 	}
@@ -81,7 +81,7 @@
 	if is.State(now, number) != Fresh {
 		return false
 	}
-	b := is.find(number)
+	b := is.findBlock(number)
 	bit := number - b.first
 	b.used[bit/wordBits] |= 1 << (bit % wordBits)
 	return true
@@ -101,8 +101,8 @@
 	return len(is.blocks)
 }
 
-// find locates the block of a number by binary search; blocks are in order.
-func (is *Issuer) find(number uint64) *block {
+// findBlock locates the block of a number by binary search; blocks are in order.
+func (is *Issuer) findBlock(number uint64) *block {
 	lo, hi := 0, len(is.blocks)
 	for lo < hi {
 		mid := (lo + hi) / 2
--- a/core/claim/unsettled.go
+++ b/core/claim/unsettled.go
@@ -19,32 +19,32 @@
 // one is never run: its row is then taken for that of a finished job.
 type UnsettledSet struct {
 	limit  int
-	claims map[task.ID]unsettledClaim
+	claims map[task.ID]claimEntry
 	order  []task.ID
 }
 
-type unsettledClaim struct {
+type claimEntry struct {
 	Unsettled
 	until task.Time
 }
 
 // NewUnsettledSet returns a set of up to limit claims.
 func NewUnsettledSet(limit int) *UnsettledSet {
-	return &UnsettledSet{limit: limit, claims: make(map[task.ID]unsettledClaim)}
+	return &UnsettledSet{limit: limit, claims: make(map[task.ID]claimEntry)}
 }
 
 // Put remembers a claim.
 func (u *UnsettledSet) Put(id task.ID, c Unsettled, until task.Time) {
-	u.claims[id] = unsettledClaim{c, until}
+	u.claims[id] = claimEntry{c, until}
 	u.order = append(u.order, id)
 	for len(u.order) > u.limit {
-		u.drop()
+		u.evictFirst()
 	}
 }
 
-// drop forgets the claim that was put first. One that was taken, or put again,
+// evictFirst forgets the claim that was put first. One that was taken, or put again,
 // since then is found under a later entry or not at all.
-func (u *UnsettledSet) drop() {
+func (u *UnsettledSet) evictFirst() {
 	delete(u.claims, u.order[0])
 	u.order = u.order[1:]
 }
@@ -65,7 +65,7 @@
 // Expire drops claims past their time.
 func (u *UnsettledSet) Expire(now task.Time) {
 	for len(u.order) > 0 && u.claims[u.order[0]].until <= now {
-		u.drop()
+		u.evictFirst()
 	}
 }
 
--- a/core/health/group.go
+++ b/core/health/group.go
@@ -2,29 +2,29 @@
 
 import "sapphirepoint.example/sapphirepoint/core/task"
 
-// groupFrom is how many closed upstreams put their whole worker or rack under
+// minGroupEjections is how many closed upstreams put their whole worker or rack under
 // suspicion.
-const groupFrom = 2
+const minGroupEjections = 2
 
-// beside says whether another upstream of the same worker or rack is closed
+// groupHasEjection says whether another upstream of the same worker or rack is closed
 // for failures.
-func (t *Tracker) beside(u *upstream) bool {
+func (t *Tracker) groupHasEjection(u *upstream) bool {
 	for _, g := range u.groups {
-		if g.closed(u) > 0 {
+		if g.ejectedCount(u) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// closed counts the members closed for failures, but for one.
-func (g *group) closed(but *upstream) int {
+// ejectedCount counts the members ejectedCount for failures, but for one.
+func (g *group) ejectedCount(except *upstream) int {
 	if g == nil {
 		return 0
 	}
 	n := 0
 	for _, u := range g.members {
-		if u != but && (u.state == ejected || u.state == probing) {
+		if u != except && (u.state == ejected || u.state == probing) {
 			n++
 		}
 	}
@@ -38,7 +38,7 @@
 // it of each of its upstreams.
 func (t *Tracker) ejectGroups(now task.Time, u *upstream) {
 	for _, g := range u.groups {
-		if g.closed(nil) < groupFrom || g.succeededSinceClosed() {
+		if g.ejectedCount(nil) < minGroupEjections || g.succeededSinceEjection() {
 			continue
 		}
 		t.stats.GroupEjections++
@@ -50,11 +50,11 @@
 	}
 }
 
-func (g *group) succeededSinceClosed() bool {
+func (g *group) succeededSinceEjection() bool {
 	first := task.Time(-1)
 	for _, u := range g.members {
-		if u.state == ejected && (first < 0 || u.closedAt < first) {
-			first = u.closedAt
+		if u.state == ejected && (first < 0 || u.ejectedAt < first) {
+			first = u.ejectedAt
 		}
 	}
 	for _, u := range g.members {
@@ -65,14 +65,14 @@
 	return false
 }
 
-// postponeGroups puts off the trial of the others after one of them has
+// postponeGroupProbes puts off the trial of the others after one of them has
 // failed again, so that a group costs one task a trial and not one a member.
-func (t *Tracker) postponeGroups(now task.Time, failed *upstream) {
+func (t *Tracker) postponeGroupProbes(now task.Time, failed *upstream) {
 	if failed.state != ejected {
 		return
 	}
 	for _, g := range failed.groups {
-		if g.closed(failed) < groupFrom {
+		if g.ejectedCount(failed) < minGroupEjections {
 			continue
 		}
 		for _, u := range g.members {
@@ -80,17 +80,17 @@
 				u.state = ejected
 			}
 			if u.state == ejected && u.until < failed.until {
-				u.level = failed.level
-				u.wait = failed.wait
-				u.until = failed.until + failed.wait/2
-				t.reweigh(u)
+				u.ejectionLevel = failed.ejectionLevel
+				u.ejectionTime = failed.ejectionTime
+				u.until = failed.until + failed.ejectionTime/2
+				t.updateWeight(u)
 			}
 		}
 	}
 }
 
-// wakeGroups brings on the trial of the others after one has succeeded.
-func (t *Tracker) wakeGroups(now task.Time, u *upstream) {
+// startGroupProbes brings on the trial of the others after one has succeeded.
+func (t *Tracker) startGroupProbes(now task.Time, u *upstream) {
 	for _, g := range u.groups {
 		if g == nil {
 			continue
@@ -98,7 +98,7 @@
 		for _, m := range g.members {
 			if m.state == ejected && m.until > now {
 				m.until = now
-				t.reweigh(m)
+				t.updateWeight(m)
 			}
 		}
 	}
--- a/core/health/health.go
+++ b/core/health/health.go
@@ -65,8 +65,8 @@
 
 const (
 	open state = iota
-	// away: unreachable, refusing, or suspect of failing everything.
-	away
+	// unavailable: unreachable, refusing, or suspect of failing everything.
+	unavailable
 	// ejected: closed for failures.
 	ejected
 	// probing: one slot is open until the first outcome.
@@ -80,21 +80,21 @@
 func (s state) String() string { return stateNames[s] }
 
 const (
-	// refusals in a row that close an upstream for a while; one refusal alone
+	// refusalThreshold in a row that close an upstream for a while; one refusal alone
 	// is a matter of the slot.
-	refusals = 3
-	// slowFrom is how much longer than expected tasks must run, in the mean,
+	refusalThreshold = 3
+	// slownessThreshold is how much longer than expected tasks must run, in the mean,
 	// before an upstream gets less.
-	slowFrom = 1.75
-	// slowGain is the weight of the newest run time in that mean.
-	slowGain = 1.0 / 16
-	// ratioLimit keeps a single run time from deciding.
-	ratioLimit = 8
-	// returnFrom is the first share of one that comes back.
-	returnFrom = 1.0 / 8
-	// calm is after how many times its last wait a closed upstream counts as
+	slownessThreshold = 1.75
+	// slownessGain is the weight of the newest run time in that mean.
+	slownessGain = 1.0 / 16
+	// maxSlowness keeps a single run time from deciding.
+	maxSlowness = 8
+	// initialShare is the first share of one that comes back.
+	initialShare = 1.0 / 8
+	// levelResetFactor is after how many times its last wait a closed upstream counts as
 	// cured, so that the next ejection begins with the first wait again.
-	calm = 10
+	levelResetFactor = 10
 	// MinWeight is the weight that leaves one slot open.
 	MinWeight = 1e-9
 )
@@ -102,24 +102,24 @@
 type upstream struct {
 	name  string
 	state state
-	// told is the state at the last change of weight.
-	told        state
-	until       task.Time
-	level       int
-	awayFor     int
-	closedAt    task.Time
-	wait        task.Time
-	refused     int
-	suspect     bool
-	share       float64
-	slowness    float64
-	weight      float64
-	services    []history
-	lastSuccess task.Time
-	pool        *pool
-	at          int
-	ceiling     *pool
-	groups      [2]*group
+	// reportedState is the state at the last change of weight.
+	reportedState    state
+	until            task.Time
+	ejectionLevel    int
+	unavailableLevel int
+	ejectedAt        task.Time
+	ejectionTime     task.Time
+	refused          int
+	suspect          bool
+	share            float64
+	slowness         float64
+	weight           float64
+	services         []history
+	lastSuccess      task.Time
+	institutionPool  *pool
+	poolIndex        int
+	domainPool       *pool
+	groups           [2]*group
 	// reporters are the peers that have closed it for failures.
 	reporters []string
 	spec      task.Upstream
@@ -161,7 +161,7 @@
 	rng       *rand.Rand
 	upstreams map[string]*upstream
 	services  map[string]int
-	order     []*upstream
+	sorted    []*upstream
 	changes   []Change
 	reports   map[string][]string
 	// ejected counts upstreams closed for failures or on trial.
@@ -202,20 +202,20 @@
 	}
 	switch r.Outcome {
 	case Succeeded:
-		t.succeeded(now, u, r)
+		t.observeSuccess(now, u, r)
 	case TaskFailed:
-		t.failed(now, u, t.serviceOf(u, r.Service))
+		t.observeFailure(now, u, t.historyFor(u, r.Service))
 	case Refused:
 		u.refused++
-		if u.refused >= refusals || u.state != open {
-			t.goAway(now, u)
+		if u.refused >= refusalThreshold || u.state != open {
+			t.setUnavailable(now, u)
 		}
 	case Unreachable:
-		t.goAway(now, u)
+		t.setUnavailable(now, u)
 	}
 }
 
-func (t *Tracker) serviceOf(u *upstream, name string) *history {
+func (t *Tracker) historyFor(u *upstream, name string) *history {
 	i, ok := t.services[name]
 	if !ok {
 		i = len(t.services)
@@ -227,12 +227,12 @@
 	return &u.services[i]
 }
 
-func (t *Tracker) succeeded(now task.Time, u *upstream, r Result) {
+func (t *Tracker) observeSuccess(now task.Time, u *upstream, r Result) {
 	if r.Slowness > 0 {
-		x := math.Log(min(max(r.Slowness, 1.0/ratioLimit), ratioLimit))
-		u.slowness += slowGain * (x - u.slowness)
+		x := math.Log(min(max(r.Slowness, 1.0/maxSlowness), maxSlowness))
+		u.slowness += slownessGain * (x - u.slowness)
 	}
-	h := t.serviceOf(u, r.Service)
+	h := t.historyFor(u, r.Service)
 	if h.failed&1 == 1 && r.Sent < h.failingSince {
 		// It began before the upstream began to fail. Counted, the tasks that
 		// were running then would hide for seconds that all later ones fail.
@@ -246,120 +246,120 @@
 		// A task sent before the ejection: it says nothing of the present.
 		return
 	case probing:
-		t.comeBack(u)
-		t.wakeGroups(now, u)
+		t.startReturning(u)
+		t.startGroupProbes(now, u)
 	case returning:
 		u.share = min(2*u.share, 1)
 		if u.share == 1 {
 			u.state = open
 		}
-	case away:
+	case unavailable:
 		u.state = open
 		u.suspect = false
 	}
-	t.reweigh(u)
+	t.updateWeight(u)
 }
 
-// comeBack opens an upstream step by step.
-func (t *Tracker) comeBack(u *upstream) {
+// startReturning opens an upstream step by step.
+func (t *Tracker) startReturning(u *upstream) {
 	t.stats.Returns++
-	t.count(u, -1)
+	t.countEjected(u, -1)
 	u.state = returning
-	u.share = returnFrom
+	u.share = initialShare
 	clear(u.services)
 }
 
-func (t *Tracker) failed(now task.Time, u *upstream, h *history) {
+func (t *Tracker) observeFailure(now task.Time, u *upstream, h *history) {
 	h.add(now, true)
 	u.refused = 0
 	switch u.state {
 	case ejected:
 		return
 	case probing:
-		t.count(u, -1)
+		t.countEjected(u, -1)
 		t.eject(now, u)
-		t.postponeGroups(now, u)
+		t.postponeGroupProbes(now, u)
 		return
 	}
-	switch t.judge(u, t.limit(u)) {
+	switch t.assess(u, t.ejectionThresholdFor(u)) {
 	case suspect:
 		u.suspect = true
-		t.goAway(now, u)
+		t.setUnavailable(now, u)
 	case broken:
 		t.eject(now, u)
 		t.ejectGroups(now, u)
 	}
 }
 
-// limit is the evidence that closes an upstream.
-func (t *Tracker) limit(u *upstream) float64 {
-	if u.state == returning || len(u.reporters) > 0 || t.beside(u) {
-		return enoughBeside
+// ejectionThresholdFor is the evidence that closes an upstream.
+func (t *Tracker) ejectionThresholdFor(u *upstream) float64 {
+	if u.state == returning || len(u.reporters) > 0 || t.groupHasEjection(u) {
+		return reducedEjectionThreshold
 	}
-	return enough
+	return ejectionThreshold
 }
 
 // eject closes an upstream for failures, within the ceiling; beyond it, it
 // keeps one slot.
 func (t *Tracker) eject(now task.Time, u *upstream) {
-	if (u.ceiling.ejected+1)*100 > t.cfg.MaxEjectedPercent*len(u.ceiling.members) {
+	if (u.domainPool.ejected+1)*100 > t.cfg.MaxEjectedPercent*len(u.domainPool.members) {
 		t.stats.CeilingHits++
 		u.state = returning
 		u.share = MinWeight
-		t.reweigh(u)
+		t.updateWeight(u)
 		return
 	}
 	t.stats.Ejections++
-	t.count(u, 1)
-	u.level++
-	if u.closedAt > 0 && now-u.closedAt > calm*u.wait {
-		u.level = 1
+	t.countEjected(u, 1)
+	u.ejectionLevel++
+	if u.ejectedAt > 0 && now-u.ejectedAt > levelResetFactor*u.ejectionTime {
+		u.ejectionLevel = 1
 	}
 	u.state = ejected
-	u.closedAt = now
-	u.wait = backOff(t.rng, t.cfg.BaseEjectionTime, t.cfg.MaxEjectionTime, u.level-1)
-	u.until = now + u.wait
-	t.reweigh(u)
+	u.ejectedAt = now
+	u.ejectionTime = backoff(t.rng, t.cfg.BaseEjectionTime, t.cfg.MaxEjectionTime, u.ejectionLevel-1)
+	u.until = now + u.ejectionTime
+	t.updateWeight(u)
 }
 
-// count takes account of an upstream closed for failures, or no longer so.
-func (t *Tracker) count(u *upstream, n int) {
-	u.ceiling.ejected += n
+// countEjected takes account of an upstream closed for failures, or no longer so.
+func (t *Tracker) countEjected(u *upstream, n int) {
+	u.domainPool.ejected += n
 	t.ejected += n
 }
 
-// goAway closes an upstream that can't be reached or refuses.
-func (t *Tracker) goAway(now task.Time, u *upstream) {
-	if u.state == ejected || u.state == away && now < u.until {
+// setUnavailable closes an upstream that can't be reached or refuses.
+func (t *Tracker) setUnavailable(now task.Time, u *upstream) {
+	if u.state == ejected || u.state == unavailable && now < u.until {
 		return
 	}
 	t.stats.Away++
 	switch u.state {
 	case probing:
-		t.count(u, -1)
+		t.countEjected(u, -1)
 		t.eject(now, u)
 		return
-	case away:
-		u.awayFor++
+	case unavailable:
+		u.unavailableLevel++
 	default:
-		u.awayFor = 0
+		u.unavailableLevel = 0
 	}
-	u.state = away
-	u.until = now + backOff(t.rng, t.cfg.BaseUnavailableTime, t.cfg.MaxUnavailableTime, u.awayFor)
+	u.state = unavailable
+	u.until = now + backoff(t.rng, t.cfg.BaseUnavailableTime, t.cfg.MaxUnavailableTime, u.unavailableLevel)
 	u.refused = 0
-	t.reweigh(u)
+	t.updateWeight(u)
 }
 
 // MarkUnavailable makes an upstream go away for a while at somebody else's wish, such
 // as a retry budget that is spent.
 func (t *Tracker) MarkUnavailable(now task.Time, name string) {
 	if u := t.upstreams[name]; u != nil && !t.cfg.Disabled {
-		t.goAway(now, u)
+		t.setUnavailable(now, u)
 	}
 }
 
-// backOff is a jittered wait that doubles with the level, counted from 0.
-func backOff(rng *rand.Rand, first, limit time.Duration, level int) task.Time {
+// backoff is a jittered wait that doubles with the level, counted from 0.
+func backoff(rng *rand.Rand, first, limit time.Duration, level int) task.Time {
 	d := limit
 	if level < 20 {
 		d = min(first<<level, limit)
@@ -369,66 +369,66 @@
 
 // Tick opens what is due.
 func (t *Tracker) Tick(now task.Time) {
-	for _, u := range t.order {
+	for _, u := range t.sorted {
 		if now < u.until || u.until == 0 {
 			continue
 		}
 		switch u.state {
 		case ejected:
-			if t.triedElsewhere(now, u) {
+			if t.deferProbe(now, u) {
 				continue
 			}
 			t.stats.Probes++
 			u.state = probing
 			u.until = 0
-			t.reweigh(u)
-		case away:
-			t.endAway(now, u)
+			t.updateWeight(u)
+		case unavailable:
+			t.endUnavailable(now, u)
 		}
 	}
 }
 
-// endAway lets one task try an upstream that was away, or closes one for good
+// endUnavailable lets one task try an upstream that was away, or closes one for good
 // that was suspect if others have done well meanwhile. The state stays away,
 // so that a second failure waits longer.
-func (t *Tracker) endAway(now task.Time, u *upstream) {
+func (t *Tracker) endUnavailable(now task.Time, u *upstream) {
 	u.until = 0
 	wasSuspect := u.suspect
 	u.suspect = false
-	if wasSuspect && t.judge(u, t.limit(u)) == broken {
+	if wasSuspect && t.assess(u, t.ejectionThresholdFor(u)) == broken {
 		t.eject(now, u)
 		t.ejectGroups(now, u)
 		return
 	}
-	t.reweigh(u)
+	t.updateWeight(u)
 }
 
-// reweigh records the weight that follows from the state if it has changed.
-func (t *Tracker) reweigh(u *upstream) {
+// updateWeight records the weight that follows from the state if it has changed.
+func (t *Tracker) updateWeight(u *upstream) {
 	w := 1.0
 	until := task.Time(0)
 	switch {
-	case u.state == ejected, u.state == away && u.until > 0:
+	case u.state == ejected, u.state == unavailable && u.until > 0:
 		w = 0
 		until = u.until
-	case u.state == probing, u.state == away:
+	case u.state == probing, u.state == unavailable:
 		w = MinWeight
 	default:
-		w = u.share * speed(u.slowness)
+		w = u.share * slownessShare(u.slowness)
 	}
 	if w == u.weight && until == 0 {
 		return
 	}
 	u.weight = w
-	t.changes = append(t.changes, Change{u.name, w, until, u.state.String(), u.state != u.told})
-	u.told = u.state
+	t.changes = append(t.changes, Change{u.name, w, until, u.state.String(), u.state != u.reportedState})
+	u.reportedState = u.state
 }
 
-// speed is the share for an upstream whose tasks run longer than expected, in
+// slownessShare is the share for an upstream whose tasks run longer than expected, in
 // steps of an eighth so that noise doesn't make the weight flap.
-func speed(slowness float64) float64 {
+func slownessShare(slowness float64) float64 {
 	factor := math.Exp(slowness)
-	if factor < slowFrom {
+	if factor < slownessThreshold {
 		return 1
 	}
 	const steps = 8
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -19,7 +19,7 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-const label = "label"
+const service = "label"
 
 // upstreams lists two racks of eight in one failure domain.
 func upstreams() []task.Upstream {
@@ -37,10 +37,10 @@
 	return list
 }
 
-// seasoned returns a tracker all of whose upstreams have been doing well.
-func seasoned() *health.Tracker { return seasonedWith(health.DefaultConfig()) }
+// healthyTracker returns a tracker all of whose upstreams have been doing well.
+func healthyTracker() *health.Tracker { return healthyTrackerWith(health.DefaultConfig()) }
 
-func seasonedWith(cfg health.Config) *health.Tracker {
+func healthyTrackerWith(cfg health.Config) *health.Tracker {
 	t := health.New(cfg, rand.New(rand.NewPCG(1, 2)))
 	t.SetMembers(upstreams())
 	for range 10 {
@@ -53,7 +53,7 @@
 }
 
 func observe(t *health.Tracker, now task.Time, name string, o health.Outcome, slowness float64) {
-	t.Observe(now, health.Result{Upstream: name, Service: label, Outcome: o, Sent: now, Slowness: slowness})
+	t.Observe(now, health.Result{Upstream: name, Service: service, Outcome: o, Sent: now, Slowness: slowness})
 }
 
 func fail(t *health.Tracker, now task.Time, names ...string) {
@@ -68,15 +68,15 @@
 	}
 }
 
-// breakRack makes two upstreams of the first rack fail while the second rack
+// failRack makes two upstreams of the first rack fail while the second rack
 // does well.
-func breakRack(t *health.Tracker) {
+func failRack(t *health.Tracker) {
 	fail(t, time.Second, "u00")
 	succeed(t, time.Second, "u08", "u09", "u10")
 	fail(t, time.Second, "u00", "u01")
 }
 
-func closed(t *health.Tracker) int {
+func closedCount(t *health.Tracker) int {
 	n := 0
 	for _, u := range upstreams() {
 		if t.Weight(u.Name) == 0 {
@@ -91,7 +91,7 @@
 // it spoils it, and kitchens would see one job after another fail.
 func TestUpstreamThatFailsEverythingIsClosedAfterTwoTasks(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
+	h := healthyTracker()
 	fail(h, time.Second, "u03")
 	g.Expect(h.Weight("u03")).To(gomega.Equal(1.0))
 	fail(h, time.Second, "u03")
@@ -100,7 +100,7 @@
 	succeed(h, time.Second+time.Millisecond, "u00", "u08", "u09")
 	h.Tick(time.Second + 60*time.Millisecond)
 	g.Expect(h.Ejected()).To(gomega.Equal([]string{"u03"}))
-	g.Expect(closed(h)).To(gomega.Equal(1))
+	g.Expect(closedCount(h)).To(gomega.Equal(1))
 }
 
 // One kitchen sends recipe sheets that can't be composed. They fail wherever
@@ -108,7 +108,7 @@
 // other kitchens.
 func TestBadPayloadsCloseNoUpstream(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
+	h := healthyTracker()
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 4000 {
 		name := upstreams()[rng.IntN(16)].Name
@@ -125,7 +125,7 @@
 // is to blame, and with half of them closed the rest would only be asked more.
 func TestServiceThatFailsEverywhereClosesNoUpstream(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
+	h := healthyTracker()
 	rng := rand.New(rand.NewPCG(5, 6))
 	for i := range 2000 {
 		now := time.Second + time.Duration(i)*time.Millisecond
@@ -141,45 +141,45 @@
 // upstream by upstream, that costs jobs sixteen times; as a rack, three.
 func TestRackThatFailsEverythingIsClosedAsOne(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
-	breakRack(h)
-	g.Expect(closed(h)).To(gomega.Equal(8))
+	h := healthyTracker()
+	failRack(h)
+	g.Expect(closedCount(h)).To(gomega.Equal(8))
 	g.Expect(h.Weight("u07")).To(gomega.BeZero())
 	g.Expect(h.Weight("u08")).To(gomega.Equal(1.0))
 }
 
 // A whole rack stays broken for long. Each trial costs a caller's job, so
 // there must be one a wait for the rack, and the waits must grow.
-func TestBrokenRackIsTriedOnceAWait(t *testing.T) {
+func TestBrokenRackIsProbedOncePerInterval(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
-	breakRack(h)
-	tried := 0
+	h := healthyTracker()
+	failRack(h)
+	probes := 0
 	for now := time.Second; now < 61*time.Second; now += 10 * time.Millisecond {
 		h.Tick(now)
 		for i := range 8 {
 			if name := fmt.Sprintf("u%02d", i); h.Weight(name) > 0 {
-				tried++
+				probes++
 				fail(h, now, name)
 			}
 		}
 	}
-	g.Expect(tried).To(gomega.BeNumerically("<=", 12))
-	g.Expect(tried).To(gomega.BeNumerically(">=", 3))
+	g.Expect(probes).To(gomega.BeNumerically("<=", 12))
+	g.Expect(probes).To(gomega.BeNumerically(">=", 3))
 }
 
 // Long tasks were running on the runner when its disk filled up, and they end
 // well while every new one fails. They must not pass for a sign of health.
-func TestTasksBegunBeforeTheFaultProveNothing(t *testing.T) {
+func TestSuccessOfTaskSentBeforeTheFaultIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
+	h := healthyTracker()
 	succeed(h, 2*time.Second, "u00", "u08", "u09")
 	for i := range 2 {
 		now := 2*time.Second + time.Duration(i)*time.Millisecond
 		fail(h, now, "u03")
 		succeed(h, now, "u00", "u08", "u09")
 		for range 5 {
-			h.Observe(now, health.Result{Upstream: "u03", Service: label, Outcome: health.Succeeded, Sent: time.Second})
+			h.Observe(now, health.Result{Upstream: "u03", Service: service, Outcome: health.Succeeded, Sent: time.Second})
 		}
 	}
 	h.Tick(3 * time.Second)
@@ -188,9 +188,9 @@
 
 // The runner's disk was cleaned. It must come back, but not with all slots at
 // once, since nobody knows yet whether it is cured.
-func TestCuredUpstreamComesBackStepByStep(t *testing.T) {
+func TestRecoveredUpstreamReturnsInSteps(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
+	h := healthyTracker()
 	fail(h, time.Second, "u03")
 	succeed(h, time.Second, "u00", "u08", "u09")
 	fail(h, time.Second, "u03")
@@ -207,18 +207,18 @@
 // A runner's process is gone and connections are refused: nothing is lost by
 // trying, but each try is a wasted message. It is tried at growing intervals
 // and at once in full use when it answers.
-func TestUnreachableUpstreamIsLeftAloneForGrowingWaits(t *testing.T) {
+func TestUnreachableUpstreamIsRetriedAtGrowingIntervals(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
-	tries := 0
+	h := healthyTracker()
+	attempts := 0
 	for now := task.Time(0); now < 30*time.Second; now += time.Millisecond {
 		h.Tick(now)
 		if h.Weight("u05") > 0 {
-			tries++
+			attempts++
 			observe(h, now, "u05", health.Unreachable, 0)
 		}
 	}
-	g.Expect(tries).To(gomega.BeNumerically("<=", 25))
+	g.Expect(attempts).To(gomega.BeNumerically("<=", 25))
 	h.Tick(40 * time.Second)
 	observe(h, 40*time.Second, "u05", health.Succeeded, 1)
 	g.Expect(h.Weight("u05")).To(gomega.Equal(1.0))
@@ -226,9 +226,9 @@
 
 // A worker is overfilled, because the declared sizes are far off, and its tasks
 // take three times as long as elsewhere. Fewer at once must go there.
-func TestSlowUpstreamGetsLess(t *testing.T) {
+func TestSlowUpstreamGetsFewerSlots(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
+	h := healthyTracker()
 	rng := rand.New(rand.NewPCG(7, 8))
 	for range 200 {
 		spread := 0.3 + 1.4*rng.Float64()
@@ -242,11 +242,11 @@
 
 // Seven entry VMs each find that a runner fails everything. If each tried it
 // again by itself, the runner would cost seven jobs where one is enough.
-func TestOneProcessTriesForAll(t *testing.T) {
+func TestOneProcessProbesForAll(t *testing.T) {
 	g := gomega.NewWithT(t)
 	cfg := health.DefaultConfig()
 	cfg.Self = "entry-2"
-	h := seasonedWith(cfg)
+	h := healthyTrackerWith(cfg)
 	h.SetPeerReport("entry-1", []string{"u03"})
 	fail(h, time.Second, "u03")
 	succeed(h, time.Second, "u00", "u08", "u09")
@@ -266,7 +266,7 @@
 // between 0 and 1.
 func TestCeilingOnEjections(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		h := seasoned()
+		h := healthyTracker()
 		now := task.Time(0)
 		steps := rapid.IntRange(50, 400).Draw(rt, "steps")
 		broken := rapid.Uint16().Draw(rt, "broken")
@@ -292,7 +292,7 @@
 }
 
 func BenchmarkObserveSuccess(b *testing.B) {
-	h := seasoned()
+	h := healthyTracker()
 	b.ReportAllocs()
 	for b.Loop() {
 		observe(h, time.Second, "u03", health.Succeeded, 1)
--- a/core/health/members.go
+++ b/core/health/members.go
@@ -24,7 +24,7 @@
 func (t *Tracker) SetMembers(list []task.Upstream) {
 	known := t.upstreams
 	t.upstreams = make(map[string]*upstream, len(list))
-	t.order = t.order[:0]
+	t.sorted = t.sorted[:0]
 	for _, spec := range list {
 		u := known[spec.Name]
 		if u == nil || u.spec.Address != spec.Address {
@@ -32,24 +32,24 @@
 		}
 		u.spec = spec
 		t.upstreams[spec.Name] = u
-		t.order = append(t.order, u)
+		t.sorted = append(t.sorted, u)
 	}
-	slices.SortFunc(t.order, func(a, b *upstream) int { return cmp.Compare(a.name, b.name) })
+	slices.SortFunc(t.sorted, func(a, b *upstream) int { return cmp.Compare(a.name, b.name) })
 	t.regroup()
 }
 
 func (t *Tracker) regroup() {
-	pools := make(map[string]*pool)
-	ceilings := make(map[[2]string]*pool)
+	institutionPools := make(map[string]*pool)
+	domainPools := make(map[[2]string]*pool)
 	groups := make(map[[3]string]*group)
 	t.ejected = 0
-	for _, u := range t.order {
+	for _, u := range t.sorted {
 		s := u.spec
-		u.pool = join(pools, s.Institution, u)
-		u.at = len(u.pool.members) - 1
-		u.ceiling = join(ceilings, [2]string{s.Institution, s.FailureDomain}, u)
+		u.institutionPool = join(institutionPools, s.Institution, u)
+		u.poolIndex = len(u.institutionPool.members) - 1
+		u.domainPool = join(domainPools, [2]string{s.Institution, s.FailureDomain}, u)
 		if u.state == ejected || u.state == probing {
-			t.count(u, 1)
+			t.countEjected(u, 1)
 		}
 		u.groups = [2]*group{
 			joinGroup(groups, [3]string{"worker", s.FailureDomain, s.Worker}, u),
--- a/core/health/share.go
+++ b/core/health/peers.go
@@ -7,9 +7,9 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// shareWait is how long a trial is put off at a time while another process
+// probeDeferral is how long a trial is put off at a time while another process
 // makes it.
-const shareWait = time.Second
+const probeDeferral = time.Second
 
 // Ejected lists the upstreams that this process has closed for failures, for
 // its peers.
@@ -18,7 +18,7 @@
 		return nil
 	}
 	var list []string
-	for _, u := range t.order {
+	for _, u := range t.sorted {
 		if u.state == ejected || u.state == probing {
 			list = append(list, u.name)
 		}
@@ -51,12 +51,12 @@
 	}
 }
 
-// triedElsewhere puts off the trial of an upstream that another process makes.
-func (t *Tracker) triedElsewhere(now task.Time, u *upstream) bool {
+// deferProbe puts off the trial of an upstream that another process makes.
+func (t *Tracker) deferProbe(now task.Time, u *upstream) bool {
 	if !slices.ContainsFunc(u.reporters, func(p string) bool { return p < t.cfg.Self }) {
 		return false
 	}
-	u.until = now + shareWait
-	t.reweigh(u)
+	u.until = now + probeDeferral
+	t.updateWeight(u)
 	return true
 }
--- a/core/health/report.go
+++ b/core/health/report.go
@@ -31,7 +31,7 @@
 // Dump lists the upstreams that aren't in full use, by name.
 func (t *Tracker) Dump() []Status {
 	var list []Status
-	for _, u := range t.order {
+	for _, u := range t.sorted {
 		if u.state == open && u.weight == 1 {
 			continue
 		}
