--- a/core/health/evidence.go
+++ b/core/health/evidence.go
@@ -7,40 +7,41 @@
 )
 
 const (
-	// historyLength is how many outcomes of an upstream are kept for each service.
+	// historyLength is the number of outcomes kept for each upstream and service.
 	historyLength = 16
-	// comparedOutcomes is how many of them count when it is compared with; fewer,
-	// so that a fault of the service itself shows within a few tasks.
+	// comparedOutcomes is how many of them count when another upstream is compared with this
+	// one. It is smaller, so that a fault of the service itself shows within a few tasks.
 	comparedOutcomes = 8
-	// maxComparedUpstreams and othersScanned bound the comparison's cost.
+	// maxComparedUpstreams and maxScannedUpstreams limit the cost of the comparison.
 	maxComparedUpstreams = 64
 	maxScannedUpstreams  = 256
 
-	// brokenFailureRate is the rate of failures of an upstream worth closing.
+	// brokenFailureRate is the failure rate of an upstream that is worth ejecting.
 	brokenFailureRate = 0.5
-	// minFailureRate is the least rate taken for the others. Lower, and a single
-	// failure would close an upstream.
+	// minFailureRate is the minimum failure rate assumed for the other upstreams. With a lower
+	// one, a single failure would eject an upstream.
 	minFailureRate = 0.01
-	// Until others have been seen, they are taken to fail one time in four.
+	// priorFailures of priorTotal is the failure rate assumed before other upstreams have any
+	// outcomes: one in four.
 	priorFailures = 0.5
 	priorTotal    = 2
 
-	// ejectionThreshold is the log-likelihood ratio that closes an upstream: two failures
-	// in a row while the others hardly fail, and never if they fail as often.
+	// ejectionThreshold is the log-likelihood ratio that ejects an upstream. Two failures in a
+	// row reach it if the others hardly fail; it is never reached if they fail as often.
 	ejectionThreshold = 7.5
-	// reducedEjectionThreshold holds while another upstream of the same worker or rack is
-	// closed: one failure.
+	// reducedEjectionThreshold applies to a returning upstream, to one that a peer has ejected,
+	// and while another upstream of the same worker or rack is ejected. One failure reaches it.
 	reducedEjectionThreshold = 3.5
-	// minSucceedingOthers is how many others must have done well since an upstream began
-	// to fail before it is closed for it.
+	// minSucceedingOthers is how many other upstreams must have succeeded with the service
+	// since an upstream began to fail before it is ejected.
 	minSucceedingOthers = 3
 )
 
-// history is the latest outcomes of one service, the newest in the lowest bit.
+// history has the latest outcomes of one service on one upstream, the newest in the lowest bit.
 type history struct {
 	failed uint16
 	count  uint8
-	// failingSince is when the latest unbroken row of failures began.
+	// failingSince is when the latest series of consecutive failures began.
 	failingSince task.Time
 	lastSuccess  task.Time
 }
@@ -58,7 +59,7 @@
 	h.count = min(h.count+1, historyLength)
 }
 
-// recentFailures counts failures among the newest outcomes, n at most.
+// recentFailures counts the failures among the newest n outcomes.
 func (h *history) recentFailures(n uint8) (failures, total float64) {
 	n = min(h.count, n)
 	for i := range n {
@@ -67,8 +68,8 @@
 	return failures, float64(n)
 }
 
-// likelihoodRatio is the greatest log-likelihood likelihoodRatio, over all recent spans, of a
-// broken upstream against one that fails at the given rate.
+// likelihoodRatio is the greatest log-likelihood ratio, over all series of newest outcomes, of
+// a broken upstream against one that fails at the given rate.
 func (h *history) likelihoodRatio(rate float64) float64 {
 	if rate >= brokenFailureRate {
 		return 0
@@ -87,14 +88,14 @@
 	return best
 }
 
-// othersFailureRate is the rate at which a service fails on the institution's other
-// upstreams, how many of them have had a success with it since a time, and how
-// many are known to run it.
+// othersFailureRate returns the rate at which a service fails on the institution's other
+// upstreams, how many of them have succeeded with it since the given time, and how many are
+// known to run it.
 //
-// A caller that sends payloads which can't succeed makes every upstream fail;
-// without the comparison all would be closed for one caller's fault. Those
-// that have only failed since that time are left out: they may be broken too,
-// as in a rack without power, and would then excuse each other.
+// If a caller sends payloads that can't succeed, every upstream fails. Without the comparison,
+// all would be ejected because of one caller. Upstreams that have only failed since that time
+// are left out: they may be broken too, as in a rack without power, and would raise the rate
+// so that none of the rack is ejected.
 func (t *Tracker) othersFailureRate(u *upstream, service int, since task.Time) (rate float64, succeeding, known int) {
 	failures, total := priorFailures, float64(priorTotal)
 	others := u.institutionPool.members
@@ -116,19 +117,19 @@
 	return max(failures/total, minFailureRate), succeeding, known
 }
 
-// assessment is what the outcomes of an upstream say.
+// assessment is the conclusion from the outcomes of an upstream.
 type assessment uint8
 
 const (
 	healthy assessment = iota
-	// suspect: it fails, and nobody has done better in the meantime.
+	// suspect: the upstream fails, and too few others have succeeded in the meantime.
 	suspect
 	broken
 )
 
-// assess weighs the evidence against an upstream over all services. Before
-// others have done well since it began to fail, it may be the service or the
-// payloads that fail, and then it is only suspect.
+// assess weighs the evidence against an upstream over all services. The cause may be the
+// service or its payloads, so the upstream is only suspect until enough others have succeeded
+// since it began to fail.
 func (t *Tracker) assess(u *upstream, limit float64) assessment {
 	var confirmed, unconfirmed float64
 	for service := range u.services {
--- a/core/health/group.go
+++ b/core/health/group.go
@@ -2,12 +2,11 @@
 
 import "sapphirepoint.example/sapphirepoint/core/task"
 
-// minGroupEjections is how many closed upstreams put their whole worker or rack under
-// suspicion.
+// minGroupEjections is the number of ejected upstreams from which their whole worker or rack
+// may be ejected.
 const minGroupEjections = 2
 
-// groupHasEjection says whether another upstream of the same worker or rack is closed
-// for failures.
+// groupHasEjection reports whether another upstream of the same worker or rack is ejected.
 func (t *Tracker) groupHasEjection(u *upstream) bool {
 	for _, g := range u.groups {
 		if g.ejectedCount(u) > 0 {
@@ -17,7 +16,7 @@
 	return false
 }
 
-// ejectedCount counts the members ejectedCount for failures, but for one.
+// ejectedCount returns the number of members that are ejected or probing, without except.
 func (g *group) ejectedCount(except *upstream) int {
 	if g == nil {
 		return 0
@@ -31,11 +30,11 @@
 	return n
 }
 
-// ejectGroups closes the rest of a worker or rack once several of it are
-// closed and none of the rest has had a success since the first of them.
+// ejectGroups ejects the rest of a worker or rack if several of its upstreams are ejected and
+// none of the rest has succeeded since the first ejection.
 //
-// A rack that fails everything would else cost the jobs that it takes to learn
-// it of each of its upstreams.
+// Otherwise a rack that fails every task would cost the jobs that it takes to detect this
+// for each of its upstreams.
 func (t *Tracker) ejectGroups(now task.Time, u *upstream) {
 	for _, g := range u.groups {
 		if g.ejectedCount(nil) < minGroupEjections || g.succeededSinceEjection() {
@@ -65,8 +64,8 @@
 	return false
 }
 
-// postponeGroupProbes puts off the trial of the others after one of them has
-// failed again, so that a group costs one task a trial and not one a member.
+// postponeGroupProbes postpones the probes of the other members after a probe of one has
+// failed, so that probing a group costs one task and not one for each member.
 func (t *Tracker) postponeGroupProbes(now task.Time, failed *upstream) {
 	if failed.state != ejected {
 		return
@@ -89,7 +88,7 @@
 	}
 }
 
-// startGroupProbes brings on the trial of the others after one has succeeded.
+// startGroupProbes makes the probes of the other members due after a probe has succeeded.
 func (t *Tracker) startGroupProbes(now task.Time, u *upstream) {
 	for _, g := range u.groups {
 		if g == nil {
--- a/core/health/health.go
+++ b/core/health/health.go
@@ -1,12 +1,11 @@
-// Package health decides how much work each upstream attracts, from what its
-// own tasks came to. No probe messages are sent: the tasks are the probes.
+// Package health decides from the outcomes of tasks how many slots of each upstream may be
+// used. No separate probe messages are sent: a probe is a task.
 //
-// An upstream that fails everything looks idle and fast. It is closed after a
-// couple of failures that the other upstreams don't share, alone or with its
-// whole worker or rack, and comes back through a single slot after a wait that
-// doubles. One that can't be reached or refuses is closed for a short wait.
-// One that is slow gets fewer slots. How many may be closed for failures at
-// once is limited.
+// An upstream on which every task fails quickly looks idle and fast. It is ejected after a few
+// failures that the other upstreams don't share, alone or with its whole worker or rack, and
+// returns through a single slot after a wait that doubles with each ejection. One that is
+// unreachable or refuses tasks is closed for a short time. One that is slow gets fewer slots.
+// The number of upstreams ejected at once is limited.
 package health
 
 import (
@@ -17,40 +16,40 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// Outcome is what a task start says of the upstream.
+// Outcome is the outcome of a task start as far as it concerns the upstream.
 type Outcome uint8
 
 // The outcomes.
 const (
 	// Succeeded: the task ran to its end.
 	Succeeded Outcome = iota
-	// TaskFailed: it ran and failed, or nobody can tell what became of it.
+	// TaskFailed: the task ran and failed, or its result is unknown.
 	TaskFailed
-	// Refused: the upstream answered that it won't run it.
+	// Refused: the upstream answered that it doesn't run the task.
 	Refused
-	// Unreachable: no connection, or it fell silent.
+	// Unreachable: there is no connection, or the upstream stopped answering.
 	Unreachable
 )
 
-// Config is the limits; times as durations.
+// Config has the limits of the tracker.
 type Config struct {
-	// BaseEjectionTime is how long an upstream stays closed after its first
-	// ejection; each further one in a row doubles it up to MaxEjectionTime.
+	// BaseEjectionTime is how long the first ejection of an upstream lasts. Each further
+	// consecutive ejection lasts twice as long, up to MaxEjectionTime.
 	BaseEjectionTime, MaxEjectionTime time.Duration
-	// BaseUnavailableTime and MaxUnavailableTime are the same for one that can't be reached.
+	// BaseUnavailableTime and MaxUnavailableTime are the same for an unreachable upstream.
 	BaseUnavailableTime, MaxUnavailableTime time.Duration
-	// MaxEjectedPercent limits the upstreams of an institution in a failure
-	// domain that are closed for failures at once.
+	// MaxEjectedPercent limits the upstreams of an institution in a failure domain that are
+	// ejected at once.
 	MaxEjectedPercent int
 	// Self is the name by which peers list this process.
 	Self string
-	// IgnorePeers ignores what peers report.
+	// IgnorePeers ignores the ejections that peers report.
 	IgnorePeers bool
-	// Disabled gives every upstream its full weight, to compare with.
+	// Disabled gives every upstream its full weight, for comparison.
 	Disabled bool
 }
 
-// DefaultConfig returns the usual limits.
+// DefaultConfig returns the default limits.
 func DefaultConfig() Config {
 	return Config{
 		BaseEjectionTime:    2 * time.Second,
@@ -65,9 +64,9 @@
 
 const (
 	open state = iota
-	// unavailable: unreachable, refusing, or suspect of failing everything.
+	// unavailable, "away" by name: unreachable, refusing, or suspected of failing every task.
 	unavailable
-	// ejected: closed for failures.
+	// ejected: closed because of failures.
 	ejected
 	// probing: one slot is open until the first outcome.
 	probing
@@ -80,20 +79,20 @@
 func (s state) String() string { return stateNames[s] }
 
 const (
-	// refusalThreshold in a row that close an upstream for a while; one refusal alone
-	// is a matter of the slot.
+	// refusalThreshold is the number of consecutive refusals that close an upstream for a
+	// while. A single refusal may concern the slot only.
 	refusalThreshold = 3
-	// slownessThreshold is how much longer than expected tasks must run, in the mean,
-	// before an upstream gets less.
+	// slownessThreshold is the mean of run time over expected run time from which an upstream
+	// gets fewer slots.
 	slownessThreshold = 1.75
 	// slownessGain is the weight of the newest run time in that mean.
 	slownessGain = 1.0 / 16
-	// maxSlowness keeps a single run time from deciding.
+	// maxSlowness limits the effect of a single run time on the mean.
 	maxSlowness = 8
-	// initialShare is the first share of one that comes back.
+	// initialShare is the first share of a returning upstream.
 	initialShare = 1.0 / 8
-	// levelResetFactor is after how many times its last wait a closed upstream counts as
-	// cured, so that the next ejection begins with the first wait again.
+	// levelResetFactor is the number of its last ejection times after which an upstream counts
+	// as recovered, so that the next ejection lasts BaseEjectionTime again.
 	levelResetFactor = 10
 	// MinWeight is the weight that leaves one slot open.
 	MinWeight = 1e-9
@@ -102,7 +101,7 @@
 type upstream struct {
 	name  string
 	state state
-	// reportedState is the state at the last change of weight.
+	// reportedState is the state in the latest Change.
 	reportedState    state
 	until            task.Time
 	ejectionLevel    int
@@ -120,7 +119,7 @@
 	poolIndex        int
 	domainPool       *pool
 	groups           [2]*group
-	// reporters are the peers that have closed it for failures.
+	// reporters are the peers that have ejected the upstream.
 	reporters []string
 	spec      task.Upstream
 }
@@ -132,15 +131,15 @@
 	return &u.services[service]
 }
 
-// Change is a new weight of an upstream: 0 closes it, else it is the share of
-// its slots that may be used, one slot at least.
+// Change is a new weight of an upstream: 0 closes it, otherwise it is the share of its slots
+// that may be used, but at least one slot.
 type Change struct {
 	Upstream string
 	Weight   float64
-	// Until is when a closed one is due for a trial; 0 if it isn't closed.
+	// Until is when a closed upstream may be used again; 0 if it isn't closed.
 	Until task.Time
-	// State is the name of its state; NewState says that the last change had
-	// another.
+	// State is the name of the upstream's state. NewState: the state differs from that of the
+	// previous change.
 	State    string
 	NewState bool
 }
@@ -155,7 +154,7 @@
 	Returns        uint64 `json:"returns"`
 }
 
-// Tracker is the health of the upstreams as one process sees it.
+// Tracker tracks the health of the upstreams from the outcomes that one process observes.
 type Tracker struct {
 	cfg       Config
 	rng       *rand.Rand
@@ -164,12 +163,12 @@
 	sorted    []*upstream
 	changes   []Change
 	reports   map[string][]string
-	// ejected counts upstreams closed for failures or on trial.
+	// ejected is the number of upstreams that are ejected or probing.
 	ejected int
 	stats   Stats
 }
 
-// New returns an empty tracker. The random source jitters waits.
+// New returns an empty tracker. The random source is for the jitter of waits.
 func New(cfg Config, rng *rand.Rand) *Tracker {
 	return &Tracker{
 		cfg:       cfg,
@@ -183,18 +182,17 @@
 // Stats returns the counters.
 func (t *Tracker) Stats() Stats { return t.stats }
 
-// Result is what became of one task start.
+// Result is the result of one task start.
 type Result struct {
 	Upstream, Service string
 	Outcome           Outcome
 	// Sent is when the task was sent.
 	Sent task.Time
-	// Slowness is the task's run time over what was expected of it; 0 if it
-	// isn't known.
+	// Slowness is the task's run time divided by the expected one; 0 if it isn't known.
 	Slowness float64
 }
 
-// Observe takes a result.
+// Observe records a result.
 func (t *Tracker) Observe(now task.Time, r Result) {
 	u := t.upstreams[r.Upstream]
 	if u == nil || t.cfg.Disabled {
@@ -234,8 +232,8 @@
 	}
 	h := t.historyFor(u, r.Service)
 	if h.failed&1 == 1 && r.Sent < h.failingSince {
-		// It began before the upstream began to fail. Counted, the tasks that
-		// were running then would hide for seconds that all later ones fail.
+		// The task was sent before the upstream began to fail. If the tasks that ran at that
+		// time counted, they would hide for seconds that all later ones fail.
 		return
 	}
 	h.add(now, false)
@@ -243,7 +241,7 @@
 	u.lastSuccess = r.Sent
 	switch u.state {
 	case ejected:
-		// A task sent before the ejection: it says nothing of the present.
+		// The task was sent before the ejection and doesn't show that the upstream has recovered.
 		return
 	case probing:
 		t.startReturning(u)
@@ -260,7 +258,7 @@
 	t.updateWeight(u)
 }
 
-// startReturning opens an upstream step by step.
+// startReturning opens an upstream in steps after a successful probe.
 func (t *Tracker) startReturning(u *upstream) {
 	t.stats.Returns++
 	t.countEjected(u, -1)
@@ -291,7 +289,7 @@
 	}
 }
 
-// ejectionThresholdFor is the evidence that closes an upstream.
+// ejectionThresholdFor returns the log-likelihood ratio that ejects an upstream.
 func (t *Tracker) ejectionThresholdFor(u *upstream) float64 {
 	if u.state == returning || len(u.reporters) > 0 || t.groupHasEjection(u) {
 		return reducedEjectionThreshold
@@ -299,8 +297,8 @@
 	return ejectionThreshold
 }
 
-// eject closes an upstream for failures, within the ceiling; beyond it, it
-// keeps one slot.
+// eject ejects an upstream. If the limit on ejections is reached, the upstream keeps one slot
+// instead.
 func (t *Tracker) eject(now task.Time, u *upstream) {
 	if (u.domainPool.ejected+1)*100 > t.cfg.MaxEjectedPercent*len(u.domainPool.members) {
 		t.stats.CeilingHits++
@@ -322,13 +320,13 @@
 	t.updateWeight(u)
 }
 
-// countEjected takes account of an upstream closed for failures, or no longer so.
+// countEjected adds n to the numbers of ejected upstreams.
 func (t *Tracker) countEjected(u *upstream, n int) {
 	u.domainPool.ejected += n
 	t.ejected += n
 }
 
-// setUnavailable closes an upstream that can't be reached or refuses.
+// setUnavailable closes an upstream that is unreachable, refuses tasks or is suspect.
 func (t *Tracker) setUnavailable(now task.Time, u *upstream) {
 	if u.state == ejected || u.state == unavailable && now < u.until {
 		return
@@ -350,15 +348,15 @@
 	t.updateWeight(u)
 }
 
-// MarkUnavailable makes an upstream go away for a while at somebody else's wish, such
-// as a retry budget that is spent.
+// MarkUnavailable closes an upstream for a while for another reason than an outcome, such as
+// an exhausted retry budget.
 func (t *Tracker) MarkUnavailable(now task.Time, name string) {
 	if u := t.upstreams[name]; u != nil && !t.cfg.Disabled {
 		t.setUnavailable(now, u)
 	}
 }
 
-// backoff is a jittered wait that doubles with the level, counted from 0.
+// backoff returns a jittered wait that doubles with each level, starting at level 0.
 func backoff(rng *rand.Rand, first, limit time.Duration, level int) task.Time {
 	d := limit
 	if level < 20 {
@@ -367,7 +365,7 @@
 	return d - time.Duration(rng.Int64N(int64(d)/4+1))
 }
 
-// Tick opens what is due.
+// Tick probes the ejected upstreams that are due and reopens the unavailable ones.
 func (t *Tracker) Tick(now task.Time) {
 	for _, u := range t.sorted {
 		if now < u.until || u.until == 0 {
@@ -388,9 +386,9 @@
 	}
 }
 
-// endUnavailable lets one task try an upstream that was away, or closes one for good
-// that was suspect if others have done well meanwhile. The state stays away,
-// so that a second failure waits longer.
+// endUnavailable opens one slot of an upstream that was unavailable. If the upstream was
+// suspect and enough others have succeeded in the meantime, it ejects the upstream instead. The
+// state stays unavailable until a task succeeds, so that a second failure closes it for longer.
 func (t *Tracker) endUnavailable(now task.Time, u *upstream) {
 	u.until = 0
 	wasSuspect := u.suspect
@@ -403,7 +401,7 @@
 	t.updateWeight(u)
 }
 
-// updateWeight records the weight that follows from the state if it has changed.
+// updateWeight emits a Change if the weight that follows from the state has changed.
 func (t *Tracker) updateWeight(u *upstream) {
 	w := 1.0
 	until := task.Time(0)
@@ -424,8 +422,8 @@
 	u.reportedState = u.state
 }
 
-// slownessShare is the share for an upstream whose tasks run longer than expected, in
-// steps of an eighth so that noise doesn't make the weight flap.
+// slownessShare is the share of slots for an upstream whose tasks run longer than expected, in
+// steps of an eighth so that noise doesn't change the weight all the time.
 func slownessShare(slowness float64) float64 {
 	factor := math.Exp(slowness)
 	if factor < slownessThreshold {
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -37,7 +37,7 @@
 	return list
 }
 
-// healthyTracker returns a tracker all of whose upstreams have been doing well.
+// healthyTracker returns a tracker on all of whose upstreams tasks have succeeded.
 func healthyTracker() *health.Tracker { return healthyTrackerWith(health.DefaultConfig()) }
 
 func healthyTrackerWith(cfg health.Config) *health.Tracker {
@@ -68,8 +68,7 @@
 	}
 }
 
-// failRack makes two upstreams of the first rack fail while the second rack
-// does well.
+// failRack makes two upstreams of the first rack fail while tasks succeed on the second rack.
 func failRack(t *health.Tracker) {
 	fail(t, time.Second, "u00")
 	succeed(t, time.Second, "u08", "u09", "u10")
@@ -86,9 +85,8 @@
 	return n
 }
 
-// A runner's disk fills up and every label it is given fails within a
-// millisecond. It looks idle and fast, so it would be given work as quickly as
-// it spoils it, and kitchens would see one job after another fail.
+// A runner's disk is full, and every task fails there within a millisecond. The runner looks
+// idle and fast, so without ejection it would get most of the tasks and fail job after job.
 func TestUpstreamThatFailsEverythingIsClosedAfterTwoTasks(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := healthyTracker()
@@ -96,16 +94,15 @@
 	g.Expect(h.Weight("u03")).To(gomega.Equal(1.0))
 	fail(h, time.Second, "u03")
 	g.Expect(h.Weight("u03")).To(gomega.BeZero())
-	g.Expect(h.Ejected()).To(gomega.BeEmpty(), "nobody has done better yet")
+	g.Expect(h.Ejected()).To(gomega.BeEmpty(), "no other upstream has succeeded since")
 	succeed(h, time.Second+time.Millisecond, "u00", "u08", "u09")
 	h.Tick(time.Second + 60*time.Millisecond)
 	g.Expect(h.Ejected()).To(gomega.Equal([]string{"u03"}))
 	g.Expect(closedCount(h)).To(gomega.Equal(1))
 }
 
-// One kitchen sends recipe sheets that can't be composed. They fail wherever
-// they run; closing the upstreams for it would take the service from the
-// other kitchens.
+// One caller sends payloads that fail on every upstream. Ejecting upstreams for them would take
+// the service from the other callers.
 func TestBadPayloadsCloseNoUpstream(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := healthyTracker()
@@ -121,8 +118,8 @@
 	g.Expect(h.Stats().Ejections).To(gomega.BeZero())
 }
 
-// A new release of the service fails every task on every upstream. No upstream
-// is to blame, and with half of them closed the rest would only be asked more.
+// A new release of a service fails every task on every upstream. The upstreams are not the
+// cause, and ejecting half of them would only increase the load on the rest.
 func TestServiceThatFailsEverywhereClosesNoUpstream(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := healthyTracker()
@@ -137,8 +134,8 @@
 	g.Expect(h.Stats().Ejections).To(gomega.BeZero())
 }
 
-// A rack loses the share that all its runners read their recipes from. Learnt
-// upstream by upstream, that costs jobs sixteen times; as a rack, three.
+// All runners of a rack fail because of a storage volume that they share. Ejecting the eight
+// upstreams one by one would cost 16 failed tasks; ejecting the rack costs three.
 func TestRackThatFailsEverythingIsClosedAsOne(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := healthyTracker()
@@ -148,8 +145,8 @@
 	g.Expect(h.Weight("u08")).To(gomega.Equal(1.0))
 }
 
-// A whole rack stays broken for long. Each trial costs a caller's job, so
-// there must be one a wait for the rack, and the waits must grow.
+// A whole rack stays broken. Each probe may cost a caller's job, so the rack is probed by one
+// task at a time, at growing intervals.
 func TestBrokenRackIsProbedOncePerInterval(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := healthyTracker()
@@ -168,8 +165,8 @@
 	g.Expect(probes).To(gomega.BeNumerically(">=", 3))
 }
 
-// Long tasks were running on the runner when its disk filled up, and they end
-// well while every new one fails. They must not pass for a sign of health.
+// Long tasks that were running when a runner's disk filled up succeed, while every new task
+// fails. Their success must not count as evidence that the runner is healthy.
 func TestSuccessOfTaskSentBeforeTheFaultIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := healthyTracker()
@@ -186,8 +183,8 @@
 	g.Expect(h.Ejected()).To(gomega.Equal([]string{"u03"}))
 }
 
-// The runner's disk was cleaned. It must come back, but not with all slots at
-// once, since nobody knows yet whether it is cured.
+// A broken runner has been repaired. It must get work again, but not on all slots at once,
+// since it may still be broken.
 func TestRecoveredUpstreamReturnsInSteps(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := healthyTracker()
@@ -204,9 +201,9 @@
 	g.Expect(weights).To(gomega.Equal([]float64{0.125, 0.25, 0.5, 1}))
 }
 
-// A runner's process is gone and connections are refused: nothing is lost by
-// trying, but each try is a wasted message. It is tried at growing intervals
-// and at once in full use when it answers.
+// A runner's process is gone and connections to it are refused. An attempt loses no task but
+// wastes a message, so attempts are made at growing intervals. The first success restores the
+// full weight.
 func TestUnreachableUpstreamIsRetriedAtGrowingIntervals(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := healthyTracker()
@@ -224,8 +221,8 @@
 	g.Expect(h.Weight("u05")).To(gomega.Equal(1.0))
 }
 
-// A worker is overfilled, because the declared sizes are far off, and its tasks
-// take three times as long as elsewhere. Fewer at once must go there.
+// A worker is overcommitted because the declared task sizes are wrong, and its tasks take
+// three times as long as elsewhere. Fewer tasks at once must go there.
 func TestSlowUpstreamGetsFewerSlots(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := healthyTracker()
@@ -240,8 +237,8 @@
 	g.Expect(h.Weight("u09")).To(gomega.Equal(1.0))
 }
 
-// Seven entry VMs each find that a runner fails everything. If each tried it
-// again by itself, the runner would cost seven jobs where one is enough.
+// Seven entry processes eject the same runner. If each of them probed it, this would cost
+// seven jobs where one is enough.
 func TestOneProcessProbesForAll(t *testing.T) {
 	g := gomega.NewWithT(t)
 	cfg := health.DefaultConfig()
@@ -251,7 +248,7 @@
 	fail(h, time.Second, "u03")
 	succeed(h, time.Second, "u00", "u08", "u09")
 	h.Tick(2 * time.Second)
-	g.Expect(h.Ejected()).To(gomega.Equal([]string{"u03"}), "one failure is enough")
+	g.Expect(h.Ejected()).To(gomega.Equal([]string{"u03"}), "one failure is enough after a peer's report")
 	for now := 2 * time.Second; now < 30*time.Second; now += 100 * time.Millisecond {
 		h.Tick(now)
 		g.Expect(h.Weight("u03")).To(gomega.BeZero())
@@ -261,9 +258,8 @@
 	g.Expect(h.Weight("u03")).To(gomega.Equal(health.MinWeight))
 }
 
-// Whatever the upstreams do, at most half of a failure domain's upstreams are
-// closed for failures, each closed one is due for a trial, and weights stay
-// between 0 and 1.
+// Whatever the outcomes, at most half of a failure domain's upstreams are ejected, each closed
+// upstream has a time of its next attempt that isn't past, and weights are between 0 and 1.
 func TestCeilingOnEjections(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := healthyTracker()
--- a/core/health/members.go
+++ b/core/health/members.go
@@ -12,15 +12,15 @@
 	members []*upstream
 }
 
-// pool is the upstreams of one institution in one failure domain, or of one
-// institution, depending on its use.
+// pool is the upstreams of one institution, or those of one institution in one failure domain.
+// ejected is counted in the latter only.
 type pool struct {
 	members []*upstream
 	ejected int
 }
 
-// SetMembers takes the platform's list. What is known of an upstream outlives
-// a change of the list; one that is listed anew starts open.
+// SetMembers replaces the list of upstreams by that of the platform. The state of an upstream is
+// retained if its address is the same; a new upstream is open.
 func (t *Tracker) SetMembers(list []task.Upstream) {
 	known := t.upstreams
 	t.upstreams = make(map[string]*upstream, len(list))
--- a/core/health/peers.go
+++ b/core/health/peers.go
@@ -7,12 +7,11 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// probeDeferral is how long a trial is put off at a time while another process
-// makes it.
+// probeDeferral is how long a probe is postponed at a time while a peer probes the upstream.
 const probeDeferral = time.Second
 
-// Ejected lists the upstreams that this process has closed for failures, for
-// its peers.
+// Ejected lists the upstreams that this process has ejected or is probing, to report to its
+// peers.
 func (t *Tracker) Ejected() []string {
 	if t.ejected == 0 {
 		return nil
@@ -26,13 +25,13 @@
 	return list
 }
 
-// SetPeerReport takes what a peer lists, in place of what it listed before; nothing
-// if it is gone.
+// SetPeerReport replaces the list of upstreams that a peer has ejected. An empty list is for
+// a peer that is gone.
 //
-// A report closes no upstream: the peer may be at fault itself, and its
-// mistake would be everybody's. It makes one failure here enough to close it,
-// and leaves the trials, each of which may cost a caller's job, to the process
-// that is first by name of those which have closed it.
+// A report ejects no upstream, because the fault may be the peer's own, and all processes
+// would repeat its mistake. It reduces the evidence that is needed here to one failure. Each
+// probe may cost a caller's job, so only the process whose name is first among those that have
+// ejected the upstream probes it.
 func (t *Tracker) SetPeerReport(peer string, names []string) {
 	for _, name := range t.reports[peer] {
 		if u := t.upstreams[name]; u != nil {
@@ -51,7 +50,7 @@
 	}
 }
 
-// deferProbe puts off the trial of an upstream that another process makes.
+// deferProbe postpones the probe of an upstream that a peer probes, and reports whether it did.
 func (t *Tracker) deferProbe(now task.Time, u *upstream) bool {
 	if !slices.ContainsFunc(u.reporters, func(p string) bool { return p < t.cfg.Self }) {
 		return false
--- a/core/health/report.go
+++ b/core/health/report.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// TakeChanges returns the weights that have changed since the last call.
+// TakeChanges returns the changes of weights since the last call.
 func (t *Tracker) TakeChanges() []Change {
 	out := t.changes
 	t.changes = nil
 	return out
 }
 
-// Weight is the present weight of an upstream; 1 if it isn't known.
+// Weight is the current weight of an upstream; 1 if the upstream isn't known.
 func (t *Tracker) Weight(name string) float64 {
 	if u := t.upstreams[name]; u != nil {
 		return u.weight
@@ -17,18 +17,18 @@
 	return 1
 }
 
-// Status is the health of one upstream that isn't in full use.
+// Status is the health of one upstream that isn't open with its full weight.
 type Status struct {
 	Upstream string  `json:"upstream"`
 	State    string  `json:"state"`
 	Weight   float64 `json:"weight"`
-	// UntilMs is when a closed one is tried again.
+	// UntilMs is when a closed upstream may be used again.
 	UntilMs int64 `json:"until_ms,omitempty"`
-	// Slowness is its tasks' run time over the expected one.
+	// Slowness is the mean of its tasks' run times divided by the expected ones.
 	Slowness float64 `json:"slowness"`
 }
 
-// Dump lists the upstreams that aren't in full use, by name.
+// Dump lists the upstreams that aren't open with their full weight, by name.
 func (t *Tracker) Dump() []Status {
 	var list []Status
 	for _, u := range t.sorted {
