--- a/core/claim/answers.go
+++ b/core/claim/answers.go
@@ -48,8 +48,8 @@
 // id: the ids of a kind are kept equally long, so that the oldest is the first
 // to be forgotten.
 type answerList struct {
-	answersByKind [2][]*RetainedAnswer
-	bytes         int
+	byKind [2][]*RetainedAnswer
+	bytes  int
 }
 
 // NewAnswers returns a store that keeps up to limit bytes an institution.
@@ -64,16 +64,16 @@
 		return
 	}
 	a.seq++
-	k := &RetainedAnswer{ID: id, Answer: answer, Until: until, seq: a.seq, size: encodedCost(answer)}
+	retained := &RetainedAnswer{ID: id, Answer: answer, Until: until, seq: a.seq, size: encodedCost(answer)}
 	list := a.lists[id.Institution]
 	if list == nil {
 		list = &answerList{}
 		a.lists[id.Institution] = list
 	}
 	kind := idKindIndex(id)
-	list.answersByKind[kind] = append(list.answersByKind[kind], k)
-	a.byID[id] = k
-	a.addBytes(list, k.size)
+	list.byKind[kind] = append(list.byKind[kind], retained)
+	a.byID[id] = retained
+	a.addBytes(list, retained.size)
 	for list.bytes > a.limit {
 		a.evictOldest(list)
 	}
@@ -95,7 +95,7 @@
 // which they may be kept, a new answer under an issued id would go before old
 // ones under own keys, and its caller, asking again at once, wouldn't find it.
 func (a *Answers) evictOldest(list *answerList) {
-	issued, own := list.answersByKind[0], list.answersByKind[1]
+	issued, own := list.byKind[0], list.byKind[1]
 	if len(own) == 0 || len(issued) > 0 && issued[0].seq < own[0].seq {
 		a.evictFirst(list, 0)
 		return
@@ -104,9 +104,9 @@
 }
 
 func (a *Answers) evictFirst(list *answerList, kind int) {
-	k := list.answersByKind[kind][0]
-	list.answersByKind[kind][0] = nil
-	list.answersByKind[kind] = list.answersByKind[kind][1:]
+	k := list.byKind[kind][0]
+	list.byKind[kind][0] = nil
+	list.byKind[kind] = list.byKind[kind][1:]
 	delete(a.byID, k.ID)
 	a.addBytes(list, -k.size)
 }
@@ -122,12 +122,12 @@
 // Expire forgets what is past its time.
 func (a *Answers) Expire(now task.Time) {
 	for name, list := range a.lists {
-		for kind := range list.answersByKind {
-			for len(list.answersByKind[kind]) > 0 && list.answersByKind[kind][0].Until <= now {
+		for kind := range list.byKind {
+			for len(list.byKind[kind]) > 0 && list.byKind[kind][0].Until <= now {
 				a.evictFirst(list, kind)
 			}
 		}
-		if len(list.answersByKind[0])+len(list.answersByKind[1]) == 0 {
+		if len(list.byKind[0])+len(list.byKind[1]) == 0 {
 			delete(a.lists, name)
 		}
 	}
@@ -143,7 +143,7 @@
 func (a *Answers) All() []*RetainedAnswer {
 	list := make([]*RetainedAnswer, 0, len(a.byID))
 	for _, name := range sortedKeys(a.lists) {
-		for _, kept := range a.lists[name].answersByKind {
+		for _, kept := range a.lists[name].byKind {
 			list = append(list, kept...)
 		}
 	}
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// A caller asks again under an id whose answer was forgotten long ago. If the
-// number were fresh a second time, its labels would be printed a second time.
+// A caller resubmits under an id whose answer was removed long ago. If the number were fresh a
+// second time, the tasks would run a second time.
 func TestNumberIsFreshOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const valid = 10 * time.Second
@@ -69,8 +69,8 @@
 	return id, a
 }
 
-// Answers under own keys fill the limit when others under issued ids follow.
-// The newest answer must be there when its caller asks again a moment later.
+// Answers under own keys fill the limit before answers under issued ids follow. The newest
+// answer must be there when its caller asks again a moment later.
 func TestAnswersEvictTheOldestFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a := NewAnswers(20 * answerOverhead)
@@ -88,7 +88,7 @@
 	g.Expect(a.Bytes()).To(gomega.BeZero())
 }
 
-// BenchmarkAnswers measures the memory of kept answers of short results.
+// BenchmarkAnswers measures the memory of retained answers with short results.
 func BenchmarkAnswers(b *testing.B) {
 	for _, results := range []int{0, 4, 20, 100} {
 		b.Run(fmt.Sprintf("results=%d", results), func(b *testing.B) { benchmarkAnswers(b, results) })
@@ -114,8 +114,7 @@
 	}
 }
 
-// BenchmarkIssuer measures the memory of issued ids, by the size of the blocks
-// in which they are handed out.
+// BenchmarkIssuer measures the memory of issued ids by the size of their blocks.
 func BenchmarkIssuer(b *testing.B) {
 	for _, block := range []uint32{1, 16, 256} {
 		b.Run(fmt.Sprintf("block=%d", block), func(b *testing.B) { benchmarkIssuer(b, block) })
--- a/core/claim/holders.go
+++ b/core/claim/holders.go
@@ -7,17 +7,17 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// Holder is what a claim row says.
+// Holder is the content of a claim row.
 type Holder struct {
 	Incarnation task.Incarnation
 	Digest      task.Digest
-	// Number is the holder's own number of the claim.
+	// Number is the number that the holder gave to the claim.
 	Number uint64
 }
 
-// Holders remembers claim rows that name other incarnations, so that further
-// resubmissions through this process cost no attempt to write. A row never
-// changes its holder, so an entry is true for as long as the row stands.
+// Holders caches claim rows that name other incarnations, so that further resubmissions
+// through this process need no write. A row's holder never changes, so an entry is correct
+// as long as the row exists.
 type Holders struct {
 	limit int
 	rows  map[task.ID]holderRow
@@ -34,7 +34,7 @@
 	return &Holders{limit: limit, rows: make(map[task.ID]holderRow)}
 }
 
-// Put remembers a row until the caller's time for resubmissions is over.
+// Put caches a row until the given time, the end of the caller's resubmissions.
 func (h *Holders) Put(id task.ID, holder Holder, until task.Time) {
 	if _, known := h.rows[id]; !known {
 		h.order = append(h.order, id)
@@ -50,20 +50,20 @@
 	h.order = h.order[1:]
 }
 
-// Get finds the holder of a claim.
+// Get returns the holder of a claim.
 func (h *Holders) Get(id task.ID) (Holder, bool) {
 	row, ok := h.rows[id]
 	return row.holder, ok
 }
 
-// Expire drops rows past their time.
+// Expire removes the rows whose time has passed.
 func (h *Holders) Expire(now task.Time) {
 	for len(h.order) > 0 && h.rows[h.order[0]].until <= now {
 		h.evictFirst()
 	}
 }
 
-// Len is the number of rows remembered.
+// Len is the number of rows cached.
 func (h *Holders) Len() int { return len(h.rows) }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/core/claim/issuer.go
+++ b/core/claim/issuer.go
@@ -1,25 +1,25 @@
-// Package claim keeps what one incarnation knows of submission ids: those it
-// issued, those it holds, and the answers it still keeps. It is the rule that
-// no task of a submission starts twice: only the holder of a claim may start
-// its tasks, and a claim never passes to another incarnation.
+// Package claim has the state of submission ids in one incarnation: the ids that it issued, the
+// claims of other incarnations, uncertain claims, and retained answers. It ensures that no task
+// of a submission starts twice: only the holder of a claim may start its tasks, and a claim is
+// never transferred to another incarnation.
 package claim
 
 import (
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// IDState is what an issuer says of a number.
+// IDState is the state of a number at its issuer.
 type IDState int
 
 // The states of an issued number.
 const (
-	// Unissued: this incarnation never handed the number out.
+	// Unissued: this incarnation hasn't issued the number.
 	Unissued IDState = iota
-	// Fresh: handed out, not used, still valid.
+	// Fresh: issued, valid and not used.
 	Fresh
-	// Used: a submission was taken under it.
+	// Used: a submission was accepted under the number.
 	Used
-	// Expired: past its validity; whether it was used isn't known any more.
+	// Expired: no longer valid; whether the number was used isn't recorded any more.
 	Expired
 )
 
@@ -32,34 +32,33 @@
 	used    []uint64
 }
 
-// Issuer hands out ids in blocks and remembers which were used.
+// Issuer issues ids in blocks and records which were used.
 //
-// A holder that forgets an answer must not take the next resubmission for a
-// new submission: it would run the job again and nobody would notice but the
-// people who get two labels. So each number is kept as one bit until its block
-// expires on the holder's own clock, and an expired number is never fresh.
+// If a holder that has removed an answer took the next resubmission for a new submission, the
+// job would run again without an error anywhere. Therefore one bit is kept for each number
+// until its block expires by the holder's own clock, and an expired number is never fresh.
 type Issuer struct {
-	valid  task.Time
-	next   uint64
-	blocks []block
+	validity task.Time
+	next     uint64
+	blocks   []block
 }
 
-// NewIssuer returns an issuer whose ids stay usable for the given span.
-func NewIssuer(valid task.Time) *Issuer {
-	return &Issuer{valid: valid, next: 1}
+// NewIssuer returns an issuer whose ids are valid for the given time.
+func NewIssuer(validity task.Time) *Issuer {
+	return &Issuer{validity: validity, next: 1}
 }
 
-// Issue hands out count numbers beginning with first, usable until expires.
+// Issue issues count numbers starting at first, which are valid until expires.
 func (is *Issuer) Issue(now task.Time, count uint32) (first uint64, expires task.Time) {
 	first = is.next
 	is.next += uint64(count)
-	expires = now + is.valid
+	expires = now + is.validity
 	words := (count + wordBits - 1) / wordBits
 	is.blocks = append(is.blocks, block{first, count, expires, make([]uint64, words)})
 	return first, expires
 }
 
-// State says what is known of a number.
+// State returns the state of a number.
 func (is *Issuer) State(now task.Time, number uint64) IDState {
 	if number == 0 || number >= is.next {
 		return Unissued
@@ -75,8 +74,8 @@
 	return Fresh
 }
 
-// Use marks a fresh number as used. It reports false, and changes nothing, if
-// the number isn't fresh.
+// Use marks a fresh number as used. If the number isn't fresh, it returns false and changes
+// nothing.
 func (is *Issuer) Use(now task.Time, number uint64) bool {
 	if is.State(now, number) != Fresh {
 		return false
@@ -87,7 +86,7 @@
 	return true
 }
 
-// Expire drops blocks past their validity.
+// Expire removes the blocks that aren't valid any more.
 func (is *Issuer) Expire(now task.Time) {
 	n := 0
 	for n < len(is.blocks) && now >= is.blocks[n].expires {
@@ -101,7 +100,7 @@
 	return len(is.blocks)
 }
 
-// findBlock locates the block of a number by binary search; blocks are in order.
+// findBlock finds the block of a number by binary search, or returns nil. Blocks are in order.
 func (is *Issuer) findBlock(number uint64) *block {
 	lo, hi := 0, len(is.blocks)
 	for lo < hi {
@@ -119,15 +118,15 @@
 	return nil
 }
 
-// Block is a block of issued numbers with one bit for each used one.
+// Block is a block of issued numbers with one bit for each number, set if it is used.
 type Block struct {
 	First uint64
 	Count uint32
 	Used  []uint64
 }
 
-// ValidBlocks lists the blocks that are still valid, for a process that is to
-// answer for this one after its planned stop.
+// ValidBlocks lists the blocks that are still valid, for the process that takes over this
+// process's claims at a planned stop.
 func (is *Issuer) ValidBlocks(now task.Time) []Block {
 	var list []Block
 	for _, b := range is.blocks {
@@ -138,8 +137,8 @@
 	return list
 }
 
-// Restore returns an issuer that knows the numbers of another process until
-// the given time, and issues none itself.
+// Restore returns an issuer with the numbers of another process, all valid until the given
+// time. It must not issue numbers.
 func Restore(blocks []Block, until task.Time) *Issuer {
 	is := &Issuer{}
 	for _, b := range blocks {
--- a/core/claim/unsettled.go
+++ b/core/claim/unsettled.go
@@ -4,19 +4,18 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// Unsettled is a claim that was given up on while a write of it may yet have
-// taken effect. Nothing was started under it, so this incarnation may take it
-// up again if the row turns out to be its own.
+// Unsettled is a claim that was given up while its write may still take effect. No task was
+// started under it, so this incarnation may resume it if the row turns out to be its own.
 type Unsettled struct {
 	Digest task.Digest
-	// Number is that of the claim's row, if it was written.
+	// Number is the number in the claim's row, if the row was written.
 	Number uint64
-	// Cancelled: it must not run any more, whoever asks.
+	// Cancelled: the claim must not run any more, whoever resubmits it.
 	Cancelled bool
 }
 
-// UnsettledSet keeps unsettled claims until their rows are gone. A forgotten
-// one is never run: its row is then taken for that of a finished job.
+// UnsettledSet retains unsettled claims until their rows are deleted. A claim that was removed
+// is never run: its row is taken for that of a finished job.
 type UnsettledSet struct {
 	limit  int
 	claims map[task.ID]claimEntry
@@ -33,7 +32,7 @@
 	return &UnsettledSet{limit: limit, claims: make(map[task.ID]claimEntry)}
 }
 
-// Put remembers a claim.
+// Put adds a claim.
 func (u *UnsettledSet) Put(id task.ID, c Unsettled, until task.Time) {
 	u.claims[id] = claimEntry{c, until}
 	u.order = append(u.order, id)
@@ -42,8 +41,8 @@
 	}
 }
 
-// evictFirst forgets the claim that was put first. One that was taken, or put again,
-// since then is found under a later entry or not at all.
+// evictFirst removes the first entry of the order with its claim. The claim may have been taken
+// already; if it was put again, it is removed although its later entry remains.
 func (u *UnsettledSet) evictFirst() {
 	delete(u.claims, u.order[0])
 	u.order = u.order[1:]
@@ -56,18 +55,18 @@
 	return c.Unsettled, ok
 }
 
-// Get finds a claim.
+// Get returns a claim.
 func (u *UnsettledSet) Get(id task.ID) (Unsettled, bool) {
 	c, ok := u.claims[id]
 	return c.Unsettled, ok
 }
 
-// Expire drops claims past their time.
+// Expire removes the claims whose time has passed.
 func (u *UnsettledSet) Expire(now task.Time) {
 	for len(u.order) > 0 && u.claims[u.order[0]].until <= now {
 		u.evictFirst()
 	}
 }
 
-// Len is the number of claims kept.
+// Len is the number of claims in the set.
 func (u *UnsettledSet) Len() int { return len(u.claims) }
