--- a/core/claim/answers.go
+++ b/core/claim/answers.go
@@ -7,9 +7,8 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// What a kept answer costs beside its encoded size, in bytes: the map entry,
-// the list entry and the headers, and those of each result, as measured by
-// BenchmarkAnswers.
+// Memory of a retained answer besides its encoded size, in bytes: answerOverhead for the map
+// entry, the list entry and the headers, and resultOverhead for each result.
 const (
 	answerOverhead = 550
 	resultOverhead = 90
@@ -19,19 +18,18 @@
 type RetainedAnswer struct {
 	ID     task.ID
 	Answer *pb.Answer
-	// Until is when it may be forgotten.
+	// Until is when the answer may be removed.
 	Until task.Time
-	// seq grows with each answer put.
+	// seq is the position in the order of Put.
 	seq  uint64
 	size int
 }
 
-// Answers keeps final answers for resubmissions, within a limit for each
-// institution, so that one with large answers doesn't push out another's.
+// Answers retains final answers for resubmissions, up to a size limit for each institution, so
+// that one institution's large answers don't evict another's.
 //
-// Nothing depends on an answer being kept but the answer itself: a forgotten
-// submission is never taken for a new one, because the Issuer still knows the
-// number and the claim row still names its holder.
+// Removing an answer is safe: a resubmission isn't taken for a new submission, because the
+// Issuer still has the number as used and the claim row still names its holder.
 type Answers struct {
 	limit int
 	byID  map[task.ID]*RetainedAnswer
@@ -44,21 +42,20 @@
 	return proto.Size(a) + answerOverhead + resultOverhead*len(a.GetResults())
 }
 
-// answerList holds one institution's answers, oldest first, apart by kind of
-// id: the ids of a kind are kept equally long, so that the oldest is the first
-// to be forgotten.
+// answerList has one institution's answers, oldest first, separately for issued ids and own
+// keys. All ids of a kind are retained for the same time, so that the oldest expires first.
 type answerList struct {
 	byKind [2][]*RetainedAnswer
 	bytes  int
 }
 
-// NewAnswers returns a store that keeps up to limit bytes an institution.
+// NewAnswers returns a store that retains up to limit bytes for each institution.
 func NewAnswers(limit int) *Answers {
 	return &Answers{limit: limit, byID: make(map[task.ID]*RetainedAnswer), lists: make(map[string]*answerList)}
 }
 
-// Put keeps an answer and forgets the oldest of the institution beyond the
-// limit. An answer that is kept already isn't replaced.
+// Put retains an answer and evicts the institution's oldest answers beyond the limit. It doesn't
+// replace an answer that is already retained.
 func (a *Answers) Put(id task.ID, answer *pb.Answer, until task.Time) {
 	if a.byID[id] != nil {
 		return
@@ -91,9 +88,9 @@
 	a.bytes += n
 }
 
-// evictOldest forgets the answer that was put first. Chosen by the time until
-// which they may be kept, a new answer under an issued id would go before old
-// ones under own keys, and its caller, asking again at once, wouldn't find it.
+// evictOldest removes the answer that was put first. If the one with the earliest Until were
+// removed instead, a new answer under an issued id would go before old ones under own keys, and
+// a caller that asks again at once wouldn't find it.
 func (a *Answers) evictOldest(list *answerList) {
 	issued, own := list.byKind[0], list.byKind[1]
 	if len(own) == 0 || len(issued) > 0 && issued[0].seq < own[0].seq {
@@ -104,22 +101,22 @@
 }
 
 func (a *Answers) evictFirst(list *answerList, kind int) {
-	k := list.byKind[kind][0]
+	evicted := list.byKind[kind][0]
 	list.byKind[kind][0] = nil
 	list.byKind[kind] = list.byKind[kind][1:]
-	delete(a.byID, k.ID)
-	a.addBytes(list, -k.size)
+	delete(a.byID, evicted.ID)
+	a.addBytes(list, -evicted.size)
 }
 
-// Get finds the answer of a submission; nil if it isn't kept.
+// Get returns the answer to a submission, or nil if it isn't retained.
 func (a *Answers) Get(id task.ID) *pb.Answer {
-	if k := a.byID[id]; k != nil {
-		return k.Answer
+	if retained := a.byID[id]; retained != nil {
+		return retained.Answer
 	}
 	return nil
 }
 
-// Expire forgets what is past its time.
+// Expire removes the answers whose Until has passed.
 func (a *Answers) Expire(now task.Time) {
 	for name, list := range a.lists {
 		for kind := range list.byKind {
@@ -133,18 +130,18 @@
 	}
 }
 
-// Len is the number of answers kept.
+// Len is the number of answers retained.
 func (a *Answers) Len() int { return len(a.byID) }
 
-// Bytes is what they cost, in bytes.
+// Bytes is the memory of the retained answers, in bytes.
 func (a *Answers) Bytes() int { return a.bytes }
 
-// All lists what is kept, institutions in name order, oldest first.
+// All lists the retained answers by name of the institution, oldest first for each kind of id.
 func (a *Answers) All() []*RetainedAnswer {
 	list := make([]*RetainedAnswer, 0, len(a.byID))
 	for _, name := range sortedKeys(a.lists) {
-		for _, kept := range a.lists[name].byKind {
-			list = append(list, kept...)
+		for _, answers := range a.lists[name].byKind {
+			list = append(list, answers...)
 		}
 	}
 	return list
--- a/core/claim/issuer.go
+++ b/core/claim/issuer.go
@@ -138,7 +138,7 @@
 }
 
 // Restore returns an issuer with the numbers of another process, all valid until the given
-// time. It must not issue numbers.
+// time. It issues no numbers itself.
 func Restore(blocks []Block, until task.Time) *Issuer {
 	is := &Issuer{}
 	for _, b := range blocks {
