--- a/core/claim/answers.go
+++ b/core/claim/answers.go
@@ -38,7 +38,7 @@
 	seq   uint64
 }
 
-func encodedCost(a *pb.Answer) int {
+func memorySize(a *pb.Answer) int {
 	return proto.Size(a) + answerOverhead + resultOverhead*len(a.GetResults())
 }
 
@@ -61,7 +61,7 @@
 		return
 	}
 	a.seq++
-	retained := &RetainedAnswer{ID: id, Answer: answer, Until: until, seq: a.seq, size: encodedCost(answer)}
+	retained := &RetainedAnswer{ID: id, Answer: answer, Until: until, seq: a.seq, size: memorySize(answer)}
 	list := a.lists[id.Institution]
 	if list == nil {
 		list = &answerList{}
--- a/core/job/job.go
+++ b/core/job/job.go
@@ -29,8 +29,8 @@
 	waiting int
 	started int
 	done    int
-	// everStarted counts tasks that may have run.
-	everStarted int
+	// possiblyRun counts tasks that may have run.
+	possiblyRun int
 	sealed      bool
 	bytes       int
 }
@@ -61,27 +61,27 @@
 	a.starts[index] = id
 	a.waiting--
 	a.started++
-	a.everStarted++
+	a.possiblyRun++
 }
 
 // NotStarted records that a start is known never to have run, and makes the
 // task startable again. A verdict on another start is ignored and reported
 // false.
 func (a *Assembly) NotStarted(index int, id task.StartID) bool {
-	if !a.current(index, id) {
+	if !a.isCurrentStart(index, id) {
 		return false
 	}
 	a.states[index] = Waiting
 	a.waiting++
 	a.started--
-	a.everStarted--
+	a.possiblyRun--
 	return true
 }
 
 // Finish records a task's output. A late, doubled or crossed result is ignored
 // and reported false.
 func (a *Assembly) Finish(index int, id task.StartID, output []byte) bool {
-	if !a.current(index, id) {
+	if !a.isCurrentStart(index, id) {
 		return false
 	}
 	a.states[index] = Done
@@ -92,7 +92,7 @@
 	return true
 }
 
-func (a *Assembly) current(index int, id task.StartID) bool {
+func (a *Assembly) isCurrentStart(index int, id task.StartID) bool {
 	if index < 0 || index >= len(a.states) {
 		return false
 	}
@@ -108,7 +108,7 @@
 func (a *Assembly) Complete() bool { return a.done == len(a.states) }
 
 // MayHaveRun says whether any task may have run.
-func (a *Assembly) MayHaveRun() bool { return a.everStarted > 0 }
+func (a *Assembly) MayHaveRun() bool { return a.possiblyRun > 0 }
 
 // Waiting is the number of tasks that may be started.
 func (a *Assembly) Waiting() int { return a.waiting }
--- a/core/settings/apply.go
+++ b/core/settings/apply.go
@@ -6,9 +6,9 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// maxApplyTries bounds the reads and writes of one change, so that the operator
+// maxApplyAttempts bounds the reads and writes of one change, so that the operator
 // hears within seconds that it isn't settled.
-const maxApplyTries = 6
+const maxApplyAttempts = 6
 
 // ApplyStep is what the owner of an Apply has to do next.
 type ApplyStep int
@@ -48,13 +48,13 @@
 // So a lost reply is settled by reading back, and the change carries a random
 // number that tells it from another operator's with the same content.
 type Apply struct {
-	expected uint64
-	next     *pb.Settings
-	row      uint64
-	step     ApplyStep
-	outcome  ApplyOutcome
-	current  uint64
-	tries    int
+	expected   uint64
+	next       *pb.Settings
+	rowVersion uint64
+	step       ApplyStep
+	outcome    ApplyOutcome
+	current    uint64
+	attempts   int
 	// uncertain is set when a write was sent and its reply is lost.
 	uncertain bool
 }
@@ -75,7 +75,7 @@
 func (a *Apply) Next() *pb.Settings { return a.next }
 
 // RowVersion is the condition of the write.
-func (a *Apply) RowVersion() uint64 { return a.row }
+func (a *Apply) RowVersion() uint64 { return a.rowVersion }
 
 // Outcome is how the change ended; 0 before ApplyEnded.
 func (a *Apply) Outcome() ApplyOutcome { return a.outcome }
@@ -85,7 +85,7 @@
 
 // Read reports the settings in the row, nil if there is no row, and the row's
 // version. ok is false if it couldn't be read.
-func (a *Apply) Read(present *pb.Settings, row uint64, ok bool) {
+func (a *Apply) Read(stored *pb.Settings, rowVersion uint64, ok bool) {
 	if a.step != ApplyRead {
 		panic("settings: a read that wasn't asked for")
 	}
@@ -93,12 +93,12 @@
 		a.retry()
 		return
 	}
-	a.current = present.GetVersion()
+	a.current = stored.GetVersion()
 	switch {
 	case a.current == a.expected:
-		a.row = row
+		a.rowVersion = rowVersion
 		a.step = ApplyWrite
-	case a.current == a.next.GetVersion() && a.uncertain && present.GetChange() == a.next.GetChange():
+	case a.current == a.next.GetVersion() && a.uncertain && stored.GetChange() == a.next.GetChange():
 		a.end(Applied)
 	case a.current > a.next.GetVersion() && a.uncertain:
 		// The version has passed; whose it was can't be told any more.
@@ -125,8 +125,8 @@
 }
 
 func (a *Apply) retry() {
-	a.tries++
-	if a.tries < maxApplyTries {
+	a.attempts++
+	if a.attempts < maxApplyAttempts {
 		return
 	}
 	if a.uncertain {
--- a/core/settings/apply_test.go
+++ b/core/settings/apply_test.go
@@ -28,41 +28,41 @@
 	}}}
 }
 
-// write is a write that is on its way.
-type write struct {
+// pendingWrite is a pendingWrite that is on its way.
+type pendingWrite struct {
 	next *pb.Settings
-	row  uint64
+	rowVersion  uint64
 }
 
-// world is the table service, operators and processes.
-type world struct {
-	row       uint64
-	present   *pb.Settings
+// simulation is the table service, operators and processes.
+type simulation struct {
+	rowVersion       uint64
+	stored   *pb.Settings
 	committed map[uint64]uint64
-	late      []write
+	delayed      []pendingWrite
 	operators []*settings.Apply
 	processes [3]*settings.State
 	change    uint64
-	old       []*pb.Settings
+	versions       []*pb.Settings
 }
 
-func (w *world) commit(wr write) bool {
-	if wr.row != w.row {
+func (w *simulation) commit(wr pendingWrite) bool {
+	if wr.rowVersion != w.rowVersion {
 		return false
 	}
 	if _, taken := w.committed[wr.next.GetVersion()]; taken {
 		panic("two changes of one version")
 	}
-	w.row++
-	w.present = wr.next
+	w.rowVersion++
+	w.stored = wr.next
 	w.committed[wr.next.GetVersion()] = wr.next.GetChange()
-	w.old = append(w.old, wr.next)
+	w.versions = append(w.versions, wr.next)
 	return true
 }
 
-func (w *world) operator(t *rapid.T) {
+func (w *simulation) addOperator(t *rapid.T) {
 	w.change++
-	expected := w.present.GetVersion()
+	expected := w.stored.GetVersion()
 	if rapid.IntRange(0, 3).Draw(t, "outdated") == 0 {
 		expected = rapid.Uint64Range(0, expected+1).Draw(t, "expected")
 	}
@@ -70,7 +70,7 @@
 }
 
 // step lets one operator do one step, with the faults of the table service.
-func (w *world) step(t *rapid.T) {
+func (w *simulation) step(t *rapid.T) {
 	if len(w.operators) == 0 {
 		return
 	}
@@ -78,9 +78,9 @@
 	fault := rapid.SampledFrom([]string{"none", "none", "out", "reply lost", "late"}).Draw(t, "fault")
 	switch a.Step() {
 	case settings.ApplyRead:
-		a.Read(w.present, w.row, fault == "none")
+		a.Read(w.stored, w.rowVersion, fault == "none")
 	case settings.ApplyWrite:
-		wr := write{a.Next(), a.RowVersion()}
+		wr := pendingWrite{a.Next(), a.RowVersion()}
 		switch fault {
 		case "none":
 			a.Written(w.commit(wr), true)
@@ -88,7 +88,7 @@
 			w.commit(wr)
 			a.Written(false, false)
 		case "late":
-			w.late = append(w.late, wr)
+			w.delayed = append(w.delayed, wr)
 			a.Written(false, false)
 		default:
 			a.Written(false, false)
@@ -96,28 +96,28 @@
 	}
 }
 
-// arrive lets a delayed write reach the table service after all.
-func (w *world) arrive(t *rapid.T) {
-	if len(w.late) == 0 {
+// deliverDelayed lets a delayed write reach the table service after all.
+func (w *simulation) deliverDelayed(t *rapid.T) {
+	if len(w.delayed) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.late)-1).Draw(t, "late")
-	w.commit(w.late[i])
-	w.late = append(w.late[:i], w.late[i+1:]...)
+	i := rapid.IntRange(0, len(w.delayed)-1).Draw(t, "late")
+	w.commit(w.delayed[i])
+	w.delayed = append(w.delayed[:i], w.delayed[i+1:]...)
 }
 
-// spread lets a process see the row, an old reading of it, or a peer's.
-func (w *world) spread(t *rapid.T) {
+// offerToProcess lets a process see the row, an old reading of it, or a peer's.
+func (w *simulation) offerToProcess(t *rapid.T) {
 	p := w.processes[rapid.IntRange(0, 2).Draw(t, "process")]
 	before := p.Version()
 	switch rapid.IntRange(0, 2).Draw(t, "source") {
 	case 0:
-		p.Offer(w.present)
+		p.Offer(w.stored)
 	case 1:
 		p.Offer(w.processes[rapid.IntRange(0, 2).Draw(t, "peer")].Current())
 	case 2:
-		if len(w.old) > 0 {
-			p.Offer(w.old[rapid.IntRange(0, len(w.old)-1).Draw(t, "reading")])
+		if len(w.versions) > 0 {
+			p.Offer(w.versions[rapid.IntRange(0, len(w.versions)-1).Draw(t, "reading")])
 		}
 	}
 	if p.Version() < before {
@@ -125,24 +125,24 @@
 	}
 }
 
-func (w *world) check(t *rapid.T) {
+func (w *simulation) check(t *rapid.T) {
 	applied := map[uint64]bool{}
 	for _, a := range w.operators {
 		version, change := a.Next().GetVersion(), a.Next().GetChange()
-		took := w.committed[version] == change
+		wasCommitted := w.committed[version] == change
 		switch a.Outcome() {
 		case settings.Applied:
-			if !took || applied[version] {
+			if !wasCommitted || applied[version] {
 				t.Fatalf("change %d was told that it is version %d", change, version)
 			}
 			applied[version] = true
 		case settings.Conflicted, settings.NotWritten:
-			if took {
+			if wasCommitted {
 				t.Fatalf("change %d was told that it isn't version %d", change, version)
 			}
 		}
 	}
-	for version := uint64(1); version <= w.present.GetVersion(); version++ {
+	for version := uint64(1); version <= w.stored.GetVersion(); version++ {
 		if w.committed[version] == 0 {
 			t.Fatalf("version %d is lost", version)
 		}
@@ -160,18 +160,18 @@
 // traffic; a process that goes back lifts it again.
 func TestChangesOfSettings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{present: &pb.Settings{}, committed: map[uint64]uint64{}}
+		w := &simulation{stored: &pb.Settings{}, committed: map[uint64]uint64{}}
 		for i := range w.processes {
 			w.processes[i] = settings.NewState()
 		}
 		step := w.step
 		t.Repeat(map[string]func(*rapid.T){
-			"operator": w.operator, "step1": step, "step2": step, "step3": step,
-			"arrive": w.arrive, "spread": w.spread, "": w.check,
+			"operator": w.addOperator, "step1": step, "step2": step, "step3": step,
+			"arrive": w.deliverDelayed, "spread": w.offerToProcess, "": w.check,
 		})
 		for _, p := range w.processes {
-			if p.Offer(w.present); p.Version() != w.present.GetVersion() {
-				t.Fatalf("a healed process has version %d of %d", p.Version(), w.present.GetVersion())
+			if p.Offer(w.stored); p.Version() != w.stored.GetVersion() {
+				t.Fatalf("a healed process has version %d of %d", p.Version(), w.stored.GetVersion())
 			}
 		}
 	})
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -65,12 +65,12 @@
 
 // name checks a name: names become parts of row keys, task names and log
 // lines, where a slash or a space would make two different names look alike.
-func (c *checker) name(at, name string, seen map[string]bool) {
-	plain := name != "" && len(name) <= maxNameBytes && !strings.ContainsFunc(name, func(r rune) bool {
+func (c *checker) name(path, name string, seen map[string]bool) {
+	valid := name != "" && len(name) <= maxNameBytes && !strings.ContainsFunc(name, func(r rune) bool {
 		return !strings.ContainsRune("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.", r)
 	})
-	c.require(plain, at+".name", "%q must be 1 to %d letters, digits, dashes, dots or underscores", name, maxNameBytes)
-	c.require(!seen[name], at+".name", "%q is declared twice", name)
+	c.require(valid, path+".name", "%q must be 1 to %d letters, digits, dashes, dots or underscores", name, maxNameBytes)
+	c.require(!seen[name], path+".name", "%q is declared twice", name)
 	seen[name] = true
 }
 
@@ -80,33 +80,33 @@
 	c.require(len(s.GetInstitutions()) > 0, "institutions", "at least one is needed")
 	names := make(map[string]bool)
 	credentials := make(map[string]string)
-	var share uint64
+	var totalPercent uint64
 	for i, inst := range s.GetInstitutions() {
-		at := fmt.Sprintf("institutions[%d]", i)
-		c.name(at, inst.GetName(), names)
-		share += uint64(inst.GetCapacityPercent())
-		c.institution(at, inst, credentials)
+		path := fmt.Sprintf("institutions[%d]", i)
+		c.name(path, inst.GetName(), names)
+		totalPercent += uint64(inst.GetCapacityPercent())
+		c.institution(path, inst, credentials)
 	}
-	c.require(share <= maxPercent, "institutions", "the capacities add up to %d%%, more than 100%%", share)
+	c.require(totalPercent <= maxPercent, "institutions", "the capacities add up to %d%%, more than 100%%", totalPercent)
 	if len(c.errs) > 0 {
 		return c.errs
 	}
 	return nil
 }
 
-func (c *checker) institution(at string, inst *pb.Institution, credentials map[string]string) {
-	response := inst.GetResponseTimeMs()
-	c.require(response > 0 && response <= MaxResponseTimeMs, at+".response_time_ms", "%s must be above 0 and at most %s", ms(response), ms(MaxResponseTimeMs))
-	tolerance := inst.GetBorrowToleranceMs()
-	c.require(response == 0 || tolerance <= response, at+".borrow_tolerance_ms", "%s exceeds the response time %s", ms(tolerance), ms(response))
-	c.require(inst.GetRetryPercent() <= maxPercent, at+".retry_percent", "%d%% is more than 100%%", inst.GetRetryPercent())
-	window := inst.GetResubmitWindowS()
-	c.require(window > 0, at+".resubmit_window_s", "must be above 0")
-	c.require(window == 0 || uint64(window)*msPerSecond >= uint64(response), at+".resubmit_window_s",
-		"%s is shorter than the response time %s", time.Duration(window)*time.Second, ms(response))
-	c.credentials(at, inst, credentials)
-	teams := c.teams(at, inst)
-	c.services(at, inst, teams)
+func (c *checker) institution(path string, inst *pb.Institution, credentials map[string]string) {
+	responseTime := inst.GetResponseTimeMs()
+	c.require(responseTime > 0 && responseTime <= MaxResponseTimeMs, path+".response_time_ms", "%s must be above 0 and at most %s", ms(responseTime), ms(MaxResponseTimeMs))
+	borrowTolerance := inst.GetBorrowToleranceMs()
+	c.require(responseTime == 0 || borrowTolerance <= responseTime, path+".borrow_tolerance_ms", "%s exceeds the response time %s", ms(borrowTolerance), ms(responseTime))
+	c.require(inst.GetRetryPercent() <= maxPercent, path+".retry_percent", "%d%% is more than 100%%", inst.GetRetryPercent())
+	resubmitWindow := inst.GetResubmitWindowS()
+	c.require(resubmitWindow > 0, path+".resubmit_window_s", "must be above 0")
+	c.require(resubmitWindow == 0 || uint64(resubmitWindow)*msPerSecond >= uint64(responseTime), path+".resubmit_window_s",
+		"%s is shorter than the response time %s", time.Duration(resubmitWindow)*time.Second, ms(responseTime))
+	c.credentials(path, inst, credentials)
+	teams := c.teams(path, inst)
+	c.services(path, inst, teams)
 }
 
 func ms(n uint32) time.Duration {
@@ -115,32 +115,32 @@
 
 // credentials checks the digests of tokens and the names of certificates. One
 // declared for two institutions would show either the other's jobs.
-func (c *checker) credentials(at string, inst *pb.Institution, seen map[string]string) {
-	once := func(field, credential string) {
+func (c *checker) credentials(path string, inst *pb.Institution, seen map[string]string) {
+	requireUnique := func(field, credential string) {
 		other, taken := seen[credential]
 		c.require(!taken, field, "is also declared for %q", other)
 		seen[credential] = inst.GetName()
 	}
-	c.require(len(inst.GetTokenSha256())+len(inst.GetCertificateNames()) > 0, at+".token_sha256", "at least one, or one of certificate_names, is needed")
+	c.require(len(inst.GetTokenSha256())+len(inst.GetCertificateNames()) > 0, path+".token_sha256", "at least one, or one of certificate_names, is needed")
 	for i, name := range inst.GetCertificateNames() {
-		field := fmt.Sprintf("%s.certificate_names[%d]", at, i)
+		field := fmt.Sprintf("%s.certificate_names[%d]", path, i)
 		c.require(name != "", field, "must not be empty")
-		once(field, certificatePrefix+name)
+		requireUnique(field, certificatePrefix+name)
 	}
-	for i, t := range inst.GetTokenSha256() {
-		t = strings.ToLower(t)
-		field := fmt.Sprintf("%s.token_sha256[%d]", at, i)
-		raw, err := hex.DecodeString(t)
+	for i, digest := range inst.GetTokenSha256() {
+		digest = strings.ToLower(digest)
+		field := fmt.Sprintf("%s.token_sha256[%d]", path, i)
+		raw, err := hex.DecodeString(digest)
 		c.require(err == nil && len(raw) == tokenDigestBytes, field, "must be 64 hex digits, the SHA-256 of a token")
-		once(field, t)
+		requireUnique(field, digest)
 	}
 }
 
-func (c *checker) teams(at string, inst *pb.Institution) map[string]bool {
+func (c *checker) teams(path string, inst *pb.Institution) map[string]bool {
 	seen := make(map[string]bool)
 	ceiling := inst.GetCeilingSlots()
 	for i, t := range inst.GetTeams() {
-		field := fmt.Sprintf("%s.teams[%d]", at, i)
+		field := fmt.Sprintf("%s.teams[%d]", path, i)
 		c.name(field, t.GetName(), seen)
 		c.require(t.GetQuotaSlots() > 0, field+".quota_slots", "must be above 0")
 		c.require(ceiling == 0 || t.GetQuotaSlots() <= ceiling, field+".quota_slots", "%d exceeds the institution's ceiling of %d slots", t.GetQuotaSlots(), ceiling)
@@ -148,15 +148,15 @@
 	return seen
 }
 
-func (c *checker) services(at string, inst *pb.Institution, teams map[string]bool) {
+func (c *checker) services(path string, inst *pb.Institution, teams map[string]bool) {
 	seen := make(map[string]bool)
-	response := inst.GetResponseTimeMs()
-	c.require(len(inst.GetServices()) > 0, at+".services", "at least one is needed")
+	responseTime := inst.GetResponseTimeMs()
+	c.require(len(inst.GetServices()) > 0, path+".services", "at least one is needed")
 	for i, s := range inst.GetServices() {
-		field := fmt.Sprintf("%s.services[%d]", at, i)
+		field := fmt.Sprintf("%s.services[%d]", path, i)
 		c.name(field, s.GetName(), seen)
 		c.require(s.GetRunTimeMs() > 0, field+".run_time_ms", "must be above 0")
-		c.require(response == 0 || s.GetRunTimeMs() <= response, field+".run_time_ms", "%s exceeds the response time %s", ms(s.GetRunTimeMs()), ms(response))
+		c.require(responseTime == 0 || s.GetRunTimeMs() <= responseTime, field+".run_time_ms", "%s exceeds the response time %s", ms(s.GetRunTimeMs()), ms(responseTime))
 		c.require(s.GetMaxTasks() > 0 && s.GetMaxTasks() <= MaxTasks, field+".max_tasks", "%d must be 1 to %d", s.GetMaxTasks(), MaxTasks)
 		c.require(s.GetMaxPayloadBytes() > 0 && s.GetMaxPayloadBytes() <= MaxPayloadBytes, field+".max_payload_bytes", "%d bytes must be 1 to %d", s.GetMaxPayloadBytes(), MaxPayloadBytes)
 		for j, team := range s.GetTeams() {
--- a/core/task/task.go
+++ b/core/task/task.go
@@ -99,15 +99,15 @@
 func DigestOf(s *pb.Submission) Digest {
 	h := sha256.New()
 	var n [8]byte
-	part := func(b []byte) {
+	writeField := func(b []byte) {
 		binary.BigEndian.PutUint64(n[:], uint64(len(b)))
 		h.Write(n[:])
 		h.Write(b)
 	}
-	part([]byte(s.GetService()))
-	part([]byte(s.GetTeam()))
+	writeField([]byte(s.GetService()))
+	writeField([]byte(s.GetTeam()))
 	for _, t := range s.GetTasks() {
-		part(t.GetPayload())
+		writeField(t.GetPayload())
 		binary.BigEndian.PutUint64(n[:], uint64(t.GetRunTimeMs()))
 		h.Write(n[:])
 	}
