--- a/core/settings/apply.go
+++ b/core/settings/apply.go
@@ -6,47 +6,48 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// maxApplyAttempts bounds the reads and writes of one change, so that the operator
-// hears within seconds that it isn't settled.
+// maxApplyAttempts limits the reads and writes of one change, so that the operator gets an
+// answer within seconds if the outcome is uncertain.
 const maxApplyAttempts = 6
 
-// ApplyStep is what the owner of an Apply has to do next.
+// ApplyStep is the next action of the caller of an Apply.
 type ApplyStep int
 
 // The steps.
 const (
 	// ApplyRead: read the settings row and report it by Read.
 	ApplyRead ApplyStep = iota + 1
-	// ApplyWrite: write Next on the condition that the row has still the
-	// version RowVersion, and report by Written.
+	// ApplyWrite: write Next on the condition that the row's version is still RowVersion, and
+	// report the result by Written.
 	ApplyWrite
-	// ApplyEnded: the outcome stands.
+	// ApplyEnded: the Outcome is final.
 	ApplyEnded
 )
 
-// ApplyOutcome is how a change ended.
+// ApplyOutcome is the outcome of a change.
 type ApplyOutcome int
 
 // The outcomes.
 const (
-	// Applied: the change was committed under its version, and nobody else's.
+	// Applied: this change, and no other, was committed under its version.
 	Applied ApplyOutcome = iota + 1
-	// Conflicted: another change has that version; this one never takes effect.
+	// Conflicted: another change has the version; this one never takes effect.
 	Conflicted
-	// NotWritten: the row couldn't be read; nothing was written.
+	// NotWritten: the row couldn't be read or written within the attempts, and no write of this
+	// change takes effect.
 	NotWritten
-	// Unsettled: a write may have taken effect or may yet.
+	// Unsettled: a write may have taken effect or may still do so.
 	Unsettled
 )
 
-// Apply is one operator's change of the settings: a compare-and-set on the
-// settings row. It does no input or output: the owner carries out the steps.
+// Apply is one operator's change of the settings: a compare-and-set on the settings row. It does
+// no input or output; the caller carries out the steps.
 //
-// A reply can be lost after the write took effect. Reported as a failure, the
-// operator would apply again on top of the own change; reported as a success
-// without looking, two operators could both believe that theirs is version N.
-// So a lost reply is settled by reading back, and the change carries a random
-// number that tells it from another operator's with the same content.
+// A reply can be lost after the write took effect. If that were reported as a failure, the
+// operator would apply the change again on top of itself. If it were reported as a success
+// without a check, two operators could each be told that their change is version N. Therefore
+// the row is read again after a lost reply, and each change has a random number that
+// distinguishes it from another operator's change with the same content.
 type Apply struct {
 	expected   uint64
 	next       *pb.Settings
@@ -55,12 +56,12 @@
 	outcome    ApplyOutcome
 	current    uint64
 	attempts   int
-	// uncertain is set when a write was sent and its reply is lost.
+	// uncertain: a write was sent and got no reply.
 	uncertain bool
 }
 
-// NewApply begins a change of the settings with the expected version. The
-// change number is random and not 0.
+// NewApply starts a change of the settings whose current version is expected. The number change
+// is random and not 0.
 func NewApply(expected uint64, s *pb.Settings, change uint64) *Apply {
 	next := proto.Clone(s).(*pb.Settings)
 	next.Version = expected + 1
@@ -68,26 +69,26 @@
 	return &Apply{expected: expected, next: next, step: ApplyRead}
 }
 
-// Step is what has to be done next.
+// Step is the next action.
 func (a *Apply) Step() ApplyStep { return a.step }
 
-// Next is the settings to write. It must not be changed.
+// Next returns the settings to write. They must not be changed.
 func (a *Apply) Next() *pb.Settings { return a.next }
 
-// RowVersion is the condition of the write.
+// RowVersion is the version of the row on which the write is conditional.
 func (a *Apply) RowVersion() uint64 { return a.rowVersion }
 
-// Outcome is how the change ended; 0 before ApplyEnded.
+// Outcome is the outcome of the change; 0 before ApplyEnded.
 func (a *Apply) Outcome() ApplyOutcome { return a.outcome }
 
-// Current is the settings version that was read last.
+// Current is the settings version that was read or written last.
 func (a *Apply) Current() uint64 { return a.current }
 
-// Read reports the settings in the row, nil if there is no row, and the row's
-// version. ok is false if it couldn't be read.
+// Read reports the settings in the row, nil if there is no row, and the row's version. ok is
+// false if the row couldn't be read.
 func (a *Apply) Read(stored *pb.Settings, rowVersion uint64, ok bool) {
 	if a.step != ApplyRead {
-		panic("settings: a read that wasn't asked for")
+		panic("settings: Read in another step than ApplyRead")
 	}
 	if !ok {
 		a.retry()
@@ -101,18 +102,17 @@
 	case a.current == a.next.GetVersion() && a.uncertain && stored.GetChange() == a.next.GetChange():
 		a.end(Applied)
 	case a.current > a.next.GetVersion() && a.uncertain:
-		// The version has passed; whose it was can't be told any more.
+			// A newer version has replaced it; whose change was this version is no longer known.
 		a.end(Unsettled)
 	default:
 		a.end(Conflicted)
 	}
 }
 
-// Written reports a write: whether the table service answered, and whether it
-// committed.
+// Written reports a write: whether the table service committed it, and whether it answered (ok).
 func (a *Apply) Written(committed, ok bool) {
 	if a.step != ApplyWrite {
-		panic("settings: a write that wasn't asked for")
+		panic("settings: Written in another step than ApplyWrite")
 	}
 	if ok && committed {
 		a.current = a.next.GetVersion()
--- a/core/settings/apply_test.go
+++ b/core/settings/apply_test.go
@@ -16,162 +16,162 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// declared is one of few contents, so that racing operators often want the
-// same.
-func declared(response uint32) *pb.Settings {
+// declared returns settings with one of few contents, so that concurrent operators often apply
+// the same.
+func declared(responseTime uint32) *pb.Settings {
 	return &pb.Settings{Institutions: []*pb.Institution{{
 		Name:            "hollowell",
 		TokenSha256:     []string{fmt.Sprintf("%064x", 1)},
-		ResponseTimeMs:  response,
+		ResponseTimeMs:  responseTime,
 		ResubmitWindowS: 60,
 		Services:        []*pb.Service{{Name: "labels", RunTimeMs: 1, MaxTasks: 1, MaxPayloadBytes: 1}},
 	}}}
 }
 
-// pendingWrite is a pendingWrite that is on its way.
+// pendingWrite is a conditional write of the settings row.
 type pendingWrite struct {
-	next *pb.Settings
-	rowVersion  uint64
+	next       *pb.Settings
+	rowVersion uint64
 }
 
-// simulation is the table service, operators and processes.
+// simulation has the table service, the operators and the processes.
 type simulation struct {
-	rowVersion       uint64
-	stored   *pb.Settings
-	committed map[uint64]uint64
-	delayed      []pendingWrite
-	operators []*settings.Apply
-	processes [3]*settings.State
-	change    uint64
-	versions       []*pb.Settings
+	rowVersion uint64
+	stored     *pb.Settings
+	committed  map[uint64]uint64
+	delayed    []pendingWrite
+	operators  []*settings.Apply
+	processes  [3]*settings.State
+	change     uint64
+	versions   []*pb.Settings
 }
 
-func (w *simulation) commit(wr pendingWrite) bool {
-	if wr.rowVersion != w.rowVersion {
+func (sim *simulation) commit(write pendingWrite) bool {
+	if write.rowVersion != sim.rowVersion {
 		return false
 	}
-	if _, taken := w.committed[wr.next.GetVersion()]; taken {
+	if _, taken := sim.committed[write.next.GetVersion()]; taken {
 		panic("two changes of one version")
 	}
-	w.rowVersion++
-	w.stored = wr.next
-	w.committed[wr.next.GetVersion()] = wr.next.GetChange()
-	w.versions = append(w.versions, wr.next)
+	sim.rowVersion++
+	sim.stored = write.next
+	sim.committed[write.next.GetVersion()] = write.next.GetChange()
+	sim.versions = append(sim.versions, write.next)
 	return true
 }
 
-func (w *simulation) addOperator(t *rapid.T) {
-	w.change++
-	expected := w.stored.GetVersion()
+func (sim *simulation) addOperator(t *rapid.T) {
+	sim.change++
+	expected := sim.stored.GetVersion()
 	if rapid.IntRange(0, 3).Draw(t, "outdated") == 0 {
 		expected = rapid.Uint64Range(0, expected+1).Draw(t, "expected")
 	}
-	w.operators = append(w.operators, settings.NewApply(expected, declared(rapid.Uint32Range(1, 2).Draw(t, "content")), w.change))
+	sim.operators = append(sim.operators, settings.NewApply(expected, declared(rapid.Uint32Range(1, 2).Draw(t, "content")), sim.change))
 }
 
-// step lets one operator do one step, with the faults of the table service.
-func (w *simulation) step(t *rapid.T) {
-	if len(w.operators) == 0 {
+// step executes one step of one operator, with a random fault of the table service.
+func (sim *simulation) step(t *rapid.T) {
+	if len(sim.operators) == 0 {
 		return
 	}
-	a := w.operators[rapid.IntRange(max(0, len(w.operators)-3), len(w.operators)-1).Draw(t, "operator")]
+	apply := sim.operators[rapid.IntRange(max(0, len(sim.operators)-3), len(sim.operators)-1).Draw(t, "operator")]
 	fault := rapid.SampledFrom([]string{"none", "none", "out", "reply lost", "late"}).Draw(t, "fault")
-	switch a.Step() {
+	switch apply.Step() {
 	case settings.ApplyRead:
-		a.Read(w.stored, w.rowVersion, fault == "none")
+		apply.Read(sim.stored, sim.rowVersion, fault == "none")
 	case settings.ApplyWrite:
-		wr := pendingWrite{a.Next(), a.RowVersion()}
+		write := pendingWrite{apply.Next(), apply.RowVersion()}
 		switch fault {
 		case "none":
-			a.Written(w.commit(wr), true)
+			apply.Written(sim.commit(write), true)
 		case "reply lost":
-			w.commit(wr)
-			a.Written(false, false)
+			sim.commit(write)
+			apply.Written(false, false)
 		case "late":
-			w.delayed = append(w.delayed, wr)
-			a.Written(false, false)
+			sim.delayed = append(sim.delayed, write)
+			apply.Written(false, false)
 		default:
-			a.Written(false, false)
+			apply.Written(false, false)
 		}
 	}
 }
 
-// deliverDelayed lets a delayed write reach the table service after all.
-func (w *simulation) deliverDelayed(t *rapid.T) {
-	if len(w.delayed) == 0 {
+// deliverDelayed delivers a delayed write to the table service.
+func (sim *simulation) deliverDelayed(t *rapid.T) {
+	if len(sim.delayed) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.delayed)-1).Draw(t, "late")
-	w.commit(w.delayed[i])
-	w.delayed = append(w.delayed[:i], w.delayed[i+1:]...)
+	i := rapid.IntRange(0, len(sim.delayed)-1).Draw(t, "late")
+	sim.commit(sim.delayed[i])
+	sim.delayed = append(sim.delayed[:i], sim.delayed[i+1:]...)
 }
 
-// offerToProcess lets a process see the row, an old reading of it, or a peer's.
-func (w *simulation) offerToProcess(t *rapid.T) {
-	p := w.processes[rapid.IntRange(0, 2).Draw(t, "process")]
+// offerToProcess offers a process the row, an old version of it, or the settings of a peer.
+func (sim *simulation) offerToProcess(t *rapid.T) {
+	p := sim.processes[rapid.IntRange(0, 2).Draw(t, "process")]
 	before := p.Version()
 	switch rapid.IntRange(0, 2).Draw(t, "source") {
 	case 0:
-		p.Offer(w.stored)
+		p.Offer(sim.stored)
 	case 1:
-		p.Offer(w.processes[rapid.IntRange(0, 2).Draw(t, "peer")].Current())
+		p.Offer(sim.processes[rapid.IntRange(0, 2).Draw(t, "peer")].Current())
 	case 2:
-		if len(w.versions) > 0 {
-			p.Offer(w.versions[rapid.IntRange(0, len(w.versions)-1).Draw(t, "reading")])
+		if len(sim.versions) > 0 {
+			p.Offer(sim.versions[rapid.IntRange(0, len(sim.versions)-1).Draw(t, "reading")])
 		}
 	}
 	if p.Version() < before {
-		t.Fatalf("version went back from %d to %d", before, p.Version())
+		t.Fatalf("the version in force decreased from %d to %d", before, p.Version())
 	}
 }
 
-func (w *simulation) check(t *rapid.T) {
+func (sim *simulation) check(t *rapid.T) {
 	applied := map[uint64]bool{}
-	for _, a := range w.operators {
-		version, change := a.Next().GetVersion(), a.Next().GetChange()
-		wasCommitted := w.committed[version] == change
-		switch a.Outcome() {
+	for _, apply := range sim.operators {
+		version, change := apply.Next().GetVersion(), apply.Next().GetChange()
+		wasCommitted := sim.committed[version] == change
+		switch apply.Outcome() {
 		case settings.Applied:
 			if !wasCommitted || applied[version] {
-				t.Fatalf("change %d was told that it is version %d", change, version)
+				t.Fatalf("change %d was reported as applied, but isn't version %d", change, version)
 			}
 			applied[version] = true
 		case settings.Conflicted, settings.NotWritten:
 			if wasCommitted {
-				t.Fatalf("change %d was told that it isn't version %d", change, version)
+				t.Fatalf("change %d was reported as not applied, but is version %d", change, version)
 			}
 		}
 	}
-	for version := uint64(1); version <= w.stored.GetVersion(); version++ {
-		if w.committed[version] == 0 {
-			t.Fatalf("version %d is lost", version)
+	for version := uint64(1); version <= sim.stored.GetVersion(); version++ {
+		if sim.committed[version] == 0 {
+			t.Fatalf("no change was committed as version %d", version)
 		}
 	}
-	for _, p := range w.processes {
-		if p.Version() > 0 && w.committed[p.Version()] != p.Current().GetChange() {
-			t.Fatalf("version %d in force isn't the one accepted", p.Version())
+	for _, p := range sim.processes {
+		if p.Version() > 0 && sim.committed[p.Version()] != p.Current().GetChange() {
+			t.Fatalf("version %d in force isn't the committed one", p.Version())
 		}
 	}
 }
 
-// Operators race, replies are lost after the write took effect, writes arrive
-// after their operator has given up, and processes see old rows and each other.
-// An operator who is told wrongly that a quota is lowered finds out by the
-// traffic; a process that goes back lifts it again.
+// Concurrent operators apply changes, replies are lost after the write took effect, writes arrive
+// after their operator has given up, and processes are offered old rows and each other's
+// settings. No operator may get a wrong outcome (a quota that is reported as lowered but isn't
+// would only show in the traffic), and no process may go back to an older version.
 func TestChangesOfSettings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &simulation{stored: &pb.Settings{}, committed: map[uint64]uint64{}}
-		for i := range w.processes {
-			w.processes[i] = settings.NewState()
+		sim := &simulation{stored: &pb.Settings{}, committed: map[uint64]uint64{}}
+		for i := range sim.processes {
+			sim.processes[i] = settings.NewState()
 		}
-		step := w.step
+		step := sim.step
 		t.Repeat(map[string]func(*rapid.T){
-			"operator": w.addOperator, "step1": step, "step2": step, "step3": step,
-			"arrive": w.deliverDelayed, "spread": w.offerToProcess, "": w.check,
+			"operator": sim.addOperator, "step1": step, "step2": step, "step3": step,
+			"arrive": sim.deliverDelayed, "spread": sim.offerToProcess, "": sim.check,
 		})
-		for _, p := range w.processes {
-			if p.Offer(w.stored); p.Version() != w.stored.GetVersion() {
-				t.Fatalf("a healed process has version %d of %d", p.Version(), w.stored.GetVersion())
+		for _, p := range sim.processes {
+			if p.Offer(sim.stored); p.Version() != sim.stored.GetVersion() {
+				t.Fatalf("a process has version %d instead of %d after reading the row", p.Version(), sim.stored.GetVersion())
 			}
 		}
 	})
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings holds the declared settings in force at one process and
+// Package settings validates declared settings and holds those in force at one process. It
 // decides which offered settings replace them.
 package settings
 
@@ -11,37 +11,36 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// Limits that hold whatever is declared.
+// Limits on declared settings.
 const (
-	// MaxTasks is the most tasks that a service may allow in one job.
+	// MaxTasks is the maximum number of tasks that a service may allow in one job.
 	MaxTasks = 10_000
-	// MaxPayloadBytes is the largest payload a service may allow for a task.
+	// MaxPayloadBytes is the maximum payload that a service may allow for a task, in bytes.
 	MaxPayloadBytes = 1 << 20
-	// MaxResponseTimeMs is the longest response time that can be contracted.
-	// Issued ids are valid for as long; a job that outlived its id couldn't be
-	// resubmitted safely.
+	// MaxResponseTimeMs is the maximum response time that may be declared. Issued ids are valid
+	// for the same time; a job that outlived its id couldn't be resubmitted safely.
 	MaxResponseTimeMs = 600_000
 	maxNameBytes      = 64
 	maxPercent        = 100
 	msPerSecond       = 1000
 	tokenDigestBytes  = 32
-	// certificatePrefix keeps names of certificates apart from digests.
+	// certificatePrefix distinguishes names of certificates from digests of tokens.
 	certificatePrefix = "certificate/"
 )
 
-// FieldError names a field and what is wrong with it.
+// FieldError is a problem with one field.
 type FieldError struct {
 	// Field is a path such as institutions[0].teams[1].quota_slots.
 	Field   string
 	Problem string
 }
 
-// Error joins field and problem.
+// Error joins the field and the problem.
 func (e FieldError) Error() string {
 	return e.Field + ": " + e.Problem
 }
 
-// Errors is every problem found in one settings message.
+// Errors are all problems found in one settings message.
 type Errors []FieldError
 
 // Error lists all problems.
@@ -63,8 +62,8 @@
 	}
 }
 
-// name checks a name: names become parts of row keys, task names and log
-// lines, where a slash or a space would make two different names look alike.
+// name checks a name. Names become parts of row keys, task names and log lines, where two names
+// with slashes or spaces could become indistinguishable.
 func (c *checker) name(path, name string, seen map[string]bool) {
 	valid := name != "" && len(name) <= maxNameBytes && !strings.ContainsFunc(name, func(r rune) bool {
 		return !strings.ContainsRune("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.", r)
@@ -113,8 +112,8 @@
 	return time.Duration(n) * time.Millisecond
 }
 
-// credentials checks the digests of tokens and the names of certificates. One
-// declared for two institutions would show either the other's jobs.
+// credentials checks the digests of tokens and the names of certificates. A credential declared
+// for two institutions would give each access to the other's jobs.
 func (c *checker) credentials(path string, inst *pb.Institution, seen map[string]string) {
 	requireUnique := func(field, credential string) {
 		other, taken := seen[credential]
@@ -165,7 +164,7 @@
 	}
 }
 
-// State is the settings in force at one process. The version only grows.
+// State is the settings in force at one process. Their version never decreases.
 type State struct {
 	current      *pb.Settings
 	institutions map[string]*pb.Institution
@@ -173,17 +172,17 @@
 	certificates map[string]string
 }
 
-// NewState returns a state with nothing in force.
+// NewState returns a state without settings in force.
 func NewState() *State {
 	return &State{}
 }
 
-// Offer puts settings in force if they are valid and newer than the present
-// ones. It reports whether they were taken.
+// Offer puts settings in force if they are valid and newer than the current ones. It reports
+// whether it did.
 //
-// Settings arrive from the table service and from peers, late and crossed. A
-// process that took an older version would, for instance, lift a quota that
-// operators have lowered; the check on the version prevents that.
+// Settings arrive from the table service and from peers, late and out of order. Without the
+// check on the version, an older version could, for instance, lift a quota that operators have
+// lowered.
 func (s *State) Offer(offered *pb.Settings) bool {
 	if offered.GetVersion() <= s.Version() || Validate(offered) != nil {
 		return false
@@ -204,35 +203,35 @@
 	return true
 }
 
-// Version is the version in force, 0 if none.
+// Version is the version in force, or 0 if there is none.
 func (s *State) Version() uint64 {
 	return s.current.GetVersion()
 }
 
-// Current is the settings in force, nil if none. It must not be changed.
+// Current returns the settings in force, or nil if there are none. They must not be changed.
 func (s *State) Current() *pb.Settings {
 	return s.current
 }
 
-// Institution finds an institution by name; nil if there is none.
+// Institution returns an institution by name, or nil if there is none.
 func (s *State) Institution(name string) *pb.Institution {
 	return s.institutions[name]
 }
 
-// InstitutionOfToken finds the institution of a token's hex SHA-256.
+// InstitutionOfToken returns the institution of a token, given by its SHA-256 in hex.
 func (s *State) InstitutionOfToken(digest string) (string, bool) {
 	name, ok := s.tokens[digest]
 	return name, ok
 }
 
-// InstitutionOfCertificate finds the institution of a client certificate's
-// common name.
+// InstitutionOfCertificate returns the institution of a client certificate, given by its common
+// name.
 func (s *State) InstitutionOfCertificate(name string) (string, bool) {
 	institution, ok := s.certificates[name]
 	return institution, ok
 }
 
-// Service finds a service of an institution; nil if there is none.
+// Service returns a service of an institution, or nil if there is none.
 func Service(inst *pb.Institution, name string) *pb.Service {
 	for _, s := range inst.GetServices() {
 		if s.GetName() == name {
@@ -242,7 +241,7 @@
 	return nil
 }
 
-// Team finds a team of an institution; nil if there is none.
+// Team returns a team of an institution, or nil if there is none.
 func Team(inst *pb.Institution, name string) *pb.Team {
 	for _, t := range inst.GetTeams() {
 		if t.GetName() == name {
