--- a/core/job/job.go
+++ b/core/job/job.go
@@ -1,5 +1,5 @@
-// Package job assembles the answer of one job from the results of its tasks
-// and keeps the rule that each task starts at most once.
+// Package job assembles the answer of one job from the results of its tasks and ensures that
+// each task starts at most once.
 package job
 
 import (
@@ -12,8 +12,8 @@
 // State is the state of one task.
 type State uint8
 
-// The states of a task. From Started a task returns to Waiting only on the
-// verdict that it never ran.
+// The states of a task. A task returns from Started to Waiting only on the verdict that it never
+// ran.
 const (
 	Waiting State = iota
 	Started
@@ -21,7 +21,7 @@
 	Abandoned
 )
 
-// Assembly is one job in progress.
+// Assembly is the state of a job in progress.
 type Assembly struct {
 	states  []State
 	starts  []task.StartID
@@ -29,7 +29,7 @@
 	waiting int
 	started int
 	done    int
-	// possiblyRun counts tasks that may have run.
+	// possiblyRun is the number of tasks that may have run.
 	possiblyRun int
 	sealed      bool
 	bytes       int
@@ -47,9 +47,9 @@
 
 // Start records that a task is about to be sent to an upstream.
 //
-// It panics when the task was started before and isn't known to have never
-// run, or when the job is sealed: either would be the doubled label or the
-// false "not run" that this system exists to prevent.
+// It panics if the task was started before without a verdict that it never ran, since the task
+// could run twice, or if the job is sealed, since its answer may already say that the task
+// didn't run.
 func (a *Assembly) Start(index int, id task.StartID) {
 	if a.sealed {
 		panic(fmt.Sprintf("job: start %d of task %d after seal", id, index))
@@ -64,9 +64,8 @@
 	a.possiblyRun++
 }
 
-// NotStarted records that a start is known never to have run, and makes the
-// task startable again. A verdict on another start is ignored and reported
-// false.
+// NotStarted records the verdict that a start never ran, and allows another start of the task.
+// A verdict on a start that isn't the current one is ignored, and NotStarted returns false.
 func (a *Assembly) NotStarted(index int, id task.StartID) bool {
 	if !a.isCurrentStart(index, id) {
 		return false
@@ -78,8 +77,8 @@
 	return true
 }
 
-// Finish records a task's output. A late, doubled or crossed result is ignored
-// and reported false.
+// Finish records a task's output. If the start isn't the current one or the task is already
+// done, the output is ignored and Finish returns false.
 func (a *Assembly) Finish(index int, id task.StartID, output []byte) bool {
 	if !a.isCurrentStart(index, id) {
 		return false
@@ -92,6 +91,7 @@
 	return true
 }
 
+// isCurrentStart reports whether the task is started and id is its latest start.
 func (a *Assembly) isCurrentStart(index int, id task.StartID) bool {
 	if index < 0 || index >= len(a.states) {
 		return false
@@ -99,28 +99,28 @@
 	return a.states[index] == Started && a.starts[index] == id
 }
 
-// Seal ends the job: no task starts from now on.
+// Seal ends the job: no task can be started after it.
 func (a *Assembly) Seal() {
 	a.sealed = true
 }
 
-// Complete says whether every task has its result.
+// Complete reports whether every task has its result.
 func (a *Assembly) Complete() bool { return a.done == len(a.states) }
 
-// MayHaveRun says whether any task may have run.
+// MayHaveRun reports whether any task may have run.
 func (a *Assembly) MayHaveRun() bool { return a.possiblyRun > 0 }
 
 // Waiting is the number of tasks that may be started.
 func (a *Assembly) Waiting() int { return a.waiting }
 
-// Running is the number of tasks started and not settled.
+// Running is the number of tasks that are started and have no outcome.
 func (a *Assembly) Running() int { return a.started }
 
-// Bytes is the size of the results held, in bytes.
+// Bytes is the size of the results so far, in bytes.
 func (a *Assembly) Bytes() int { return a.bytes }
 
-// Results returns the whole result. It panics unless the job is complete: a
-// partial answer would leave a tray unlabelled with nobody told.
+// Results returns the results of all tasks. It panics if the job isn't complete, because a
+// partial answer would hide from the caller that tasks have no result.
 func (a *Assembly) Results() []*pb.TaskResult {
 	if !a.Complete() {
 		panic("job: results of an incomplete job")
--- a/core/settings/apply.go
+++ b/core/settings/apply.go
@@ -31,7 +31,7 @@
 const (
 	// Applied: this change, and no other, was committed under its version.
 	Applied ApplyOutcome = iota + 1
-	// Conflicted: another change has the version; this one never takes effect.
+	// Conflicted: the row isn't at the expected version, and this change never takes effect.
 	Conflicted
 	// NotWritten: the row couldn't be read or written within the attempts, and no write of this
 	// change takes effect.
@@ -102,7 +102,7 @@
 	case a.current == a.next.GetVersion() && a.uncertain && stored.GetChange() == a.next.GetChange():
 		a.end(Applied)
 	case a.current > a.next.GetVersion() && a.uncertain:
-			// A newer version has replaced it; whose change was this version is no longer known.
+		// A newer version has replaced it; whose change was this version is no longer known.
 		a.end(Unsettled)
 	default:
 		a.end(Conflicted)
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -53,12 +53,12 @@
 }
 
 type checker struct {
-	errs Errors
+	problems Errors
 }
 
 func (c *checker) require(ok bool, field, format string, args ...any) {
 	if !ok {
-		c.errs = append(c.errs, FieldError{field, fmt.Sprintf(format, args...)})
+		c.problems = append(c.problems, FieldError{field, fmt.Sprintf(format, args...)})
 	}
 }
 
@@ -87,8 +87,8 @@
 		c.institution(path, inst, credentials)
 	}
 	c.require(totalPercent <= maxPercent, "institutions", "the capacities add up to %d%%, more than 100%%", totalPercent)
-	if len(c.errs) > 0 {
-		return c.errs
+	if len(c.problems) > 0 {
+		return c.problems
 	}
 	return nil
 }
--- a/core/task/task.go
+++ b/core/task/task.go
@@ -1,5 +1,5 @@
-// Package task holds the types that all core packages share: names of
-// processes and submissions, digests, attempts and what upstreams say of them.
+// Package task has the types that all core packages share: names of processes and submissions,
+// digests, task starts and their verdicts.
 package task
 
 import (
@@ -11,12 +11,12 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// Time is a reading of one process's monotonic clock, as the span since that
-// process started. Readings of different processes are never compared.
+// Time is a reading of a process's monotonic clock: the time since that process started.
+// Readings of different processes must not be compared.
 type Time = time.Duration
 
-// Incarnation names one run of one entry process. A process that is started
-// again under the same node name is another incarnation.
+// Incarnation identifies one run of one entry process. After a restart under the same node name
+// the process is another incarnation.
 type Incarnation struct {
 	Node string
 	Run  uint64
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("%s/%016x", i.Node, i.Run)
 }
 
-// ID is a submission id in comparable form. Exactly one kind is set: an issued
-// id has a Holder, an own key has none.
+// ID is a submission id in comparable form: either an issued id, which has a Holder, or the
+// caller's own key, which has none.
 type ID struct {
 	Institution string
 	Holder      Incarnation
@@ -46,8 +46,8 @@
 	OwnKey      string
 }
 
-// IDOf converts the wire form within the institution that presented it, so
-// that two institutions never share a submission.
+// IDOf converts the wire form. The institution that presented the id becomes part of it, so that
+// two institutions never share a submission.
 func IDOf(institution string, m *pb.SubmissionId) ID {
 	id := ID{Institution: institution}
 	switch k := m.GetKind().(type) {
@@ -69,12 +69,12 @@
 	return &pb.SubmissionId{Kind: &pb.SubmissionId_OwnKey{OwnKey: id.OwnKey}}
 }
 
-// Issued says whether an entry process issued the id.
+// Issued reports whether an entry process issued the id.
 func (id ID) Issued() bool {
 	return id.Holder != Incarnation{}
 }
 
-// Valid says whether the id names a submission at all.
+// Valid reports whether the id identifies a submission.
 func (id ID) Valid() bool {
 	if id.Issued() {
 		return id.OwnKey == "" && id.Holder.Node != "" && id.Number > 0
@@ -90,12 +90,12 @@
 	return id.Institution + "/o/" + id.OwnKey
 }
 
-// Digest is the SHA-256 of what a submission asks for.
+// Digest is the SHA-256 of the content of a submission.
 type Digest [sha256.Size]byte
 
-// DigestOf hashes service, team and tasks, each with its length, so that no
-// two different submissions give the same input to the hash. The timeout is
-// left out: a caller may resubmit with less time left.
+// DigestOf hashes the service, the team and the tasks. The length of each field is hashed too, so
+// that different submissions never give the same input to the hash. The timeout is left out,
+// because a caller may resubmit with less time left.
 func DigestOf(s *pb.Submission) Digest {
 	h := sha256.New()
 	var n [8]byte
@@ -119,26 +119,26 @@
 // StartID numbers the task starts of one incarnation.
 type StartID uint64
 
-// Verdict is what is known of one start of a task.
+// Verdict is what is known about one start of a task.
 type Verdict int
 
 // The verdicts. Only NotStarted permits another start of the same task.
 const (
-	// Finished: the task ran and gave its output.
+	// Finished: the task ran and returned its output.
 	Finished Verdict = iota + 1
 	// Failed: the task ran and reported an error; it isn't run again.
 	Failed
-	// NotStarted: it is certain that the task never ran and never will.
+	// NotStarted: the task never ran and never will.
 	NotStarted
-	// Running: the upstream runs the task at present.
+	// Running: the upstream is running the task.
 	Running
 	// Lost: the connection failed after the request may have been sent.
 	Lost
-	// Unknown: the upstream can't tell, and never will.
+	// Unknown: the upstream doesn't know whether the task ran, and never will.
 	Unknown
 )
 
-// String names the verdict for logs.
+// String is the name of the verdict in logs.
 func (v Verdict) String() string {
 	switch v {
 	case Finished:
@@ -157,28 +157,28 @@
 	return "invalid"
 }
 
-// Result is a verdict with what came along.
+// Result is a verdict and the data that the upstream sent with it.
 type Result struct {
 	Verdict Verdict
 	Output  []byte
 	// Detail is the error text of Failed, or the cause of NotStarted and Lost.
 	Detail string
-	// UpstreamRun names the run of the upstream process that answered; empty
-	// if it isn't known.
+	// UpstreamRun identifies the run of the upstream process that answered; empty if it isn't
+	// known.
 	UpstreamRun string
-	// Refused is set when an upstream in service turned the start away.
+	// Refused: an upstream that accepts tasks refused this start.
 	Refused bool
-	// Leaving is set when the upstream said that it is about to leave.
+	// Leaving: the upstream reported that it is about to stop.
 	Leaving bool
 }
 
-// Slot names one execution slot of an upstream.
+// Slot identifies one execution slot of an upstream.
 type Slot struct {
 	Upstream string
 	Index    uint32
 }
 
-// Upstream is one entry of the platform's list.
+// Upstream is an upstream on the platform's list.
 type Upstream struct {
 	Name          string
 	Address       string
@@ -188,8 +188,8 @@
 	Institution   string
 	Slots         uint32
 	Leaving       bool
-	// CPUMillis, in thousandths of a core, and MemoryMiB are the size of the
-	// worker; 0 if it isn't known.
+	// CPUMillis, in thousandths of a core, and MemoryMiB are the size of the worker; 0 if it
+	// isn't known.
 	CPUMillis uint32
 	MemoryMiB uint32
 }
@@ -202,7 +202,7 @@
 	Leaving       bool
 }
 
-// Members is the platform's list of VMs, in name order.
+// Members is the platform's list of entry processes and upstreams, in name order.
 type Members struct {
 	Version   uint64
 	Nodes     []Node
