--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -7,7 +7,7 @@
 	"sapphirepoint.example/sapphirepoint/core/schedule"
 )
 
-// metrics are the counters and histograms of a process.
+// metrics holds the counters, gauges and histograms of a process.
 type metrics struct {
 	registry        *prometheus.Registry
 	requests        *prometheus.CounterVec
@@ -18,16 +18,16 @@
 	storeFailures   *prometheus.CounterVec
 	droppedMessages prometheus.Counter
 	leading         prometheus.Gauge
-	inHand          prometheus.Gauge
+	jobsInFlight    prometheus.Gauge
 	scheduled       *prometheus.GaugeVec
 	messages        *prometheus.CounterVec
 	connections     *prometheus.GaugeVec
-	widened         prometheus.Gauge
+	seatDoublings   prometheus.Gauge
 	evacuated       prometheus.Gauge
 	events          *prometheus.CounterVec
 }
 
-// latencyBuckets span answers from a few milliseconds to a caller's patience.
+// latencyBuckets range from answers within a few milliseconds to callers' timeouts.
 var latencyBuckets = []float64{.002, .005, .01, .02, .05, .1, .2, .3, .5, .75, 1, 1.5, 2.5}
 
 func newMetrics() *metrics {
@@ -57,7 +57,7 @@
 		leading: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "sapphirepoint_leading", Help: "1 while this process schedules.",
 		}),
-		inHand: prometheus.NewGauge(prometheus.GaugeOpts{
+		jobsInFlight: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "sapphirepoint_jobs_in_hand", Help: "Jobs whose callers wait here.",
 		}),
 		scheduled: prometheus.NewGaugeVec(prometheus.GaugeOpts{
@@ -70,7 +70,7 @@
 	m.connections = prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Name: "sapphirepoint_peer_connections", Help: "Connections with other processes: those that stand, and those asked for.",
 	}, []string{"state"})
-	m.widened = prometheus.NewGauge(prometheus.GaugeOpts{
+	m.seatDoublings = prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "sapphirepoint_seats_widened", Help: "How often the number of seats was doubled, since no scheduler of the cell was in reach.",
 	})
 	m.events = prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -79,13 +79,13 @@
 	m.evacuated = prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "sapphirepoint_evacuated_domains", Help: "Failure domains that get no new tasks, by the operator's word.",
 	})
-	m.registry.MustRegister(m.messages, m.connections, m.widened, m.evacuated, m.events)
+	m.registry.MustRegister(m.messages, m.connections, m.seatDoublings, m.evacuated, m.events)
 	m.registry.MustRegister(m.requests, m.requestSeconds, m.calls, m.callSeconds, m.ledgerSeconds, m.storeFailures,
-		m.droppedMessages, m.leading, m.inHand, m.scheduled)
+		m.droppedMessages, m.leading, m.jobsInFlight, m.scheduled)
 	return m
 }
 
-// Metrics is the registry of the process's metrics.
+// Metrics returns the registry of the process's metrics.
 func (p *Process) Metrics() *prometheus.Registry { return p.metrics.registry }
 
 func (m *metrics) update(n *fleet.Node) {
@@ -93,16 +93,16 @@
 	if n.Leads() {
 		m.leading.Set(1)
 	}
-	m.inHand.Set(float64(n.JobsInFlight()))
-	place := n.MembershipStatus()
-	m.widened.Set(float64(place.SeatDoublings))
+	m.jobsInFlight.Set(float64(n.JobsInFlight()))
+	membership := n.MembershipStatus()
+	m.seatDoublings.Set(float64(membership.SeatDoublings))
 	m.evacuated.Set(float64(len(n.Evacuations().Domains)))
-	m.connections.WithLabelValues("wanted").Set(float64(place.WantedConnections))
+	m.connections.WithLabelValues("wanted").Set(float64(membership.WantedConnections))
 	m.connections.WithLabelValues("standing").Set(float64(n.Connections()))
-	m.count(n.Counters())
+	m.updateCounters(n.Counters())
 }
 
-func (m *metrics) count(c schedule.Counters) {
+func (m *metrics) updateCounters(c schedule.Counters) {
 	set := func(event string, n uint64) { m.scheduled.WithLabelValues(event).Set(float64(n)) }
 	set("starts", c.Starts)
 	set("done", c.Done)
