--- a/core/claim/issuer.go
+++ b/core/claim/issuer.go
@@ -1,5 +1,5 @@
 // Package claim has the state of submission ids in one incarnation: the ids that it issued, the
-// claims of other incarnations, uncertain claims, and retained answers. It ensures that no task
+// claims of other incarnations, unsettled claims, and retained answers. It ensures that no task
 // of a submission starts twice: only the holder of a claim may start its tasks, and a claim is
 // never transferred to another incarnation.
 package claim
@@ -95,7 +95,7 @@
 	is.blocks = append(is.blocks[:0], is.blocks[n:]...)
 }
 
-// Blocks is the number of blocks kept.
+// Blocks is the number of blocks that haven't been removed.
 func (is *Issuer) Blocks() int {
 	return len(is.blocks)
 }
@@ -125,8 +125,8 @@
 	Used  []uint64
 }
 
-// ValidBlocks lists the blocks that are still valid, for the process that takes over this
-// process's claims at a planned stop.
+// ValidBlocks lists the blocks that are still valid, for the process that answers resubmissions
+// in place of this one after its planned stop.
 func (is *Issuer) ValidBlocks(now task.Time) []Block {
 	var list []Block
 	for _, b := range is.blocks {
--- a/core/claim/unsettled.go
+++ b/core/claim/unsettled.go
@@ -14,7 +14,7 @@
 	Cancelled bool
 }
 
-// UnsettledSet retains unsettled claims until their rows are deleted. A claim that was removed
+// UnsettledSet retains unsettled claims until their rows are deleted. A claim that was evicted
 // is never run: its row is taken for that of a finished job.
 type UnsettledSet struct {
 	limit  int
--- a/core/health/evidence.go
+++ b/core/health/evidence.go
@@ -130,10 +130,10 @@
 // assess weighs the evidence against an upstream over all services. The cause may be the
 // service or its payloads, so the upstream is only suspect until enough others have succeeded
 // since it began to fail.
-func (t *Tracker) assess(u *upstream, limit float64) assessment {
+func (t *Tracker) assess(u *upstream, threshold float64) assessment {
 	var confirmed, unconfirmed float64
-	for service := range u.services {
-		h := &u.services[service]
+	for service := range u.histories {
+		h := &u.histories[service]
 		if h.failed == 0 {
 			continue
 		}
@@ -146,9 +146,9 @@
 		unconfirmed += h.likelihoodRatio(rate)
 	}
 	switch {
-	case confirmed >= limit:
+	case confirmed >= threshold:
 		return broken
-	case confirmed+unconfirmed >= limit:
+	case confirmed+unconfirmed >= threshold:
 		return suspect
 	}
 	return healthy
--- a/core/health/health.go
+++ b/core/health/health.go
@@ -82,12 +82,12 @@
 	// refusalThreshold is the number of consecutive refusals that close an upstream for a
 	// while. A single refusal may concern the slot only.
 	refusalThreshold = 3
-	// slownessThreshold is the mean of run time over expected run time from which an upstream
-	// gets fewer slots.
+	// slownessThreshold is the mean slowness (run time over expected run time) from which an
+	// upstream gets fewer slots. The mean is geometric and gives newer run times more weight.
 	slownessThreshold = 1.75
 	// slownessGain is the weight of the newest run time in that mean.
 	slownessGain = 1.0 / 16
-	// maxSlowness limits the effect of a single run time on the mean.
+	// maxSlowness limits a single slowness, and its inverse, so that one run time can't decide.
 	maxSlowness = 8
 	// initialShare is the first share of a returning upstream.
 	initialShare = 1.0 / 8
@@ -102,33 +102,44 @@
 	name  string
 	state state
 	// reportedState is the state in the latest Change.
-	reportedState    state
-	until            task.Time
+	reportedState state
+	// until is when an ejected or unavailable upstream may be used again; 0 after that.
+	until task.Time
+	// ejectionLevel and unavailableLevel are the levels of the backoff in these states.
 	ejectionLevel    int
 	unavailableLevel int
-	ejectedAt        task.Time
-	ejectionTime     task.Time
-	refused          int
-	suspect          bool
-	share            float64
-	slowness         float64
-	weight           float64
-	services         []history
-	lastSuccess      task.Time
-	institutionPool  *pool
-	poolIndex        int
-	domainPool       *pool
-	groups           [2]*group
+	// ejectedAt and ejectionTime are the time and the length of the latest ejection.
+	ejectedAt           task.Time
+	ejectionTime        task.Time
+	consecutiveRefusals int
+	// suspect: the upstream is unavailable because its failures aren't confirmed yet.
+	suspect bool
+	// share is the share of slots that a returning or open upstream may use, apart from its
+	// slowness.
+	share float64
+	// logSlowness is the logarithm of the mean slowness of its tasks.
+	logSlowness float64
+	weight      float64
+	// histories are by the index of the service.
+	histories []history
+	// lastSuccess is when the task with the latest success was sent.
+	lastSuccess     task.Time
+	institutionPool *pool
+	// poolIndex is the index in institutionPool.
+	poolIndex  int
+	domainPool *pool
+	// groups are the worker and the rack; nil if unknown.
+	groups [2]*group
 	// reporters are the peers that have ejected the upstream.
 	reporters []string
 	spec      task.Upstream
 }
 
 func (u *upstream) history(service int) *history {
-	if service >= len(u.services) {
+	if service >= len(u.histories) {
 		return nil
 	}
-	return &u.services[service]
+	return &u.histories[service]
 }
 
 // Change is a new weight of an upstream: 0 closes it, otherwise it is the share of its slots
@@ -156,13 +167,13 @@
 
 // Tracker tracks the health of the upstreams from the outcomes that one process observes.
 type Tracker struct {
-	cfg       Config
-	rng       *rand.Rand
-	upstreams map[string]*upstream
-	services  map[string]int
-	sorted    []*upstream
-	changes   []Change
-	reports   map[string][]string
+	cfg            Config
+	rng            *rand.Rand
+	upstreams      map[string]*upstream
+	serviceIndexes map[string]int
+	sorted         []*upstream
+	changes        []Change
+	reports        map[string][]string
 	// ejected is the number of upstreams that are ejected or probing.
 	ejected int
 	stats   Stats
@@ -171,11 +182,11 @@
 // New returns an empty tracker. The random source is for the jitter of waits.
 func New(cfg Config, rng *rand.Rand) *Tracker {
 	return &Tracker{
-		cfg:       cfg,
-		rng:       rng,
-		upstreams: make(map[string]*upstream),
-		services:  make(map[string]int),
-		reports:   make(map[string][]string),
+		cfg:            cfg,
+		rng:            rng,
+		upstreams:      make(map[string]*upstream),
+		serviceIndexes: make(map[string]int),
+		reports:        make(map[string][]string),
 	}
 }
 
@@ -204,8 +215,8 @@
 	case TaskFailed:
 		t.observeFailure(now, u, t.historyFor(u, r.Service))
 	case Refused:
-		u.refused++
-		if u.refused >= refusalThreshold || u.state != open {
+		u.consecutiveRefusals++
+		if u.consecutiveRefusals >= refusalThreshold || u.state != open {
 			t.setUnavailable(now, u)
 		}
 	case Unreachable:
@@ -214,21 +225,21 @@
 }
 
 func (t *Tracker) historyFor(u *upstream, name string) *history {
-	i, ok := t.services[name]
+	i, ok := t.serviceIndexes[name]
 	if !ok {
-		i = len(t.services)
-		t.services[name] = i
+		i = len(t.serviceIndexes)
+		t.serviceIndexes[name] = i
 	}
-	for len(u.services) <= i {
-		u.services = append(u.services, history{})
+	for len(u.histories) <= i {
+		u.histories = append(u.histories, history{})
 	}
-	return &u.services[i]
+	return &u.histories[i]
 }
 
 func (t *Tracker) observeSuccess(now task.Time, u *upstream, r Result) {
 	if r.Slowness > 0 {
 		x := math.Log(min(max(r.Slowness, 1.0/maxSlowness), maxSlowness))
-		u.slowness += slownessGain * (x - u.slowness)
+		u.logSlowness += slownessGain * (x - u.logSlowness)
 	}
 	h := t.historyFor(u, r.Service)
 	if h.failed&1 == 1 && r.Sent < h.failingSince {
@@ -237,7 +248,7 @@
 		return
 	}
 	h.add(now, false)
-	u.refused = 0
+	u.consecutiveRefusals = 0
 	u.lastSuccess = r.Sent
 	switch u.state {
 	case ejected:
@@ -264,12 +275,12 @@
 	t.countEjected(u, -1)
 	u.state = returning
 	u.share = initialShare
-	clear(u.services)
+	clear(u.histories)
 }
 
 func (t *Tracker) observeFailure(now task.Time, u *upstream, h *history) {
 	h.add(now, true)
-	u.refused = 0
+	u.consecutiveRefusals = 0
 	switch u.state {
 	case ejected:
 		return
@@ -344,7 +355,7 @@
 	}
 	u.state = unavailable
 	u.until = now + backoff(t.rng, t.cfg.BaseUnavailableTime, t.cfg.MaxUnavailableTime, u.unavailableLevel)
-	u.refused = 0
+	u.consecutiveRefusals = 0
 	t.updateWeight(u)
 }
 
@@ -412,7 +423,7 @@
 	case u.state == probing, u.state == unavailable:
 		w = MinWeight
 	default:
-		w = u.share * slownessShare(u.slowness)
+		w = u.share * slownessShare(u.logSlowness)
 	}
 	if w == u.weight && until == 0 {
 		return
@@ -423,9 +434,9 @@
 }
 
 // slownessShare is the share of slots for an upstream whose tasks run longer than expected, in
-// steps of an eighth so that noise doesn't change the weight all the time.
-func slownessShare(slowness float64) float64 {
-	factor := math.Exp(slowness)
+// steps of an eighth so that noise doesn't make the weight fluctuate.
+func slownessShare(logSlowness float64) float64 {
+	factor := math.Exp(logSlowness)
 	if factor < slownessThreshold {
 		return 1
 	}
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -228,9 +228,9 @@
 	h := healthyTracker()
 	rng := rand.New(rand.NewPCG(7, 8))
 	for range 200 {
-		spread := 0.3 + 1.4*rng.Float64()
-		observe(h, time.Second, "u02", health.Succeeded, 3*spread)
-		observe(h, time.Second, "u09", health.Succeeded, spread)
+		variation := 0.3 + 1.4*rng.Float64()
+		observe(h, time.Second, "u02", health.Succeeded, 3*variation)
+		observe(h, time.Second, "u09", health.Succeeded, variation)
 	}
 	g.Expect(h.Weight("u02")).To(gomega.BeNumerically("<=", 0.5))
 	g.Expect(h.Weight("u02")).To(gomega.BeNumerically(">=", 0.25))
--- a/core/health/report.go
+++ b/core/health/report.go
@@ -35,7 +35,7 @@
 		if u.state == open && u.weight == 1 {
 			continue
 		}
-		list = append(list, Status{u.name, u.state.String(), u.weight, u.until.Milliseconds(), math.Exp(u.slowness)})
+		list = append(list, Status{u.name, u.state.String(), u.weight, u.until.Milliseconds(), math.Exp(u.logSlowness)})
 	}
 	return list
 }
--- a/core/settings/apply.go
+++ b/core/settings/apply.go
@@ -45,7 +45,7 @@
 //
 // A reply can be lost after the write took effect. If that were reported as a failure, the
 // operator would apply the change again on top of itself. If it were reported as a success
-// without a check, two operators could each be told that their change is version N. Therefore
+// without a check, two operators could each get the answer that their change is version N. Therefore
 // the row is read again after a lost reply, and each change has a random number that
 // distinguishes it from another operator's change with the same content.
 type Apply struct {
