--- a/cli/connect.go
+++ b/cli/connect.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return client.New(client.Config{URLs: entries, Token: token, TLS: tlsConfig, NewIDs: newIDs}), nil
+	return client.New(client.Config{URLs: entries, Token: token, TLS: tlsConfig, MaxNewIDs: newIDs}), nil
 }
 
 // operatorFlags say whom operators' commands call.
--- a/cli/keys.go
+++ b/cli/keys.go
@@ -63,7 +63,7 @@
 			if err != nil {
 				return usage(err)
 			}
-			pair, err := keys.NewProcess(ca, node, addresses...)
+			pair, err := keys.NewProcessCertificate(ca, node, addresses...)
 			if err != nil {
 				return err
 			}
@@ -93,7 +93,7 @@
 			if err != nil {
 				return usage(err)
 			}
-			pair, err := keys.NewCaller(ca, name)
+			pair, err := keys.NewCallerCertificate(ca, name)
 			if err != nil {
 				return err
 			}
--- a/cli/summary.go
+++ b/cli/summary.go
@@ -179,7 +179,7 @@
 		s.OverIdeal.print(w, fmt.Sprintf("response over ideal (%.0f ms declared for the slowest task)", s.IdealMs))
 	}
 	fmt.Fprintf(w, "client: %d calls, of which %d for ids, %d resubmissions; %d foreign answers dropped\n",
-		s.Client.Calls, s.Client.IDBlocks, s.Client.Resubmissions, s.Client.ForeignAnswers)
+		s.Client.Calls, s.Client.IDBlocks, s.Client.Resubmissions, s.Client.RejectedAnswers)
 	if s.Entries != nil {
 		s.Entries.print(w)
 	}
--- a/client/client.go
+++ b/client/client.go
@@ -47,10 +47,10 @@
 	HTTPClient *http.Client
 	// MaxAnswerBytes bounds an answer; 0 means DefaultMaxAnswerBytes.
 	MaxAnswerBytes int
-	// NewIDs is how often Submit may submit a job again under a new id after
+	// MaxNewIDs is how often Submit may submit a job again under a new id after
 	// "not run" with a time to come back. It concerns only ids that Submit
 	// obtained itself; 0 returns the answer to the caller.
-	NewIDs int
+	MaxNewIDs int
 }
 
 // Client submits jobs. It is safe for concurrent use.
@@ -73,9 +73,9 @@
 	IDBlocks uint64
 	// Resubmissions is the calls that sent a submission again.
 	Resubmissions uint64
-	// ForeignAnswers is the answers dropped because they weren't for the
+	// RejectedAnswers is the answers dropped because they weren't for the
 	// submission or weren't whole.
-	ForeignAnswers uint64
+	RejectedAnswers uint64
 }
 
 // New returns a client.
@@ -104,10 +104,10 @@
 // Stats returns the counters.
 func (c *Client) Stats() Stats {
 	return Stats{
-		Calls:          c.stats.calls.Load(),
-		IDBlocks:       c.stats.blocks.Load(),
-		Resubmissions:  c.stats.resubmissions.Load(),
-		ForeignAnswers: c.stats.foreign.Load(),
+		Calls:           c.stats.calls.Load(),
+		IDBlocks:        c.stats.blocks.Load(),
+		Resubmissions:   c.stats.resubmissions.Load(),
+		RejectedAnswers: c.stats.foreign.Load(),
 	}
 }
 
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -169,7 +169,7 @@
 	a, err := c.Submit(ctx, job())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(a.GetResults()).To(gomega.HaveLen(2))
-	g.Expect(c.Stats().ForeignAnswers).To(gomega.BeEquivalentTo(2))
+	g.Expect(c.Stats().RejectedAnswers).To(gomega.BeEquivalentTo(2))
 	expectSameID(g, e.submissions()...)
 }
 
@@ -179,7 +179,7 @@
 	g, ctx, cfg := setup(t, serve(t, "a", foreign))
 	a, err := client.New(cfg).Submit(ctx, job())
 	g.Expect(a).To(gomega.BeNil())
-	g.Expect(errors.Is(err, client.ErrForeignAnswer)).To(gomega.BeTrue())
+	g.Expect(errors.Is(err, client.ErrMismatchedAnswer)).To(gomega.BeTrue())
 }
 
 // The holder can't be reached for a while, and the answer says when to come
@@ -217,7 +217,7 @@
 	a, err := client.New(cfg).Submit(ctx, job())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(a.GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_NOT_RUN))
-	cfg.NewIDs = 3
+	cfg.MaxNewIDs = 3
 	a, err = client.New(cfg).Submit(ctx, job())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(a.GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_COMPLETE))
--- a/client/entry.go
+++ b/client/entry.go
@@ -220,7 +220,7 @@
 	a := res.Msg.GetAnswer()
 	if !sameID(a.GetId(), id) {
 		e.stats.foreign.Add(1)
-		return nil, ErrForeignAnswer
+		return nil, ErrMismatchedAnswer
 	}
 	return a, nil
 }
--- a/client/submit.go
+++ b/client/submit.go
@@ -76,7 +76,7 @@
 func (c *Client) Submit(ctx context.Context, s *pb.Submission) (*pb.Answer, error) {
 	at := &attempt{client: c, s: s, deadline: ownDeadline(s)}
 	if s.GetId() == nil {
-		at.newIDs = c.cfg.NewIDs
+		at.newIDs = c.cfg.MaxNewIDs
 	}
 	for {
 		a, err := at.send(ctx)
@@ -164,7 +164,7 @@
 }
 
 func (at *attempt) afterError(err error) (time.Duration, bool) {
-	if errors.Is(err, ErrForeignAnswer) || errors.Is(err, ErrNotWhole) {
+	if errors.Is(err, ErrMismatchedAnswer) || errors.Is(err, ErrIncompleteAnswer) {
 		at.foreign++
 		return minBackoff, at.foreign >= maxForeign
 	}
--- a/config/node.go
+++ b/config/node.go
@@ -30,20 +30,20 @@
 		return node.Config{}, err
 	}
 	return node.Config{
-		Name:                p.Node,
-		FailureDomain:       p.FailureDomain,
-		CallerAddress:       p.Listen.Callers,
-		OperatorAddress:     p.Listen.Operators,
-		PeerAddress:         p.Listen.Peers,
-		PlatformURL:         p.Platform.URL,
-		OperatorToken:       token,
-		PeerTLS:             peerTLS,
-		CallerTLS:           callerTLS,
-		OperatorTLS:         operatorTLS,
-		MaxRequestBytes:     p.Limits.maxRequestBytes(),
-		CallerConnections:   p.Limits.CallerConnections,
-		OperatorConnections: p.Limits.OperatorConnections,
-		Log:                 log,
+		Name:                   p.Node,
+		FailureDomain:          p.FailureDomain,
+		CallerAddress:          p.Listen.Callers,
+		OperatorAddress:        p.Listen.Operators,
+		PeerAddress:            p.Listen.Peers,
+		PlatformURL:            p.Platform.URL,
+		OperatorToken:          token,
+		PeerTLS:                peerTLS,
+		CallerTLS:              callerTLS,
+		OperatorTLS:            operatorTLS,
+		MaxRequestBytes:        p.Limits.maxRequestBytes(),
+		MaxCallerConnections:   p.Limits.CallerConnections,
+		MaxOperatorConnections: p.Limits.OperatorConnections,
+		Log:                    log,
 	}, nil
 }
 
--- a/config/process.go
+++ b/config/process.go
@@ -91,8 +91,8 @@
 		LogLevel: zerolog.InfoLevel.String(),
 		Limits: Limits{
 			MaxRequest:          "32MiB",
-			CallerConnections:   node.DefaultCallerConnections,
-			OperatorConnections: node.DefaultOperatorConnections,
+			CallerConnections:   node.DefaultMaxCallerConnections,
+			OperatorConnections: node.DefaultMaxOperatorConnections,
 		},
 	}
 }
--- a/config/process_test.go
+++ b/config/process_test.go
@@ -24,7 +24,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	callers, err := keys.NewCA("callers")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	pair, err := keys.NewProcess(ca, "loughborough-1")
+	pair, err := keys.NewProcessCertificate(ca, "loughborough-1")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	for name, data := range map[string][]byte{
 		"ca.pem": ca.Cert, "loughborough-1.pem": pair.Cert, "loughborough-1.key": pair.Key,
--- a/e2e/harness_test.go
+++ b/e2e/harness_test.go
@@ -199,7 +199,7 @@
 
 func (d *deployment) addEntry(name, domain string) {
 	e := &entry{name: name, domain: domain, callers: freeAddress(), operators: freeAddress(), peers: freeAddress(), settings: d.path(name + ".yaml")}
-	pair, err := keys.NewProcess(d.ca, name)
+	pair, err := keys.NewProcessCertificate(d.ca, name)
 	Expect(err).NotTo(HaveOccurred())
 	write(d.path(name+".pem"), pair.Cert)
 	write(d.path(name+".key"), pair.Key)
--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -194,7 +194,7 @@
 	for _, e := range r.d.entries {
 		urls = append(urls, "http://"+e.callers)
 	}
-	callers := client.New(client.Config{URLs: urls, Token: standin.Token, NewIDs: 3})
+	callers := client.New(client.Config{URLs: urls, Token: standin.Token, MaxNewIDs: 3})
 	defer callers.Close()
 	var all sync.WaitGroup
 	next := time.Now()
--- a/entry/process.go
+++ b/entry/process.go
@@ -175,7 +175,7 @@
 		case fleet.Connect:
 			p.mesh.SetLinks(c.Links)
 		case fleet.Disconnect:
-			p.mesh.Drop(string(c.Peer))
+			p.mesh.Disconnect(string(c.Peer))
 		case fleet.Order:
 			p.order(ctx, c)
 		case fleet.ProbeStore:
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -51,10 +51,10 @@
 	return encode(t, t, key, key)
 }
 
-// NewProcess makes the certificate of an entry process, named after its node.
+// NewProcessCertificate makes the certificate of an entry process, named after its node.
 // With the addresses that callers and operators use, it serves their listeners
 // too.
-func NewProcess(ca Pair, node string, addresses ...net.IP) (Pair, error) {
+func NewProcessCertificate(ca Pair, node string, addresses ...net.IP) (Pair, error) {
 	return issue(ca, node, func(t *x509.Certificate) {
 		t.DNSNames = []string{node}
 		t.IPAddresses = addresses
@@ -135,9 +135,9 @@
 	}, nil
 }
 
-// NewCaller makes the certificate by which the callers of an institution
+// NewCallerCertificate makes the certificate by which the callers of an institution
 // authenticate. It opens no peer link, nor must its authority.
-func NewCaller(ca Pair, name string) (Pair, error) {
+func NewCallerCertificate(ca Pair, name string) (Pair, error) {
 	return issue(ca, name, func(t *x509.Certificate) {
 		t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
 	})
--- a/node/config.go
+++ b/node/config.go
@@ -15,10 +15,10 @@
 	maxPeerMessageBytes = DefaultMaxRequestBytes + 1<<16
 	maxIDsPerBlock      = 4096
 	maxOwnKeyBytes      = 256
-	// DefaultCallerConnections and DefaultOperatorConnections are the most open
-	// connections of each listener.
-	DefaultCallerConnections   = 4096
-	DefaultOperatorConnections = 64
+	// DefaultMaxCallerConnections and DefaultMaxOperatorConnections are the
+	// default limits of open connections of each listener.
+	DefaultMaxCallerConnections   = 4096
+	DefaultMaxOperatorConnections = 64
 )
 
 // Config is what a node needs to start. Files are read by the daemon; the
@@ -41,10 +41,10 @@
 	// MaxRequestBytes is the largest request of a caller or operator; 0 means
 	// DefaultMaxRequestBytes, which is also the most.
 	MaxRequestBytes int
-	// CallerConnections and OperatorConnections bound the open connections of
+	// MaxCallerConnections and MaxOperatorConnections bound the open connections of
 	// each listener; 0 means the default.
-	CallerConnections   int
-	OperatorConnections int
+	MaxCallerConnections   int
+	MaxOperatorConnections int
 	// PollInterval is how often settings and members are read.
 	PollInterval time.Duration
 	Log          zerolog.Logger
@@ -60,11 +60,11 @@
 	if c.MaxRequestBytes == 0 {
 		c.MaxRequestBytes = DefaultMaxRequestBytes
 	}
-	if c.CallerConnections == 0 {
-		c.CallerConnections = DefaultCallerConnections
+	if c.MaxCallerConnections == 0 {
+		c.MaxCallerConnections = DefaultMaxCallerConnections
 	}
-	if c.OperatorConnections == 0 {
-		c.OperatorConnections = DefaultOperatorConnections
+	if c.MaxOperatorConnections == 0 {
+		c.MaxOperatorConnections = DefaultMaxOperatorConnections
 	}
 	return c
 }
--- a/node/node.go
+++ b/node/node.go
@@ -84,11 +84,11 @@
 
 func (n *Node) listen() error {
 	var err error
-	n.callerListener, err = listenTCP(n.cfg.CallerAddress, n.cfg.CallerConnections, n.cfg.CallerTLS)
+	n.callerListener, err = listenTCP(n.cfg.CallerAddress, n.cfg.MaxCallerConnections, n.cfg.CallerTLS)
 	if err != nil {
 		return errors.Wrap(err, "listen for callers")
 	}
-	n.operatorListener, err = listenTCP(n.cfg.OperatorAddress, n.cfg.OperatorConnections, n.cfg.OperatorTLS)
+	n.operatorListener, err = listenTCP(n.cfg.OperatorAddress, n.cfg.MaxOperatorConnections, n.cfg.OperatorTLS)
 	if err != nil {
 		return errors.Wrap(err, "listen for operators")
 	}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -58,7 +58,7 @@
 	go func() { _ = p.Serve(l) }()
 	ca, err := keys.NewCA("test")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	pair, err := keys.NewProcess(ca, "n", net.IPv4(127, 0, 0, 1))
+	pair, err := keys.NewProcessCertificate(ca, "n", net.IPv4(127, 0, 0, 1))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	peerTLS, err := keys.PeerTLS(ca.Cert, pair)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -140,13 +140,13 @@
 func TestCallersMayShowACertificateInsteadOfAToken(t *testing.T) {
 	callers, err := keys.NewCA("callers")
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
-	server, err := keys.NewProcess(callers, "n", net.IPv4(127, 0, 0, 1))
+	server, err := keys.NewProcessCertificate(callers, "n", net.IPv4(127, 0, 0, 1))
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 	g, ctx, n, ca := start(t, func(cfg *node.Config) {
 		cfg.CallerTLS, err = keys.ServerTLS(server, callers.Cert)
 	})
 	obtain := func(authority keys.Pair, name string) error {
-		pair, err := keys.NewCaller(authority, name)
+		pair, err := keys.NewCallerCertificate(authority, name)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		cert, err := tls.X509KeyPair(pair.Cert, pair.Key)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -259,7 +259,7 @@
 func TestOpenConnectionsAreBounded(t *testing.T) {
 	g, _, n, _ := start(t, func(cfg *node.Config) {
 		plain(cfg)
-		cfg.CallerConnections = 2
+		cfg.MaxCallerConnections = 2
 	})
 	get := func(conn net.Conn, wait time.Duration) error {
 		_ = conn.SetDeadline(time.Now().Add(wait))
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -412,8 +412,8 @@
 	}
 }
 
-// Drop closes the connection with a process, if there is one.
-func (m *Mesh) Drop(id string) {
+// Disconnect closes the connection with a process, if there is one.
+func (m *Mesh) Disconnect(id string) {
 	m.mu.Lock()
 	l := m.links[id]
 	m.mu.Unlock()
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -162,7 +162,7 @@
 	keepAlive(t, a, b)
 	introduce(a, b)
 	g.Eventually(func() int { return a.rec.ups("b") }, patience, 10*time.Millisecond).Should(Equal(1))
-	a.mesh.Drop("b")
+	a.mesh.Disconnect("b")
 	g.Eventually(func() int { return a.rec.ups("b") }, patience, 10*time.Millisecond).Should(Equal(2))
 }
 
--- a/standin/cluster.go
+++ b/standin/cluster.go
@@ -163,7 +163,7 @@
 
 // StartEntry starts an entry node with the given peer address.
 func (c *Cluster) StartEntry(ctx context.Context, name, domain, peerAddress string) (*Entry, error) {
-	pair, err := keys.NewProcess(c.ca, name)
+	pair, err := keys.NewProcessCertificate(c.ca, name)
 	if err != nil {
 		return nil, err
 	}
