--- a/client/check.go
+++ b/client/check.go
@@ -16,10 +16,10 @@
 // result a task.
 var ErrIncompleteAnswer = errors.New("the answer isn't whole")
 
-// check compares an answer with its submission. An answer crossed with another
+// verifyAnswer compares an answer with its submission. An answer crossed with another
 // would put one kitchen's allergens on another's label; a short one would send
 // trays out unmarked.
-func check(s *pb.Submission, a *pb.Answer) error {
+func verifyAnswer(s *pb.Submission, a *pb.Answer) error {
 	digest := task.DigestOf(s)
 	if !sameID(a.GetId(), s.GetId()) || !bytes.Equal(a.GetDigest(), digest[:]) {
 		return ErrMismatchedAnswer
--- a/client/client.go
+++ b/client/client.go
@@ -23,7 +23,7 @@
 const (
 	// DefaultMaxAnswerBytes is the largest answer taken, in bytes.
 	DefaultMaxAnswerBytes = 64 << 20
-	bearer                = "Bearer "
+	bearerPrefix          = "Bearer "
 )
 
 var errNoURL = connect.NewError(connect.CodeInvalidArgument, errors.New("no URL is configured"))
@@ -55,14 +55,14 @@
 
 // Client submits jobs. It is safe for concurrent use.
 type Client struct {
-	cfg     Config
-	entries []*entry
-	turn    atomic.Uint64
-	stats   counters
+	cfg       Config
+	entries   []*entry
+	nextEntry atomic.Uint64
+	stats     counters
 }
 
 type counters struct {
-	calls, blocks, resubmissions, foreign atomic.Uint64
+	calls, idBlocks, resubmissions, rejectedAnswers atomic.Uint64
 }
 
 // Stats counts what a client did.
@@ -105,9 +105,9 @@
 func (c *Client) Stats() Stats {
 	return Stats{
 		Calls:           c.stats.calls.Load(),
-		IDBlocks:        c.stats.blocks.Load(),
+		IDBlocks:        c.stats.idBlocks.Load(),
 		Resubmissions:   c.stats.resubmissions.Load(),
-		RejectedAnswers: c.stats.foreign.Load(),
+		RejectedAnswers: c.stats.rejectedAnswers.Load(),
 	}
 }
 
@@ -119,12 +119,12 @@
 // NewID returns an unused id from the first entry that gives one.
 func (c *Client) NewID(ctx context.Context) (*pb.SubmissionId, error) {
 	var err error = errNoURL
-	for _, e := range c.order(nil) {
+	for _, e := range c.entryOrder(nil) {
 		var id *pb.SubmissionId
 		if id, err = e.newID(ctx); err == nil {
 			return id, nil
 		}
-		if ctx.Err() != nil || final(err) {
+		if ctx.Err() != nil || isPermanent(err) {
 			break
 		}
 	}
@@ -134,12 +134,12 @@
 // Cancel ends a submission and returns the word on it.
 func (c *Client) Cancel(ctx context.Context, id *pb.SubmissionId) (*pb.Answer, error) {
 	var err error = errNoURL
-	for _, e := range c.order(id) {
+	for _, e := range c.entryOrder(id) {
 		var a *pb.Answer
 		if a, err = e.cancel(ctx, id); err == nil {
 			return a, nil
 		}
-		if ctx.Err() != nil || final(err) {
+		if ctx.Err() != nil || isPermanent(err) {
 			break
 		}
 		e.setDown(time.Now())
@@ -147,32 +147,32 @@
 	return nil, errors.Wrap(err, "cancel")
 }
 
-// order lists the entries to try: first the one that gave the id, since it
+// entryOrder lists the entries to try: first the one that gave the id, since it
 // holds the claim and needn't forward, then the others in turn, those that
 // failed a moment ago last.
-func (c *Client) order(id *pb.SubmissionId) []*entry {
+func (c *Client) entryOrder(id *pb.SubmissionId) []*entry {
 	n := len(c.entries)
 	if n == 0 {
 		return nil
 	}
 	// An issued id took its turn when it was obtained.
-	turn := c.turn.Load()
+	turn := c.nextEntry.Load()
 	if id.GetIssued() == nil {
-		turn = c.turn.Add(1)
+		turn = c.nextEntry.Add(1)
 	}
 	first := int(turn % uint64(n))
 	now := time.Now()
-	var home, up, down []*entry
+	var issuers, up, down []*entry
 	for i := range n {
 		e := c.entries[(first+i)%n]
 		switch {
 		case e.isDown(now):
 			down = append(down, e)
-		case e.gave(id):
-			home = append(home, e)
+		case e.issued(id):
+			issuers = append(issuers, e)
 		default:
 			up = append(up, e)
 		}
 	}
-	return append(append(home, up...), down...)
+	return append(append(issuers, up...), down...)
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -19,23 +19,23 @@
 	"sapphirepoint.example/sapphirepoint/standin/faults"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// entry is a small entry process for tests: it issues ids and answers each
+// testEntry is a small testEntry process for tests: it issues ids and answers each
 // submission by its script, the last step of which is repeated.
-type entry struct {
+type testEntry struct {
 	node    string
 	validMs uint32
-	script  []func(*pb.Submission) (*pb.Answer, error)
+	answers []func(*pb.Submission) (*pb.Answer, error)
 
-	mu     sync.Mutex
-	issued uint64
-	got    []*pb.Submission
-	server *httptest.Server
-	faults *faults.Listener
+	mu       sync.Mutex
+	issued   uint64
+	received []*pb.Submission
+	server   *httptest.Server
+	faults   *faults.Listener
 }
 
-func (e *entry) IssueIds(_ context.Context, req *connect.Request[pb.IssueIdsRequest]) (*connect.Response[pb.IssueIdsResponse], error) {
+func (e *testEntry) IssueIds(_ context.Context, req *connect.Request[pb.IssueIdsRequest]) (*connect.Response[pb.IssueIdsResponse], error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	first := e.issued + 1
@@ -45,10 +45,10 @@
 	}}), nil
 }
 
-func (e *entry) Submit(_ context.Context, req *connect.Request[pb.Submission]) (*connect.Response[pb.Answer], error) {
+func (e *testEntry) Submit(_ context.Context, req *connect.Request[pb.Submission]) (*connect.Response[pb.Answer], error) {
 	e.mu.Lock()
-	step := e.script[min(len(e.got), len(e.script)-1)]
-	e.got = append(e.got, req.Msg)
+	step := e.answers[min(len(e.received), len(e.answers)-1)]
+	e.received = append(e.received, req.Msg)
 	e.mu.Unlock()
 	a, err := step(req.Msg)
 	if err != nil {
@@ -57,19 +57,19 @@
 	return connect.NewResponse(a), nil
 }
 
-func (e *entry) Cancel(_ context.Context, req *connect.Request[pb.CancelRequest]) (*connect.Response[pb.CancelResponse], error) {
+func (e *testEntry) Cancel(_ context.Context, req *connect.Request[pb.CancelRequest]) (*connect.Response[pb.CancelResponse], error) {
 	return connect.NewResponse(&pb.CancelResponse{Answer: &pb.Answer{Id: req.Msg.GetId(), Outcome: pb.Outcome_OUTCOME_NOT_RUN}}), nil
 }
 
-func (e *entry) submissions() []*pb.Submission {
+func (e *testEntry) submissions() []*pb.Submission {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.got
+	return e.received
 }
 
-func serve(t *testing.T, node string, script ...func(*pb.Submission) (*pb.Answer, error)) *entry {
+func startEntry(t *testing.T, node string, script ...func(*pb.Submission) (*pb.Answer, error)) *testEntry {
 	t.Helper()
-	e := &entry{node: node, validMs: 600_000, script: script}
+	e := &testEntry{node: node, validMs: 600_000, answers: script}
 	mux := http.NewServeMux()
 	mux.Handle(sapphirepointv1connect.NewCallerServiceHandler(e))
 	e.server = httptest.NewUnstartedServer(mux)
@@ -87,43 +87,43 @@
 	return &pb.Submission{Service: "labels", Tasks: []*pb.Task{{Payload: []byte("milk")}, {Payload: []byte("sesame")}}}
 }
 
-func word(s *pb.Submission, o pb.Outcome, retryAfterMs uint32) *pb.Answer {
+func newAnswer(s *pb.Submission, o pb.Outcome, retryAfterMs uint32) *pb.Answer {
 	d := task.DigestOf(s)
 	return &pb.Answer{Id: s.GetId(), Digest: d[:], Outcome: o, RetryAfterMs: retryAfterMs}
 }
 
 func complete(s *pb.Submission) (*pb.Answer, error) {
-	a := word(s, pb.Outcome_OUTCOME_COMPLETE, 0)
+	a := newAnswer(s, pb.Outcome_OUTCOME_COMPLETE, 0)
 	for i, t := range s.GetTasks() {
 		a.Results = append(a.Results, &pb.TaskResult{Index: uint32(i), Output: t.GetPayload()})
 	}
 	return a, nil
 }
 
-func comeBack(s *pb.Submission) (*pb.Answer, error) {
-	return word(s, pb.Outcome_OUTCOME_UNKNOWN, 20), nil
+func retryLater(s *pb.Submission) (*pb.Answer, error) {
+	return newAnswer(s, pb.Outcome_OUTCOME_UNKNOWN, 20), nil
 }
 
 func notRun(s *pb.Submission) (*pb.Answer, error) {
-	return word(s, pb.Outcome_OUTCOME_NOT_RUN, 20), nil
+	return newAnswer(s, pb.Outcome_OUTCOME_NOT_RUN, 20), nil
 }
 
-func breakOff(*pb.Submission) (*pb.Answer, error) { panic(http.ErrAbortHandler) }
+func breakConnection(*pb.Submission) (*pb.Answer, error) { panic(http.ErrAbortHandler) }
 
-func foreign(s *pb.Submission) (*pb.Answer, error) {
+func mismatchedAnswer(s *pb.Submission) (*pb.Answer, error) {
 	other := job()
 	other.Id = client.OwnKey("another caller's")
 	return complete(other)
 }
 
-func short(s *pb.Submission) (*pb.Answer, error) {
+func incompleteAnswer(s *pb.Submission) (*pb.Answer, error) {
 	a, _ := complete(s)
 	a.Results = a.Results[:1]
 	return a, nil
 }
 
-func setup(t *testing.T, entries ...*entry) (*gomega.WithT, context.Context, client.Config) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func setup(t *testing.T, entries ...*testEntry) (*gomega.WithT, context.Context, client.Config) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	cfg := client.Config{Token: "t"}
 	for _, e := range entries {
@@ -141,8 +141,8 @@
 // The entry VM takes a job and its connection breaks before the answer. The
 // kitchen's till sends the job again; under a new id its labels would be
 // printed twice.
-func TestALostReplyIsAskedForAgainUnderTheSameIDElsewhere(t *testing.T) {
-	first, second := serve(t, "a", breakOff), serve(t, "b", complete)
+func TestLostReplyIsResubmittedUnderTheSameIDElsewhere(t *testing.T) {
+	first, second := startEntry(t, "a", breakConnection), startEntry(t, "b", complete)
 	g, ctx, cfg := setup(t, first, second)
 	c := client.New(cfg)
 	defer c.Close()
@@ -162,8 +162,8 @@
 // Two answers cross on the way. Taken for its own, the other's would put
 // another kitchen's allergens on the label; it is dropped, counted and the job
 // asked for again.
-func TestForeignAndShortAnswersAreDroppedAndCounted(t *testing.T) {
-	e := serve(t, "a", foreign, short, complete)
+func TestMismatchedAndIncompleteAnswersAreRejectedAndCounted(t *testing.T) {
+	e := startEntry(t, "a", mismatchedAnswer, incompleteAnswer, complete)
 	g, ctx, cfg := setup(t, e)
 	c := client.New(cfg)
 	a, err := c.Submit(ctx, job())
@@ -175,8 +175,8 @@
 
 // An entry VM mixes up all its answers. The caller must get an error in the
 // end, not somebody's label.
-func TestNothingButForeignAnswersIsAnError(t *testing.T) {
-	g, ctx, cfg := setup(t, serve(t, "a", foreign))
+func TestOnlyMismatchedAnswersIsAnError(t *testing.T) {
+	g, ctx, cfg := setup(t, startEntry(t, "a", mismatchedAnswer))
 	a, err := client.New(cfg).Submit(ctx, job())
 	g.Expect(a).To(gomega.BeNil())
 	g.Expect(errors.Is(err, client.ErrMismatchedAnswer)).To(gomega.BeTrue())
@@ -184,8 +184,8 @@
 
 // The holder can't be reached for a while, and the answer says when to come
 // back. A caller that gave up or took a new id would print twice.
-func TestAnUnknownOutcomeIsAskedForAgainWhenTold(t *testing.T) {
-	e := serve(t, "a", comeBack, comeBack, complete)
+func TestUnknownOutcomeIsResubmittedAfterRetryTime(t *testing.T) {
+	e := startEntry(t, "a", retryLater, retryLater, complete)
 	g, ctx, cfg := setup(t, e)
 	began := time.Now()
 	a, err := client.New(cfg).Submit(ctx, job())
@@ -197,8 +197,8 @@
 
 // No entry VM knows the outcome before the caller's time ends. The error keeps
 // the id, so that the caller can ask again later.
-func TestAnUnsettledSubmissionKeepsItsID(t *testing.T) {
-	g, _, cfg := setup(t, serve(t, "a", comeBack))
+func TestUnsettledErrorHoldsTheID(t *testing.T) {
+	g, _, cfg := setup(t, startEntry(t, "a", retryLater))
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	_, err := client.New(cfg).Submit(ctx, job())
@@ -211,8 +211,8 @@
 
 // A job is refused in a rush, truthfully. It may run later, but only under
 // another id, and only if the caller asked for that.
-func TestNotRunIsSubmittedUnderANewIDOnlyIfAsked(t *testing.T) {
-	e := serve(t, "a", notRun, notRun, complete)
+func TestNotRunIsResubmittedUnderANewIDOnlyIfConfigured(t *testing.T) {
+	e := startEntry(t, "a", notRun, notRun, complete)
 	g, ctx, cfg := setup(t, e)
 	a, err := client.New(cfg).Submit(ctx, job())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -227,8 +227,8 @@
 
 // One entry VM is down. Its callers' jobs go through another, without a second
 // of silence each time.
-func TestAnEntryThatIsDownIsLeftOut(t *testing.T) {
-	down, up := serve(t, "a", complete), serve(t, "b", complete)
+func TestEntryThatIsDownIsAvoided(t *testing.T) {
+	down, up := startEntry(t, "a", complete), startEntry(t, "b", complete)
 	g, ctx, cfg := setup(t, down, up)
 	down.server.Close()
 	c := client.New(cfg)
@@ -243,7 +243,7 @@
 // A caller held on to ids for longer than they are valid. Sent, they would be
 // answered "failed, may have run"; a new block is obtained instead.
 func TestExpiredIDsAreNotUsed(t *testing.T) {
-	e := serve(t, "a", complete)
+	e := startEntry(t, "a", complete)
 	e.validMs = 1
 	g, ctx, cfg := setup(t, e)
 	c := client.New(cfg)
@@ -258,8 +258,8 @@
 // The connection to the entry VM ends, as at its restart, and a balancer may
 // lead the next one elsewhere. The old ids' holder is gone: the first job under
 // one would fail as "may have run" though it never ran.
-func TestIDsEndWithTheirConnection(t *testing.T) {
-	e := serve(t, "a", complete)
+func TestIDsAreDroppedWithTheirConnection(t *testing.T) {
+	e := startEntry(t, "a", complete)
 	g, ctx, cfg := setup(t, e)
 	c := client.New(cfg)
 	_, err := c.Submit(ctx, job())
@@ -275,9 +275,9 @@
 // Something between caller and entry VM loses track of the open connection:
 // what is sent on it disappears for good, while new connections work. Without
 // pings the label would never come.
-func TestASilentConnectionIsNoticed(t *testing.T) {
+func TestSilentConnectionIsDetected(t *testing.T) {
 	release := make(chan struct{})
-	e := serve(t, "a", func(s *pb.Submission) (*pb.Answer, error) {
+	e := startEntry(t, "a", func(s *pb.Submission) (*pb.Answer, error) {
 		<-release
 		return complete(s)
 	}, complete)
@@ -297,8 +297,8 @@
 
 // An answer is far larger than the caller can hold. It gets an error instead
 // of running out of memory.
-func TestAnAnswerOverTheLimitIsAnError(t *testing.T) {
-	g, ctx, cfg := setup(t, serve(t, "a", func(s *pb.Submission) (*pb.Answer, error) {
+func TestAnswerOverTheLimitIsAnError(t *testing.T) {
+	g, ctx, cfg := setup(t, startEntry(t, "a", func(s *pb.Submission) (*pb.Answer, error) {
 		a, err := complete(s)
 		a.Results[0].Output = make([]byte, 1<<16)
 		return a, err
@@ -310,8 +310,8 @@
 
 // A first sending failed and the second is rejected. The first may have
 // started the job, so the error must not say that nothing ran.
-func TestARejectionAfterALostReplyIsUnsettled(t *testing.T) {
-	g, ctx, cfg := setup(t, serve(t, "a", breakOff, func(*pb.Submission) (*pb.Answer, error) {
+func TestRejectionAfterALostReplyIsUnsettled(t *testing.T) {
+	g, ctx, cfg := setup(t, startEntry(t, "a", breakConnection, func(*pb.Submission) (*pb.Answer, error) {
 		return nil, connect.NewError(connect.CodeUnauthenticated, errors.New("the token isn't known"))
 	}))
 	_, err := client.New(cfg).Submit(ctx, job())
@@ -321,8 +321,8 @@
 
 // The context's deadline becomes the submission's timeout, and a caller's own
 // timeout isn't stretched by sending again.
-func TestDeadlinesAreCarriedAlong(t *testing.T) {
-	e := serve(t, "a", comeBack, complete)
+func TestDeadlinesAreSentAsTimeouts(t *testing.T) {
+	e := startEntry(t, "a", retryLater, complete)
 	g, ctx, cfg := setup(t, e)
 	s := job()
 	s.TimeoutMs = 5000
@@ -332,7 +332,7 @@
 	s = job()
 	_, err = client.New(cfg).Submit(ctx, s)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(e.submissions()[2].GetTimeoutMs()).To(gomega.And(gomega.BeNumerically(">", 0), gomega.BeNumerically("<", patience.Milliseconds())))
+	g.Expect(e.submissions()[2].GetTimeoutMs()).To(gomega.And(gomega.BeNumerically(">", 0), gomega.BeNumerically("<", testTimeout.Milliseconds())))
 }
 
 func TestNoURLIsAnError(t *testing.T) {
--- a/client/entry.go
+++ b/client/entry.go
@@ -20,15 +20,15 @@
 	idsPerBlock = 256
 	// idMargin is kept from the end of a block's validity, for the way of the
 	// submission; never more than a tenth of the validity.
-	idMargin       = 5 * time.Second
-	idMarginDivide = 10
-	// downTime is how long an entry that failed is tried last.
-	downTime    = time.Second
-	dialTimeout = 2 * time.Second
-	// pingAfter and pingTimeout bound how long a silent connection goes
+	idMargin        = 5 * time.Second
+	idMarginDivisor = 10
+	// downDuration is how long an entry that failed is tried last.
+	downDuration = time.Second
+	dialTimeout  = 2 * time.Second
+	// pingIdleTime and pingTimeout bound how long a silent connection goes
 	// unnoticed.
-	pingAfter   = time.Second
-	pingTimeout = time.Second
+	pingIdleTime = time.Second
+	pingTimeout  = time.Second
 )
 
 // entry is one URL with the ids it gave.
@@ -37,8 +37,8 @@
 	token     string
 	stats     *counters
 	transport *http.Transport
-	// fetching is held by the one call that obtains a block.
-	fetching chan struct{}
+	// fetchSlot is held by the one call that obtains a block.
+	fetchSlot chan struct{}
 
 	mu        sync.Mutex
 	block     *pb.IdBlock
@@ -49,7 +49,7 @@
 }
 
 func newEntry(url string, cfg Config, stats *counters) *entry {
-	e := &entry{token: cfg.Token, stats: stats, fetching: make(chan struct{}, 1)}
+	e := &entry{token: cfg.Token, stats: stats, fetchSlot: make(chan struct{}, 1)}
 	hc := cfg.HTTPClient
 	if hc == nil {
 		e.transport = e.newTransport(cfg)
@@ -67,29 +67,29 @@
 	return &http.Transport{
 		Protocols:       &p,
 		TLSClientConfig: cfg.TLS,
-		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
+		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingIdleTime, PingTimeout: pingTimeout},
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			return &watchedConn{Conn: conn, closed: e.dropBlock}, nil
+			return &notifyingConn{Conn: conn, onClose: e.dropBlock}, nil
 		},
 	}
 }
 
-// watchedConn drops the ids of a connection that ends. Behind a balancer the
+// notifyingConn drops the ids of a connection that ends. Behind a balancer the
 // next connection may lead to another process, and after a restart the ids'
 // holder is gone: a first submission under such an id would be answered
 // "failed, may have run", though it never ran.
-type watchedConn struct {
+type notifyingConn struct {
 	net.Conn
-	closed func()
+	onClose func()
 }
 
 // Close implements net.Conn.
-func (c *watchedConn) Close() error {
-	c.closed()
+func (c *notifyingConn) Close() error {
+	c.onClose()
 	return c.Conn.Close()
 }
 
@@ -114,12 +114,12 @@
 func (e *entry) setDown(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.downUntil = now.Add(downTime)
+	e.downUntil = now.Add(downDuration)
 	e.block = nil
 }
 
-// gave says whether the entry's latest block came from the id's holder.
-func (e *entry) gave(id *pb.SubmissionId) bool {
+// issued says whether the entry's latest block came from the id's holder.
+func (e *entry) issued(id *pb.SubmissionId) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return id.GetIssued() != nil && task.IncarnationOf(id.GetIssued().GetHolder()) == e.holder
@@ -131,18 +131,18 @@
 		return id, nil
 	}
 	select {
-	case e.fetching <- struct{}{}:
+	case e.fetchSlot <- struct{}{}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	defer func() { <-e.fetching }()
+	defer func() { <-e.fetchSlot }()
 	if id := e.takeID(time.Now()); id != nil {
 		return id, nil
 	}
 	asked := time.Now()
-	block, err := e.issue(ctx)
+	block, err := e.requestBlock(ctx)
 	if err != nil {
-		if !final(err) && ctx.Err() == nil {
+		if !isPermanent(err) && ctx.Err() == nil {
 			e.setDown(asked)
 		}
 		return nil, err
@@ -154,10 +154,10 @@
 	return nil, errors.New("the connection ended as it gave ids")
 }
 
-func (e *entry) issue(ctx context.Context) (*pb.IdBlock, error) {
+func (e *entry) requestBlock(ctx context.Context) (*pb.IdBlock, error) {
 	e.stats.calls.Add(1)
-	e.stats.blocks.Add(1)
-	res, err := e.rpc.IssueIds(ctx, authorized(e, &pb.IssueIdsRequest{Count: idsPerBlock}))
+	e.stats.idBlocks.Add(1)
+	res, err := e.rpc.IssueIds(ctx, newRequest(e, &pb.IssueIdsRequest{Count: idsPerBlock}))
 	if err != nil {
 		return nil, err
 	}
@@ -174,7 +174,7 @@
 	valid := time.Duration(b.GetValidMs()) * time.Millisecond
 	e.block = b
 	e.next = 0
-	e.expires = asked.Add(valid - min(idMargin, valid/idMarginDivide))
+	e.expires = asked.Add(valid - min(idMargin, valid/idMarginDivisor))
 	e.holder = task.IncarnationOf(b.GetHolder())
 }
 
@@ -189,10 +189,10 @@
 	return &pb.SubmissionId{Kind: &pb.SubmissionId_Issued{Issued: id}}
 }
 
-func authorized[T any](e *entry, m *T) *connect.Request[T] {
+func newRequest[T any](e *entry, m *T) *connect.Request[T] {
 	r := connect.NewRequest(m)
 	if e.token != "" {
-		r.Header().Set("Authorization", bearer+e.token)
+		r.Header().Set("Authorization", bearerPrefix+e.token)
 	}
 	return r
 }
@@ -200,12 +200,12 @@
 // submit sends a submission once and checks the answer.
 func (e *entry) submit(ctx context.Context, s *pb.Submission) (*pb.Answer, error) {
 	e.stats.calls.Add(1)
-	res, err := e.rpc.Submit(ctx, authorized(e, s))
+	res, err := e.rpc.Submit(ctx, newRequest(e, s))
 	if err != nil {
 		return nil, err
 	}
-	if err := check(s, res.Msg); err != nil {
-		e.stats.foreign.Add(1)
+	if err := verifyAnswer(s, res.Msg); err != nil {
+		e.stats.rejectedAnswers.Add(1)
 		return nil, err
 	}
 	return res.Msg, nil
@@ -213,13 +213,13 @@
 
 func (e *entry) cancel(ctx context.Context, id *pb.SubmissionId) (*pb.Answer, error) {
 	e.stats.calls.Add(1)
-	res, err := e.rpc.Cancel(ctx, authorized(e, &pb.CancelRequest{Id: id}))
+	res, err := e.rpc.Cancel(ctx, newRequest(e, &pb.CancelRequest{Id: id}))
 	if err != nil {
 		return nil, err
 	}
 	a := res.Msg.GetAnswer()
 	if !sameID(a.GetId(), id) {
-		e.stats.foreign.Add(1)
+		e.stats.rejectedAnswers.Add(1)
 		return nil, ErrMismatchedAnswer
 	}
 	return a, nil
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -13,9 +13,9 @@
 
 func ExampleClient_Submit() {
 	mux := http.NewServeMux()
-	mux.Handle(sapphirepointv1connect.NewCallerServiceHandler(&entry{
+	mux.Handle(sapphirepointv1connect.NewCallerServiceHandler(&testEntry{
 		node: "loughborough-1", validMs: 60_000,
-		script: []func(*pb.Submission) (*pb.Answer, error){complete},
+		answers: []func(*pb.Submission) (*pb.Answer, error){complete},
 	}))
 	server := httptest.NewUnstartedServer(mux)
 	server.Config.Protocols = new(http.Protocols)
--- a/client/submit.go
+++ b/client/submit.go
@@ -18,14 +18,14 @@
 	// minBackoff and maxBackoff bound the wait after a call without an answer.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = time.Second
-	// jitterDivide makes the random part of a wait at most half of it.
-	jitterDivide = 2
-	// maxForeign is how many answers of others are dropped before Submit ends.
-	maxForeign = 3
+	// jitterDivisor makes the random part of a wait at most half of it.
+	jitterDivisor = 2
+	// maxRejectedAnswers is how many answers of others are dropped before Submit ends.
+	maxRejectedAnswers = 3
 	// answerMargin is what is kept of the context's time for the way of the
 	// answer; never more than a tenth of it.
-	answerMargin       = 100 * time.Millisecond
-	answerMarginDivide = 10
+	answerMargin        = 100 * time.Millisecond
+	answerMarginDivisor = 10
 )
 
 // UnsettledError reports that a submission has no final word yet. Its tasks
@@ -49,19 +49,19 @@
 // Unwrap returns what ended the waiting.
 func (e *UnsettledError) Unwrap() error { return e.Err }
 
-// attempt is the state of one call of Submit.
-type attempt struct {
-	client *Client
-	s      *pb.Submission
+// submitCall is the state of one call of Submit.
+type submitCall struct {
+	client     *Client
+	submission *pb.Submission
 	// deadline is when the caller's own timeout ends; zero if it set none.
 	deadline time.Time
-	// order is the entries to try, with the present one first.
-	order   []*entry
-	sends   int
-	failed  int
-	foreign int
-	newIDs  int
-	last    *pb.Answer
+	// entries is the entries to try, with the present one first.
+	entries         []*entry
+	sends           int
+	failedCalls     int
+	rejectedAnswers int
+	newIDsLeft      int
+	lastAnswer      *pb.Answer
 }
 
 // Submit sends a submission until it has a final word or the context ends. It
@@ -74,121 +74,121 @@
 // context ended first, or a rejection came after a call without an answer.
 // Other errors are rejections of the first call: it started nothing.
 func (c *Client) Submit(ctx context.Context, s *pb.Submission) (*pb.Answer, error) {
-	at := &attempt{client: c, s: s, deadline: ownDeadline(s)}
+	call := &submitCall{client: c, submission: s, deadline: callerDeadline(s)}
 	if s.GetId() == nil {
-		at.newIDs = c.cfg.MaxNewIDs
+		call.newIDsLeft = c.cfg.MaxNewIDs
 	}
 	for {
-		a, err := at.send(ctx)
-		wait, done := at.next(a, err)
+		a, err := call.send(ctx)
+		wait, done := call.afterCall(a, err)
 		if done {
-			return a, at.ended(err)
+			return a, call.wrapError(err)
 		}
 		if err := sleep(ctx, wait); err != nil {
-			return at.last, at.unsettled(err)
+			return call.lastAnswer, call.unsettled(err)
 		}
 	}
 }
 
-// ended keeps an error truthful: a rejection after a call that brought no
+// wrapError keeps an error truthful: a rejection after a call that brought no
 // answer doesn't settle what became of that call.
-func (at *attempt) ended(err error) error {
-	if err != nil && at.sends > 1 {
-		return at.unsettled(err)
+func (call *submitCall) wrapError(err error) error {
+	if err != nil && call.sends > 1 {
+		return call.unsettled(err)
 	}
 	return err
 }
 
-func (at *attempt) unsettled(err error) error {
-	if at.s.GetId() == nil {
+func (call *submitCall) unsettled(err error) error {
+	if call.submission.GetId() == nil {
 		return errors.Wrap(err, "nothing was submitted")
 	}
-	return &UnsettledError{ID: at.s.GetId(), Last: at.last, Err: err}
+	return &UnsettledError{ID: call.submission.GetId(), Last: call.lastAnswer, Err: err}
 }
 
 // send obtains an id if need be and sends once.
-func (at *attempt) send(ctx context.Context) (*pb.Answer, error) {
-	if at.s.GetId() == nil {
-		id, err := at.client.NewID(ctx)
+func (call *submitCall) send(ctx context.Context) (*pb.Answer, error) {
+	if call.submission.GetId() == nil {
+		id, err := call.client.NewID(ctx)
 		if err != nil {
 			return nil, err
 		}
-		at.s.Id = id
-		at.order = nil
-		at.sends = 0
+		call.submission.Id = id
+		call.entries = nil
+		call.sends = 0
 	}
-	if len(at.order) == 0 {
-		at.order = at.client.order(at.s.GetId())
+	if len(call.entries) == 0 {
+		call.entries = call.client.entryOrder(call.submission.GetId())
 	}
-	if len(at.order) == 0 {
+	if len(call.entries) == 0 {
 		return nil, errNoURL
 	}
-	if at.sends++; at.sends > 1 {
-		at.client.stats.resubmissions.Add(1)
+	if call.sends++; call.sends > 1 {
+		call.client.stats.resubmissions.Add(1)
 	}
-	return at.order[0].submit(ctx, withTimeout(ctx, at.s, at.deadline))
+	return call.entries[0].submit(ctx, withTimeout(ctx, call.submission, call.deadline))
 }
 
-// next decides what follows a call: the end, or a wait before the next one.
-func (at *attempt) next(a *pb.Answer, err error) (time.Duration, bool) {
+// afterCall decides what follows a call: the end, or a wait before the afterCall one.
+func (call *submitCall) afterCall(a *pb.Answer, err error) (time.Duration, bool) {
 	if err != nil {
-		return at.afterError(err)
+		return call.afterError(err)
 	}
-	at.failed = 0
-	at.last = a
+	call.failedCalls = 0
+	call.lastAnswer = a
 	wait := time.Duration(a.GetRetryAfterMs()) * time.Millisecond
 	switch {
 	case a.GetRetryAfterMs() == 0:
 		return 0, true
-	case a.GetOutcome() == pb.Outcome_OUTCOME_NOT_RUN && at.newIDs > 0 && !at.late(wait):
-		at.newIDs--
-		at.s.Id = nil
+	case a.GetOutcome() == pb.Outcome_OUTCOME_NOT_RUN && call.newIDsLeft > 0 && !call.pastDeadline(wait):
+		call.newIDsLeft--
+		call.submission.Id = nil
 	case a.GetOutcome() != pb.Outcome_OUTCOME_UNKNOWN:
 		return 0, true
 	}
-	if elsewhere(a.GetReason()) {
-		at.turn()
+	if tryOtherEntry(a.GetReason()) {
+		call.rotate()
 	}
 	// Never earlier than told, and spread, so that callers that were turned
 	// away together don't come back together.
 	return wait + jitter(wait), false
 }
 
-func (at *attempt) late(wait time.Duration) bool {
-	return !at.deadline.IsZero() && time.Now().Add(wait).After(at.deadline)
+func (call *submitCall) pastDeadline(wait time.Duration) bool {
+	return !call.deadline.IsZero() && time.Now().Add(wait).After(call.deadline)
 }
 
-// elsewhere says whether another entry may know more.
-func elsewhere(r pb.Reason) bool {
+// tryOtherEntry says whether another entry may know more.
+func tryOtherEntry(r pb.Reason) bool {
 	return r == pb.Reason_REASON_NOT_SERVING || r == pb.Reason_REASON_HOLDER_UNREACHABLE
 }
 
-func (at *attempt) afterError(err error) (time.Duration, bool) {
+func (call *submitCall) afterError(err error) (time.Duration, bool) {
 	if errors.Is(err, ErrMismatchedAnswer) || errors.Is(err, ErrIncompleteAnswer) {
-		at.foreign++
-		return minBackoff, at.foreign >= maxForeign
+		call.rejectedAnswers++
+		return minBackoff, call.rejectedAnswers >= maxRejectedAnswers
 	}
-	if final(err) {
+	if isPermanent(err) {
 		return 0, true
 	}
-	at.failed++
-	if len(at.order) > 0 {
-		at.order[0].setDown(time.Now())
-		at.turn()
+	call.failedCalls++
+	if len(call.entries) > 0 {
+		call.entries[0].setDown(time.Now())
+		call.rotate()
 	}
-	backoff := min(minBackoff<<min(at.failed-1, 8), maxBackoff)
+	backoff := min(minBackoff<<min(call.failedCalls-1, 8), maxBackoff)
 	return backoff + jitter(backoff), false
 }
 
-// turn puts the next entry first.
-func (at *attempt) turn() {
-	if len(at.order) > 1 {
-		at.order = append(at.order[1:len(at.order):len(at.order)], at.order[0])
+// rotate puts the next entry first.
+func (call *submitCall) rotate() {
+	if len(call.entries) > 1 {
+		call.entries = append(call.entries[1:len(call.entries):len(call.entries)], call.entries[0])
 	}
 }
 
 func jitter(d time.Duration) time.Duration {
-	return rand.N(d/jitterDivide + 1)
+	return rand.N(d/jitterDivisor + 1)
 }
 
 func sleep(ctx context.Context, d time.Duration) error {
@@ -213,11 +213,11 @@
 	if !deadline.IsZero() {
 		left = max(time.Until(deadline), time.Millisecond)
 	}
-	if end, ok := ctx.Deadline(); ok {
-		rest := time.Until(end)
-		rest = max(rest-min(answerMargin, rest/answerMarginDivide), time.Millisecond)
-		if left == 0 || rest < left {
-			left = rest
+	if contextDeadline, ok := ctx.Deadline(); ok {
+		contextLeft := time.Until(contextDeadline)
+		contextLeft = max(contextLeft-min(answerMargin, contextLeft/answerMarginDivisor), time.Millisecond)
+		if left == 0 || contextLeft < left {
+			left = contextLeft
 		}
 	}
 	return &pb.Submission{
@@ -229,8 +229,8 @@
 	}
 }
 
-// final says whether asking again can't help.
-func final(err error) bool {
+// isPermanent says whether asking again can't help.
+func isPermanent(err error) bool {
 	var untrusted *tls.CertificateVerificationError
 	if errors.As(err, &untrusted) {
 		return true
@@ -245,15 +245,15 @@
 
 // SubmitOnce sends a submission that has an id once.
 func (c *Client) SubmitOnce(ctx context.Context, s *pb.Submission) (*pb.Answer, error) {
-	order := c.order(s.GetId())
+	order := c.entryOrder(s.GetId())
 	if len(order) == 0 {
 		return nil, errNoURL
 	}
-	return order[0].submit(ctx, withTimeout(ctx, s, ownDeadline(s)))
+	return order[0].submit(ctx, withTimeout(ctx, s, callerDeadline(s)))
 }
 
-// ownDeadline is when the caller's own timeout ends; zero if it set none.
-func ownDeadline(s *pb.Submission) time.Time {
+// callerDeadline is when the caller's own timeout ends; zero if it set none.
+func callerDeadline(s *pb.Submission) time.Time {
 	if s.GetTimeoutMs() == 0 {
 		return time.Time{}
 	}
--- a/node/callers.go
+++ b/node/callers.go
@@ -26,20 +26,20 @@
 type callers struct {
 	node *Node
 
-	mu      sync.Mutex
-	last    uint64
-	waiting map[uint64]chan *pb.Answer
+	mu          sync.Mutex
+	lastRequest uint64
+	pending     map[uint64]chan *pb.Answer
 }
 
 func newCallers(n *Node) *callers {
-	return &callers{node: n, waiting: make(map[uint64]chan *pb.Answer)}
+	return &callers{node: n, pending: make(map[uint64]chan *pb.Answer)}
 }
 
 func (n *Node) callerHandler() http.Handler {
 	e := echo.New()
 	n.healthRoutes(e)
 	path, h := sapphirepointv1connect.NewCallerServiceHandler(n.callers, connect.WithReadMaxBytes(n.cfg.MaxRequestBytes))
-	e.Any(path+"*", echo.WrapHandler(withCertificate(h)))
+	e.Any(path+"*", echo.WrapHandler(withCertificateName(h)))
 	return e
 }
 
@@ -60,20 +60,20 @@
 	if !hasToken && !hasCertificate {
 		return "", connect.NewError(connect.CodeUnauthenticated, errors.New("a bearer token or a client certificate is needed"))
 	}
-	inForce := cs.node.inForce.Load()
-	if inForce.Version() == 0 {
+	current := cs.node.currentSettings.Load()
+	if current.Version() == 0 {
 		// Called unknown, the token of a good caller would be given up on.
 		return "", connect.NewError(connect.CodeUnavailable, errors.New("the process has no settings yet"))
 	}
 	if !hasToken {
-		name, ok := inForce.InstitutionOfCertificate(certificate)
+		name, ok := current.InstitutionOfCertificate(certificate)
 		if !ok {
 			return "", connect.NewError(connect.CodeUnauthenticated, errors.New("the certificate's name isn't known"))
 		}
 		return name, nil
 	}
 	sum := sha256.Sum256([]byte(token))
-	name, ok := inForce.InstitutionOfToken(hex.EncodeToString(sum[:]))
+	name, ok := current.InstitutionOfToken(hex.EncodeToString(sum[:]))
 	if !ok {
 		return "", connect.NewError(connect.CodeUnauthenticated, errors.New("the token isn't known"))
 	}
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// named authenticates a request that names a submission.
-func (cs *callers) named(ctx context.Context, h http.Header, id *pb.SubmissionId) (string, error) {
+// authenticate authenticates a request that names a submission.
+func (cs *callers) authenticate(ctx context.Context, h http.Header, id *pb.SubmissionId) (string, error) {
 	name, err := cs.institution(ctx, h)
 	if err != nil {
 		return "", err
@@ -123,7 +123,7 @@
 
 // Submit runs a job.
 func (cs *callers) Submit(ctx context.Context, req *connect.Request[pb.Submission]) (*connect.Response[pb.Answer], error) {
-	name, err := cs.named(ctx, req.Header(), req.Msg.GetId())
+	name, err := cs.authenticate(ctx, req.Header(), req.Msg.GetId())
 	if err != nil {
 		return nil, err
 	}
@@ -138,7 +138,7 @@
 
 // Cancel ends a submission.
 func (cs *callers) Cancel(ctx context.Context, req *connect.Request[pb.CancelRequest]) (*connect.Response[pb.CancelResponse], error) {
-	name, err := cs.named(ctx, req.Header(), req.Msg.GetId())
+	name, err := cs.authenticate(ctx, req.Header(), req.Msg.GetId())
 	if err != nil {
 		return nil, err
 	}
@@ -154,14 +154,14 @@
 // await posts a request and waits for its answer.
 func (cs *callers) await(ctx context.Context, event func(uint64) dispatch.Event) (*pb.Answer, error) {
 	began := time.Now()
-	request, replies := cs.open()
+	request, replies := cs.register()
 	cs.node.post(event(request))
 	select {
 	case a := <-replies:
-		cs.node.metrics.answered(a, time.Since(began))
+		cs.node.metrics.observeAnswer(a, time.Since(began))
 		return a, asError(a)
 	case <-ctx.Done():
-		cs.close(request)
+		cs.unregister(request)
 		cs.node.post(dispatch.CallerGone{Request: request})
 		return nil, connect.NewError(connect.CodeCanceled, ctx.Err())
 	case <-cs.node.stopped:
@@ -180,26 +180,26 @@
 	return nil
 }
 
-func (cs *callers) open() (uint64, chan *pb.Answer) {
+func (cs *callers) register() (uint64, chan *pb.Answer) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.last++
+	cs.lastRequest++
 	replies := make(chan *pb.Answer, 1)
-	cs.waiting[cs.last] = replies
-	return cs.last, replies
+	cs.pending[cs.lastRequest] = replies
+	return cs.lastRequest, replies
 }
 
-func (cs *callers) close(request uint64) {
+func (cs *callers) unregister(request uint64) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	delete(cs.waiting, request)
+	delete(cs.pending, request)
 }
 
 // reply passes an answer to the request that waits for it.
 func (cs *callers) reply(r dispatch.Reply) {
 	cs.mu.Lock()
-	replies := cs.waiting[r.Request]
-	delete(cs.waiting, r.Request)
+	replies := cs.pending[r.Request]
+	delete(cs.pending, r.Request)
 	cs.mu.Unlock()
 	if replies != nil {
 		replies <- r.Answer
--- a/node/certificate.go
+++ b/node/certificate.go
@@ -8,9 +8,9 @@
 // certificateKey is the context key of the name in a client certificate.
 type certificateKey struct{}
 
-// withCertificate passes on the common name of a client certificate that was
+// withCertificateName passes on the common name of a client certificate that was
 // verified.
-func withCertificate(next http.Handler) http.Handler {
+func withCertificateName(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.TLS != nil && len(r.TLS.VerifiedChains) > 0 {
 			name := r.TLS.VerifiedChains[0][0].Subject.CommonName
--- a/node/docs_test.go
+++ b/node/docs_test.go
@@ -16,7 +16,7 @@
 
 // An event or a metric shows up at night and the page doesn't know it. These
 // tests keep the page whole.
-func TestEachLogEventIsOnTheOperatorsPage(t *testing.T) {
+func TestLogEventsAreDocumented(t *testing.T) {
 	g := gomega.NewWithT(t)
 	page, err := os.ReadFile(operatorsPage)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -35,8 +35,8 @@
 	g.Expect(found).To(gomega.BeNumerically(">", 10))
 }
 
-func TestEachMetricIsOnTheOperatorsPage(t *testing.T) {
-	g, _, n, _ := start(t, plain)
+func TestMetricsAreDocumented(t *testing.T) {
+	g, _, n, _ := startNode(t, withoutTLS)
 	page, err := os.ReadFile(operatorsPage)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	res, err := http.Get("http://" + n.OperatorAddress() + "/metrics")
--- a/node/fuzz_test.go
+++ b/node/fuzz_test.go
@@ -26,7 +26,7 @@
 	return b.Bytes()
 }
 
-func declared() *pb.Settings {
+func testSettings() *pb.Settings {
 	return &pb.Settings{Version: 1, Institutions: []*pb.Institution{{
 		Name:            "hollowell",
 		TokenSha256:     []string{strings.Repeat("0a", 32)},
@@ -50,7 +50,7 @@
 		{Body: &pb.PeerMessage_LendGrant{LendGrant: &pb.LendGrant{Request: 1, Loan: 1, Slots: slot, ValidMs: 100}}},
 		{Returns: []*pb.LendReturn{{Loan: 1, Slots: slot}}},
 		{Body: &pb.PeerMessage_SettingsPull{SettingsPull: &pb.SettingsPull{}}},
-		{Body: &pb.PeerMessage_Settings{Settings: declared()}},
+		{Body: &pb.PeerMessage_Settings{Settings: testSettings()}},
 		{Body: &pb.PeerMessage_Handover{Handover: &pb.Handover{Sequence: 1, From: peer.Proto(), Claims: []*pb.HandedClaim{{Institution: "hollowell", Answer: &pb.Answer{Id: id}, KeepMs: 100}}, Last: true}}},
 		{Body: &pb.PeerMessage_HandoverAck{HandoverAck: &pb.HandoverAck{Sequence: 1}}},
 		{Body: &pb.PeerMessage_MembersPull{MembersPull: &pb.MembersPull{}}},
@@ -74,7 +74,7 @@
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f})
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		c := dispatch.New(dispatch.DefaultConfig(self, "d"))
-		c.Step(0, dispatch.SettingsRead{Settings: declared()})
+		c.Step(0, dispatch.SettingsRead{Settings: testSettings()})
 		c.Step(0, dispatch.MembersChanged{Members: task.Members{Version: 1, Upstreams: []task.Upstream{{Name: "u", FailureDomain: "d", Institution: "hollowell", Slots: 2}}}})
 		c.Step(0, dispatch.PeerUp{Peer: peer, FailureDomain: "e"})
 		c.IssueIDs(0, 2)
@@ -115,7 +115,7 @@
 	f.Add(claimPrefix+id.String(), row)
 	f.Add("settings", []byte("x"))
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		cf, err := conflictOf(map[string]task.ID{claimPrefix + id.String(): id}, &platformv1.Row{Key: key, Value: value})
+		cf, err := decodeConflict(map[string]task.ID{claimPrefix + id.String(): id}, &platformv1.Row{Key: key, Value: value})
 		if err == nil && (cf.ID != id || cf.Holder.Node == "") {
 			t.Fatalf("%q passes for a claim of %v by %v", key, cf.ID, cf.Holder)
 		}
@@ -124,11 +124,11 @@
 
 // FuzzSettingsRow reads what stands in the settings row.
 func FuzzSettingsRow(f *testing.F) {
-	value, _ := proto.Marshal(declared())
+	value, _ := proto.Marshal(testSettings())
 	f.Add(value, uint64(1))
 	f.Add([]byte("x"), uint64(2))
 	f.Fuzz(func(t *testing.T, value []byte, version uint64) {
-		s, _, err := settingsOf([]*platformv1.Row{{Value: value, Version: version}})
+		s, _, err := decodeSettingsRow([]*platformv1.Row{{Value: value, Version: version}})
 		if err != nil {
 			return
 		}
@@ -146,13 +146,13 @@
 		f.Add(200, v, "run", []byte("output"))
 	}
 	f.Add(503, "", "", []byte{})
-	f.Fuzz(func(t *testing.T, status int, word, run string, body []byte) {
+	f.Fuzz(func(t *testing.T, status int, sentVerdict, run string, body []byte) {
 		h := http.Header{}
-		h.Set(upstream.HeaderVerdict, word)
+		h.Set(upstream.HeaderVerdict, sentVerdict)
 		h.Set(upstream.HeaderRun, run)
-		r := verdict(&http.Response{StatusCode: status, Status: "status", Header: h}, body)
-		if r.Verdict == task.NotStarted && word != upstream.VerdictNotStarted {
-			t.Fatalf("%q counts as not started", word)
+		r := resultOf(&http.Response{StatusCode: status, Status: "status", Header: h}, body)
+		if r.Verdict == task.NotStarted && sentVerdict != upstream.VerdictNotStarted {
+			t.Fatalf("%q counts as not started", sentVerdict)
 		}
 		if r.Verdict == task.Finished && !bytes.Equal(r.Output, body) {
 			t.Fatal("another output")
--- a/node/links.go
+++ b/node/links.go
@@ -15,30 +15,30 @@
 
 // link is one connection with one incarnation of a peer.
 type link struct {
-	conn   *quic.Conn
-	stream *quic.Stream
-	out    chan *pb.PeerMessage
-	since  time.Time
-	// usual is set if the node whose name sorts first has dialed.
-	usual bool
+	conn        *quic.Conn
+	stream      *quic.Stream
+	out         chan *pb.PeerMessage
+	connectedAt time.Time
+	// preferred is set if the node whose name sorts first has dialed.
+	preferred bool
 }
 
-// greet exchanges Hello and starts the link.
-func (m *mesh) greet(conn *quic.Conn, stream *quic.Stream, dialed bool) {
+// handshake exchanges Hello and starts the link.
+func (m *mesh) handshake(conn *quic.Conn, stream *quic.Stream, dialed bool) {
 	hello := &pb.Hello{Incarnation: m.node.self.Proto(), FailureDomain: m.node.cfg.FailureDomain}
 	if _, err := protodelim.MarshalTo(stream, hello); err != nil {
 		_ = conn.CloseWithError(closeProtocol, "hello")
 		return
 	}
 	reader := bufio.NewReader(stream)
-	theirs := &pb.Hello{}
-	_ = stream.SetReadDeadline(time.Now().Add(peerHandshake))
-	if err := readMessage(reader, theirs); err != nil {
+	peerHello := &pb.Hello{}
+	_ = stream.SetReadDeadline(time.Now().Add(handshakeTimeout))
+	if err := readMessage(reader, peerHello); err != nil {
 		_ = conn.CloseWithError(closeProtocol, "hello")
 		return
 	}
 	_ = stream.SetReadDeadline(time.Time{})
-	peer := task.IncarnationOf(theirs.GetIncarnation())
+	peer := task.IncarnationOf(peerHello.GetIncarnation())
 	certs := conn.ConnectionState().TLS.PeerCertificates
 	if len(certs) == 0 || certs[0].VerifyHostname(peer.Node) != nil {
 		m.node.log.Warn().Str("peer", peer.Node).Msg("peer-name-mismatch")
@@ -46,13 +46,13 @@
 		return
 	}
 	l := &link{
-		conn:   conn,
-		stream: stream,
-		out:    make(chan *pb.PeerMessage, peerQueue),
-		since:  time.Now(),
-		usual:  dialed == m.dialsUsually(peer.Node),
+		conn:        conn,
+		stream:      stream,
+		out:         make(chan *pb.PeerMessage, peerQueueLength),
+		connectedAt: time.Now(),
+		preferred:   dialed == m.isPreferredDialer(peer.Node),
 	}
-	if !m.add(peer, l, theirs.GetFailureDomain()) {
+	if !m.addLink(peer, l, peerHello.GetFailureDomain()) {
 		_ = conn.CloseWithError(closeReplaced, "connected already")
 		return
 	}
@@ -60,7 +60,7 @@
 	go m.read(peer, l, reader)
 }
 
-// add registers a link and reports whether it is to be used. An earlier one
+// addLink registers a link and reports whether it is to be used. An earlier one
 // with the same incarnation is closed; the core is told that it is down, since
 // what was sent on it may be lost and a forward would wait for its answer until
 // its deadline.
@@ -68,12 +68,12 @@
 // Two nodes that dial each other at the same moment would each close the
 // other's connection, and again at the next try. So a young connection from
 // the node that usually dials stays.
-func (m *mesh) add(peer task.Incarnation, l *link, failureDomain string) bool {
-	m.order.Lock()
-	defer m.order.Unlock()
+func (m *mesh) addLink(peer task.Incarnation, l *link, failureDomain string) bool {
+	m.orderMu.Lock()
+	defer m.orderMu.Unlock()
 	m.mu.Lock()
 	old := m.links[peer]
-	if old != nil && old.usual && !l.usual && time.Since(old.since) < peerIdleTimeout {
+	if old != nil && old.preferred && !l.preferred && time.Since(old.connectedAt) < peerIdleTimeout {
 		m.mu.Unlock()
 		return false
 	}
@@ -113,7 +113,7 @@
 	for {
 		msg := &pb.PeerMessage{}
 		if err := readMessage(r, msg); err != nil {
-			m.down(peer, l, err)
+			m.removeLink(peer, l, err)
 			return
 		}
 		m.node.post(dispatch.PeerMessage{Peer: peer, Message: msg})
@@ -124,16 +124,16 @@
 	return protodelim.UnmarshalOptions{MaxSize: maxPeerMessageBytes}.UnmarshalFrom(r, m)
 }
 
-func (m *mesh) down(peer task.Incarnation, l *link, err error) {
+func (m *mesh) removeLink(peer task.Incarnation, l *link, err error) {
 	_ = l.conn.CloseWithError(closeNormal, "down")
-	m.order.Lock()
-	defer m.order.Unlock()
+	m.orderMu.Lock()
+	defer m.orderMu.Unlock()
 	m.mu.Lock()
 	current := m.links[peer] == l
 	if current {
 		delete(m.links, peer)
-		if _, listed := m.nodes[peer.Node]; listed {
-			m.lostAt[peer.Node] = time.Now()
+		if _, listed := m.members[peer.Node]; listed {
+			m.disconnectedAt[peer.Node] = time.Now()
 		}
 	}
 	m.mu.Unlock()
--- a/node/mesh.go
+++ b/node/mesh.go
@@ -19,15 +19,15 @@
 const (
 	// peerKeepAlive and peerIdleTimeout bound how long a silent peer
 	// connection goes unnoticed.
-	peerKeepAlive   = time.Second
-	peerIdleTimeout = 2 * time.Second
-	peerHandshake   = 2 * time.Second
-	redialInterval  = 300 * time.Millisecond
-	// reverseDialAfter is how long the node that is usually dialed waits
+	peerKeepAlive    = time.Second
+	peerIdleTimeout  = 2 * time.Second
+	handshakeTimeout = 2 * time.Second
+	redialInterval   = 300 * time.Millisecond
+	// reverseDialDelay is how long the node that is usually dialed waits
 	// before it dials itself.
-	reverseDialAfter = time.Second
-	// peerQueue bounds the messages that wait to be written to one peer.
-	peerQueue = 4096
+	reverseDialDelay = time.Second
+	// peerQueueLength bounds the messages that wait to be written to one peer.
+	peerQueueLength = 4096
 	// Codes with which connections are closed.
 	closeNormal   quic.ApplicationErrorCode = 0
 	closeReplaced quic.ApplicationErrorCode = 1
@@ -45,16 +45,16 @@
 	listener  *quic.Listener
 	quicCfg   *quic.Config
 
-	// order is held while a link is added or removed and its events are
-	// posted, so that the core sees them in the order in which they happened.
+	// orderMu is held while a link is added or removed and its events are
+	// posted, so that the core sees them in the orderMu in which they happened.
 	// The loop never takes it.
-	order sync.Mutex
+	orderMu sync.Mutex
 
-	mu    sync.Mutex
-	nodes map[string]task.Node
-	links map[task.Incarnation]*link
-	// lostAt is when the connection with a listed node was last lost.
-	lostAt map[string]time.Time
+	mu      sync.Mutex
+	members map[string]task.Node
+	links   map[task.Incarnation]*link
+	// disconnectedAt is when the connection with a listed node was last lost.
+	disconnectedAt map[string]time.Time
 }
 
 func newMesh(n *Node) (*mesh, error) {
@@ -72,11 +72,11 @@
 		quicCfg: &quic.Config{
 			KeepAlivePeriod:      peerKeepAlive,
 			MaxIdleTimeout:       peerIdleTimeout,
-			HandshakeIdleTimeout: peerHandshake,
+			HandshakeIdleTimeout: handshakeTimeout,
 		},
-		nodes:  make(map[string]task.Node),
-		links:  make(map[task.Incarnation]*link),
-		lostAt: make(map[string]time.Time),
+		members:        make(map[string]task.Node),
+		links:          make(map[task.Incarnation]*link),
+		disconnectedAt: make(map[string]time.Time),
 	}
 	m.listener, err = m.transport.Listen(n.cfg.PeerTLS, m.quicCfg)
 	return m, errors.Wrap(err, "listen for peers")
@@ -98,16 +98,16 @@
 func (m *mesh) setMembers(list task.Members) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	clear(m.nodes)
+	clear(m.members)
 	for _, n := range list.Nodes {
-		m.nodes[n.Name] = n
-		if m.lostAt[n.Name].IsZero() {
-			m.lostAt[n.Name] = time.Now()
+		m.members[n.Name] = n
+		if m.disconnectedAt[n.Name].IsZero() {
+			m.disconnectedAt[n.Name] = time.Now()
 		}
 	}
-	for name := range m.lostAt {
-		if _, listed := m.nodes[name]; !listed {
-			delete(m.lostAt, name)
+	for name := range m.disconnectedAt {
+		if _, listed := m.members[name]; !listed {
+			delete(m.disconnectedAt, name)
 		}
 	}
 }
@@ -118,9 +118,9 @@
 	ticker := time.NewTicker(redialInterval)
 	defer ticker.Stop()
 	dialing := make(map[string]bool)
-	done := make(chan string)
+	dialed := make(chan string)
 	for {
-		for _, n := range m.missing() {
+		for _, n := range m.missingPeers() {
 			if dialing[n.Name] {
 				continue
 			}
@@ -128,7 +128,7 @@
 			go func() {
 				m.dial(ctx, n)
 				select {
-				case done <- n.Name:
+				case dialed <- n.Name:
 				case <-ctx.Done():
 				}
 			}()
@@ -137,7 +137,7 @@
 		case <-ctx.Done():
 			m.close()
 			return nil
-		case name := <-done:
+		case name := <-dialed:
 			delete(dialing, name)
 		case <-ticker.C:
 		}
@@ -157,8 +157,8 @@
 	_ = m.transport.Conn.Close()
 }
 
-// missing lists the nodes that this one should dial and isn't connected with.
-func (m *mesh) missing() []task.Node {
+// missingPeers lists the nodes that this one should dial and isn't connected with.
+func (m *mesh) missingPeers() []task.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	connected := make(map[string]bool)
@@ -166,18 +166,18 @@
 		connected[inc.Node] = true
 	}
 	var list []task.Node
-	for _, n := range m.nodes {
+	for _, n := range m.members {
 		if n.Name == m.node.cfg.Name || connected[n.Name] {
 			continue
 		}
-		if m.dialsUsually(n.Name) || time.Since(m.lostAt[n.Name]) > reverseDialAfter {
+		if m.isPreferredDialer(n.Name) || time.Since(m.disconnectedAt[n.Name]) > reverseDialDelay {
 			list = append(list, n)
 		}
 	}
 	return list
 }
 
-func (m *mesh) dialsUsually(peer string) bool {
+func (m *mesh) isPreferredDialer(peer string) bool {
 	return m.node.cfg.Name < peer
 }
 
@@ -189,7 +189,7 @@
 	}
 	cfg := m.node.cfg.PeerTLS.Clone()
 	cfg.ServerName = n.Name
-	dialCtx, cancel := context.WithTimeout(ctx, peerHandshake)
+	dialCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	conn, err := m.transport.Dial(dialCtx, addr, cfg, m.quicCfg)
 	if err != nil {
@@ -201,7 +201,7 @@
 		_ = conn.CloseWithError(closeProtocol, "no stream")
 		return
 	}
-	m.greet(conn, stream, true)
+	m.handshake(conn, stream, true)
 }
 
 func (m *mesh) accept(ctx context.Context) {
@@ -213,14 +213,14 @@
 		go func() {
 			// Each connection is greeted on its own: a peer that says nothing
 			// holds up nobody else.
-			streamCtx, cancel := context.WithTimeout(ctx, peerHandshake)
+			streamCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 			defer cancel()
 			stream, err := conn.AcceptStream(streamCtx)
 			if err != nil {
 				_ = conn.CloseWithError(closeProtocol, "no stream")
 				return
 			}
-			m.greet(conn, stream, false)
+			m.handshake(conn, stream, false)
 		}()
 	}
 }
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -15,18 +15,18 @@
 
 const (
 	namespace = "sapphirepoint"
-	// exchange is the messages of a request with its answer.
-	exchange = 2
+	// messagesPerExchange is the messages of a request with its answer.
+	messagesPerExchange = 2
 )
 
 // metrics are the Prometheus metrics of a node.
 type metrics struct {
-	registry *prometheus.Registry
-	answers  *prometheus.CounterVec
-	response *prometheus.HistogramVec
-	ratio    prometheus.Histogram
-	platform *prometheus.CounterVec
-	idBlocks prometheus.Counter
+	registry          *prometheus.Registry
+	answers           *prometheus.CounterVec
+	response          *prometheus.HistogramVec
+	responseOverIdeal prometheus.Histogram
+	platform          *prometheus.CounterVec
+	idBlocks          prometheus.Counter
 }
 
 func newMetrics(n *Node) *metrics {
@@ -39,7 +39,7 @@
 			Namespace: namespace, Name: "response_seconds", Help: "Time from a caller's request to its answer.",
 			Buckets: prometheus.ExponentialBuckets(0.005, 2, 14),
 		}, []string{"outcome"}),
-		ratio: prometheus.NewHistogram(prometheus.HistogramOpts{
+		responseOverIdeal: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "response_over_ideal_ratio", Help: "Response time of complete jobs over the run time of their slowest task.",
 			Buckets: []float64{1.01, 1.02, 1.05, 1.1, 1.2, 1.5, 2, 3, 5, 10},
 		}),
@@ -50,25 +50,25 @@
 			Namespace: namespace, Name: "id_block_calls_total", Help: "Calls of callers for blocks of ids.",
 		}),
 	}
-	m.registry.MustRegister(m.answers, m.response, m.ratio, m.platform, m.idBlocks, collectors.NewGoCollector(),
+	m.registry.MustRegister(m.answers, m.response, m.responseOverIdeal, m.platform, m.idBlocks, collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}), &coreCollector{n})
 	return m
 }
 
-func (m *metrics) answered(a *pb.Answer, took time.Duration) {
-	outcome := word(a.GetOutcome().String(), "OUTCOME_")
-	m.answers.WithLabelValues(outcome, word(a.GetReason().String(), "REASON_")).Inc()
+func (m *metrics) observeAnswer(a *pb.Answer, took time.Duration) {
+	outcome := labelValue(a.GetOutcome().String(), "OUTCOME_")
+	m.answers.WithLabelValues(outcome, labelValue(a.GetReason().String(), "REASON_")).Inc()
 	m.response.WithLabelValues(outcome).Observe(took.Seconds())
 }
 
-// word turns the name of an enum's value into a label's value.
-func word(name, prefix string) string {
+// labelValue turns the name of an enum's value into a label's value.
+func labelValue(name, prefix string) string {
 	return strings.ToLower(strings.TrimPrefix(name, prefix))
 }
 
-func (m *metrics) ended(e dispatch.JobEnded) {
+func (m *metrics) observeJob(e dispatch.JobEnded) {
 	if e.Outcome == pb.Outcome_OUTCOME_COMPLETE && e.Ideal > 0 {
-		m.ratio.Observe(float64(e.Response) / float64(e.Ideal))
+		m.responseOverIdeal.Observe(float64(e.Response) / float64(e.Ideal))
 	}
 }
 
@@ -92,29 +92,29 @@
 // coreCollector reads the core's counters when metrics are scraped.
 type coreCollector struct{ node *Node }
 
-func describe(name, help string, labels ...string) *prometheus.Desc {
+func newDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc(namespace+"_"+name, help, labels, nil)
 }
 
 var (
-	startsDesc  = describe("task_starts_total", "Tasks sent to upstreams to be started.")
-	wastedDesc  = describe("wasted_messages_total", "Messages beyond one request and one answer for each task and job.", "cause")
-	peerDesc    = describe("peer_messages_total", "Messages sent to peers.", "kind")
-	eventsDesc  = describe("events_total", "Events counted by the dispatch core.", "kind")
-	queuedDesc  = describe("queued_tasks", "Tasks that wait for a slot.", "institution")
-	jobsDesc    = describe("jobs", "Jobs in progress under this process's claims.")
-	runningDesc = describe("running_tasks", "Task starts that aren't settled.")
-	slotsDesc   = describe("slots", "Upstream slots of this process by use; borrowed ones aren't its own.", "use")
-	refusedDesc = describe("refused_jobs_total", "Jobs not taken on, by reason.", "reason")
-	healthDesc  = describe("upstreams_not_in_full_use", "Upstreams that get less work or none because of their health.")
-	claimsDesc  = describe("waiting_claims", "Claims that wait for the table service.")
-	forwardDesc = describe("waiting_forwards", "Requests passed on to their holder and not answered.")
-	keptDesc    = describe("kept_answers", "Final answers kept for resubmissions.")
-	bytesDesc   = describe("kept_answer_bytes", "Size of the answers kept for resubmissions.")
-	blocksDesc  = describe("id_blocks", "Blocks of issued ids that are still valid.")
-	peersDesc   = describe("peers", "Connected peers.")
-	versionDesc = describe("settings_version", "Version of the settings in force.")
-	readyDesc   = describe("ready", "1 if the process takes new work.")
+	startsDesc  = newDesc("task_starts_total", "Tasks sent to upstreams to be started.")
+	wastedDesc  = newDesc("wasted_messages_total", "Messages beyond one request and one answer for each task and job.", "cause")
+	peerDesc    = newDesc("peer_messages_total", "Messages sent to peers.", "kind")
+	eventsDesc  = newDesc("events_total", "Events counted by the dispatch core.", "kind")
+	queuedDesc  = newDesc("queued_tasks", "Tasks that wait for a slot.", "institution")
+	jobsDesc    = newDesc("jobs", "Jobs in progress under this process's claims.")
+	runningDesc = newDesc("running_tasks", "Task starts that aren't settled.")
+	slotsDesc   = newDesc("slots", "Upstream slots of this process by use; borrowed ones aren't its own.", "use")
+	refusedDesc = newDesc("refused_jobs_total", "Jobs not taken on, by reason.", "reason")
+	healthDesc  = newDesc("upstreams_not_in_full_use", "Upstreams that get less work or none because of their health.")
+	claimsDesc  = newDesc("waiting_claims", "Claims that wait for the table service.")
+	forwardDesc = newDesc("waiting_forwards", "Requests passed on to their holder and not answered.")
+	keptDesc    = newDesc("kept_answers", "Final answers kept for resubmissions.")
+	bytesDesc   = newDesc("kept_answer_bytes", "Size of the answers kept for resubmissions.")
+	blocksDesc  = newDesc("id_blocks", "Blocks of issued ids that are still valid.")
+	peersDesc   = newDesc("peers", "Connected peers.")
+	versionDesc = newDesc("settings_version", "Version of the settings in force.")
+	readyDesc   = newDesc("ready", "1 if the process takes new work.")
 )
 
 // Describe implements prometheus.Collector.
@@ -137,15 +137,15 @@
 	gauge := func(d *prometheus.Desc, v int, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, float64(v), labels...)
 	}
-	s := c.Summary
-	count(startsDesc, s.Stats.Starts)
+	summary := c.Summary
+	count(startsDesc, summary.Stats.Starts)
 	for cause, n := range cc.node.metrics.wasted(c) {
 		count(wastedDesc, n, cause)
 	}
 	for kind, n := range c.PeerMessages {
 		count(peerDesc, n, kind)
 	}
-	for kind, n := range events(s.Stats) {
+	for kind, n := range eventCounts(summary.Stats) {
 		count(eventsDesc, n, kind)
 	}
 	for institution, n := range c.QueuedTasks {
@@ -154,23 +154,23 @@
 	gauge(jobsDesc, c.Submissions)
 	gauge(runningDesc, c.RunningStarts)
 	for use, n := range map[string]int{
-		"busy": s.Slots.Busy, "idle": s.Slots.Idle, "resting": s.Slots.Resting, "lent": s.Slots.Lent, "borrowed": s.Slots.Borrowed,
+		"busy": summary.Slots.Busy, "idle": summary.Slots.Idle, "resting": summary.Slots.Resting, "lent": summary.Slots.Lent, "borrowed": summary.Slots.Borrowed,
 	} {
 		gauge(slotsDesc, n, use)
 	}
 	for reason, n := range c.Refusals {
-		count(refusedDesc, n, word(reason, "REASON_"))
+		count(refusedDesc, n, labelValue(reason, "REASON_"))
 	}
 	gauge(healthDesc, c.UpstreamsLimited)
-	gauge(claimsDesc, s.ClaimsWaiting)
-	gauge(forwardDesc, s.Forwards)
-	gauge(keptDesc, s.RetainedAnswers)
-	gauge(bytesDesc, s.RetainedBytes)
-	gauge(blocksDesc, s.IDBlocks)
+	gauge(claimsDesc, summary.ClaimsWaiting)
+	gauge(forwardDesc, summary.Forwards)
+	gauge(keptDesc, summary.RetainedAnswers)
+	gauge(bytesDesc, summary.RetainedBytes)
+	gauge(blocksDesc, summary.IDBlocks)
 	gauge(peersDesc, c.Peers)
-	gauge(versionDesc, int(s.SettingsVersion))
+	gauge(versionDesc, int(summary.SettingsVersion))
 	ready := 0
-	if s.Ready {
+	if summary.Ready {
 		ready = 1
 	}
 	gauge(readyDesc, ready)
--- a/node/node.go
+++ b/node/node.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	eventBuffer = 8192
+	inputQueueLength = 8192
 	// maxBatch bounds the events handled before commands are carried out.
 	maxBatch = 256
 	// minShutdownTimeout is how long answers that are being written may take at
@@ -46,9 +46,9 @@
 	stopped chan struct{}
 	drained chan struct{}
 
-	// inForce is replaced as a whole; readers never see it change.
-	inForce atomic.Pointer[settings.State]
-	ready   atomic.Bool
+	// currentSettings is replaced as a whole; readers never see it change.
+	currentSettings atomic.Pointer[settings.State]
+	ready           atomic.Bool
 
 	callers   *callers
 	platform  *platformClient
@@ -69,12 +69,12 @@
 		self:    self,
 		started: time.Now(),
 		core:    dispatch.New(dispatch.DefaultConfig(self, cfg.FailureDomain)),
-		inputs:  make(chan input, eventBuffer),
+		inputs:  make(chan input, inputQueueLength),
 		stopped: make(chan struct{}),
 		drained: make(chan struct{}),
 	}
 	n.log = cfg.Log.With().Stringer("incarnation", self).Str("failure_domain", cfg.FailureDomain).Logger()
-	n.inForce.Store(settings.NewState())
+	n.currentSettings.Store(settings.NewState())
 	n.metrics = newMetrics(n)
 	n.callers = newCallers(n)
 	n.platform = newPlatformClient(n)
@@ -106,7 +106,7 @@
 func (n *Node) PeerAddress() string { return n.mesh.address() }
 
 // SettingsVersion is the version of the settings in force, 0 if there are none.
-func (n *Node) SettingsVersion() uint64 { return n.inForce.Load().Version() }
+func (n *Node) SettingsVersion() uint64 { return n.currentSettings.Load().Version() }
 
 // Incarnation names this run of the process.
 func (n *Node) Incarnation() task.Incarnation { return n.self }
@@ -144,7 +144,7 @@
 // up, and one that doesn't read must not keep the process for ever.
 func (n *Node) shutdown(servers ...*http.Server) {
 	timeout := minShutdownTimeout
-	for _, inst := range n.inForce.Load().Current().GetInstitutions() {
+	for _, inst := range n.currentSettings.Load().Current().GetInstitutions() {
 		timeout = max(timeout, time.Duration(inst.GetResponseTimeMs())*time.Millisecond)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -231,11 +231,11 @@
 			return nil
 		case in := <-n.inputs:
 			n.handle(in)
-			n.handleWaiting()
+			n.handleQueued()
 		case <-wake.C:
 			n.core.Tick(n.now())
 		}
-		n.carryOut(ctx, n.core.TakeCommands())
+		n.execute(ctx, n.core.TakeCommands())
 		n.ready.Store(n.core.Ready())
 		if at, ok := n.core.NextTimer(); ok {
 			wake.Reset(at - n.now())
@@ -251,7 +251,7 @@
 	n.core.Step(n.now(), in.event)
 }
 
-func (n *Node) handleWaiting() {
+func (n *Node) handleQueued() {
 	for range maxBatch {
 		select {
 		case in := <-n.inputs:
@@ -262,7 +262,7 @@
 	}
 }
 
-func (n *Node) carryOut(ctx context.Context, commands []dispatch.Command) {
+func (n *Node) execute(ctx context.Context, commands []dispatch.Command) {
 	for _, cmd := range commands {
 		switch cmd := cmd.(type) {
 		case dispatch.Reply:
@@ -278,7 +278,7 @@
 		case dispatch.Send:
 			n.mesh.send(cmd)
 		case dispatch.JobEnded:
-			n.ended(cmd)
+			n.jobEnded(cmd)
 		case dispatch.SettingsInForce:
 			n.settingsInForce(cmd)
 		case dispatch.MembersInForce:
@@ -291,8 +291,8 @@
 	}
 }
 
-func (n *Node) ended(e dispatch.JobEnded) {
-	n.metrics.ended(e)
+func (n *Node) jobEnded(e dispatch.JobEnded) {
+	n.metrics.observeJob(e)
 	level := zerolog.DebugLevel
 	if e.Outcome == pb.Outcome_OUTCOME_FAILED {
 		level = zerolog.InfoLevel
@@ -309,7 +309,7 @@
 func (n *Node) settingsInForce(s dispatch.SettingsInForce) {
 	state := settings.NewState()
 	state.Offer(s.Settings)
-	n.inForce.Store(state)
+	n.currentSettings.Store(state)
 	n.log.Info().Uint64("version", s.Settings.GetVersion()).Msg("settings-in-force")
 }
 
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -26,8 +26,8 @@
 )
 
 const (
-	patience      = 20 * time.Second
-	poll          = 20 * time.Millisecond
+	testTimeout   = 20 * time.Second
+	pollInterval  = 20 * time.Millisecond
 	loopback      = "127.0.0.1:0"
 	kandyToken    = "kandy-caller"
 	operatorToken = "node-test-operator"
@@ -46,8 +46,8 @@
 	return s
 }
 
-// start runs a node over a platform stand-in until the test ends.
-func start(t *testing.T, change func(*node.Config)) (*gomega.WithT, context.Context, *node.Node, keys.Pair) {
+// startNode runs a node over a platform stand-in until the test ends.
+func startNode(t *testing.T, configure func(*node.Config)) (*gomega.WithT, context.Context, *node.Node, keys.Pair) {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	p := platform.New()
@@ -64,14 +64,14 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	cfg := node.Config{
 		Name: "n", FailureDomain: "d", CallerAddress: loopback, OperatorAddress: loopback, PeerAddress: loopback,
-		PlatformURL: "http://" + l.Addr().String(), OperatorToken: operatorToken, PeerTLS: peerTLS, PollInterval: poll,
+		PlatformURL: "http://" + l.Addr().String(), OperatorToken: operatorToken, PeerTLS: peerTLS, PollInterval: pollInterval,
 	}
 	cfg.CallerTLS, err = keys.ServerTLS(pair, nil)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	change(&cfg)
+	configure(&cfg)
 	n, err := node.New(cfg)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -82,11 +82,11 @@
 		<-done
 		_ = l.Close()
 	})
-	g.Eventually(func() bool { return n.Ready(0) }, patience, poll).Should(gomega.BeTrue())
+	g.Eventually(func() bool { return n.Ready(0) }, testTimeout, pollInterval).Should(gomega.BeTrue())
 	return g, ctx, n, ca
 }
 
-func trust(ca keys.Pair) *tls.Config {
+func trustCA(ca keys.Pair) *tls.Config {
 	pool := x509.NewCertPool()
 	pool.AppendCertsFromPEM(ca.Cert)
 	return &tls.Config{RootCAs: pool}
@@ -99,9 +99,9 @@
 // Somebody listens between a kitchen and the entry VM and picks up the token
 // of a plain connection. With the listener's certificate set, callers speak
 // TLS and plain connections are turned away.
-func TestCallersSpeakTLSWhenACertificateIsSet(t *testing.T) {
-	g, ctx, n, ca := start(t, func(*node.Config) {})
-	c := client.New(client.Config{URL: "https://" + n.CallerAddress(), Token: standin.Token, TLS: trust(ca)})
+func TestCallerListenerRequiresTLSWhenConfigured(t *testing.T) {
+	g, ctx, n, ca := startNode(t, func(*node.Config) {})
+	c := client.New(client.Config{URL: "https://" + n.CallerAddress(), Token: standin.Token, TLS: trustCA(ca)})
 	defer c.Close()
 	_, err := c.NewID(ctx)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -118,8 +118,8 @@
 
 // A caller makes its keys from free text. A line break in one would forge a
 // log line, and a very long one would fill the table service with its row.
-func TestOwnKeysThatCannotBeNamesAreRejected(t *testing.T) {
-	g, ctx, n, _ := start(t, plain)
+func TestInvalidOwnKeysAreRejected(t *testing.T) {
+	g, ctx, n, _ := startNode(t, withoutTLS)
 	c := client.New(client.Config{URL: "http://" + n.CallerAddress(), Token: standin.Token})
 	defer c.Close()
 	for _, key := range []string{"tray 4", "tray\nlevel=error", "tray-\u00e9", strings.Repeat("k", 257)} {
@@ -137,20 +137,20 @@
 // A caterer's tills hold certificates instead of a token. A certificate of the
 // callers' authority with a declared name is enough; one of the peer link's
 // authority, which every entry VM holds, must open nothing here.
-func TestCallersMayShowACertificateInsteadOfAToken(t *testing.T) {
+func TestCallersMayAuthenticateByCertificate(t *testing.T) {
 	callers, err := keys.NewCA("callers")
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 	server, err := keys.NewProcessCertificate(callers, "n", net.IPv4(127, 0, 0, 1))
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
-	g, ctx, n, ca := start(t, func(cfg *node.Config) {
+	g, ctx, n, ca := startNode(t, func(cfg *node.Config) {
 		cfg.CallerTLS, err = keys.ServerTLS(server, callers.Cert)
 	})
-	obtain := func(authority keys.Pair, name string) error {
+	obtainID := func(authority keys.Pair, name string) error {
 		pair, err := keys.NewCallerCertificate(authority, name)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		cert, err := tls.X509KeyPair(pair.Cert, pair.Key)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		cfg := trust(callers)
+		cfg := trustCA(callers)
 		// Shown even if the server names other authorities.
 		cfg.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &cert, nil }
 		c := client.New(client.Config{URL: "https://" + n.CallerAddress(), TLS: cfg})
@@ -158,13 +158,13 @@
 		_, err = c.NewID(ctx)
 		return err
 	}
-	g.Expect(obtain(callers, "kandy-buyers")).To(gomega.Succeed())
-	g.Expect(obtain(callers, "n")).To(gomega.MatchError(gomega.ContainSubstring("the certificate's name isn't known")))
-	g.Expect(obtain(ca, "kandy-buyers")).NotTo(gomega.Succeed())
-	g.Expect(client.New(client.Config{URL: "https://" + n.CallerAddress(), TLS: trust(callers)}).NewID(ctx)).Error().To(gomega.MatchError(gomega.ContainSubstring("a bearer token or a client certificate is needed")))
+	g.Expect(obtainID(callers, "kandy-buyers")).To(gomega.Succeed())
+	g.Expect(obtainID(callers, "n")).To(gomega.MatchError(gomega.ContainSubstring("the certificate's name isn't known")))
+	g.Expect(obtainID(ca, "kandy-buyers")).NotTo(gomega.Succeed())
+	g.Expect(client.New(client.Config{URL: "https://" + n.CallerAddress(), TLS: trustCA(callers)}).NewID(ctx)).Error().To(gomega.MatchError(gomega.ContainSubstring("a bearer token or a client certificate is needed")))
 }
 
-func plain(cfg *node.Config) { cfg.CallerTLS = nil }
+func withoutTLS(cfg *node.Config) { cfg.CallerTLS = nil }
 
 // dump is the text of a node's dump.
 func dump(g *gomega.WithT, n *node.Node) string {
@@ -181,8 +181,8 @@
 
 // A buyer of the auction learns or guesses the id of a kitchen's job. Under
 // another institution's token it must name nothing: no answer, no cancellation.
-func TestAnInstitutionSeesOnlyItsOwnJobs(t *testing.T) {
-	g, ctx, n, _ := start(t, plain)
+func TestInstitutionSeesOnlyItsOwnJobs(t *testing.T) {
+	g, ctx, n, _ := startNode(t, withoutTLS)
 	url := "http://" + n.CallerAddress()
 	hollowell := client.New(client.Config{URL: url, Token: standin.Token})
 	kandy := client.New(client.Config{URL: url, Token: kandyToken})
@@ -193,7 +193,7 @@
 		answers := make(chan *pb.Answer, 1)
 		s := job(payload)
 		s.Id = key
-		s.TimeoutMs = uint32(patience.Milliseconds())
+		s.TimeoutMs = uint32(testTimeout.Milliseconds())
 		go func() {
 			a, _ := c.Submit(ctx, s)
 			answers <- a
@@ -202,17 +202,17 @@
 	}
 	inProgress := func() string { return dump(g, n) }
 	first := submit(hollowell, "a")
-	g.Eventually(inProgress, patience, poll).Should(gomega.ContainSubstring("hollowell/o/tray-4"))
+	g.Eventually(inProgress, testTimeout, pollInterval).Should(gomega.ContainSubstring("hollowell/o/tray-4"))
 	second := submit(kandy, "b")
-	g.Eventually(inProgress, patience, poll).Should(gomega.ContainSubstring("kandy/o/tray-4"), "another payload would conflict within one institution")
-	word, err := kandy.Cancel(ctx, key)
+	g.Eventually(inProgress, testTimeout, pollInterval).Should(gomega.ContainSubstring("kandy/o/tray-4"), "another payload would conflict within one institution")
+	cancelled, err := kandy.Cancel(ctx, key)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(word.GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_NOT_RUN))
-	g.Eventually(second, patience).Should(gomega.Receive())
+	g.Expect(cancelled.GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_NOT_RUN))
+	g.Eventually(second, testTimeout).Should(gomega.Receive())
 	g.Expect(inProgress()).To(gomega.And(gomega.ContainSubstring("hollowell/o/tray-4"), gomega.Not(gomega.ContainSubstring("kandy/o/tray-4"))))
 	_, err = hollowell.Cancel(ctx, key)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Eventually(first, patience).Should(gomega.Receive())
+	g.Eventually(first, testTimeout).Should(gomega.Receive())
 	_, err = client.New(client.Config{URL: url, Token: "nobody's"}).NewID(ctx)
 	g.Expect(connect.CodeOf(err)).To(gomega.Equal(connect.CodeUnauthenticated))
 }
@@ -220,8 +220,8 @@
 // Operators' calls are served on their own listener, to their own token: a
 // caller who could drain a process or replace the settings would stop both
 // institutions.
-func TestOperatorsCallsNeedTheirOwnListenerAndToken(t *testing.T) {
-	g, _, n, _ := start(t, plain)
+func TestOperatorCallsNeedTheirOwnListenerAndToken(t *testing.T) {
+	g, _, n, _ := startNode(t, withoutTLS)
 	status := func(address, path, token string) int {
 		req, err := http.NewRequest(http.MethodGet, "http://"+address+path, nil)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -242,9 +242,9 @@
 
 // One caller sends a request far beyond what the process is set to take. It
 // gets a final error, and the process doesn't hold the request in memory.
-func TestARequestOverTheLimitIsRejected(t *testing.T) {
-	g, ctx, n, _ := start(t, func(cfg *node.Config) {
-		plain(cfg)
+func TestRequestOverTheLimitIsRejected(t *testing.T) {
+	g, ctx, n, _ := startNode(t, func(cfg *node.Config) {
+		withoutTLS(cfg)
 		cfg.MaxRequestBytes = 1 << 12
 	})
 	c := client.New(client.Config{URL: "http://" + n.CallerAddress(), Token: standin.Token})
@@ -257,8 +257,8 @@
 // another is closed; without the limit the process would run out of file
 // descriptors and lose its peers and upstreams too.
 func TestOpenConnectionsAreBounded(t *testing.T) {
-	g, _, n, _ := start(t, func(cfg *node.Config) {
-		plain(cfg)
+	g, _, n, _ := startNode(t, func(cfg *node.Config) {
+		withoutTLS(cfg)
 		cfg.MaxCallerConnections = 2
 	})
 	get := func(conn net.Conn, wait time.Duration) error {
@@ -276,9 +276,9 @@
 		defer conn.Close()
 		conns = append(conns, conn)
 	}
-	g.Expect(get(conns[0], patience)).To(gomega.Succeed())
-	g.Expect(get(conns[1], patience)).To(gomega.Succeed())
+	g.Expect(get(conns[0], testTimeout)).To(gomega.Succeed())
+	g.Expect(get(conns[1], testTimeout)).To(gomega.Succeed())
 	g.Expect(get(conns[2], 100*time.Millisecond)).NotTo(gomega.Succeed())
 	g.Expect(conns[0].Close()).To(gomega.Succeed())
-	g.Expect(get(conns[2], patience)).To(gomega.Succeed())
+	g.Expect(get(conns[2], testTimeout)).To(gomega.Succeed())
 }
--- a/node/outage.go
+++ b/node/outage.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// maxPollWait bounds the wait between two polls of a platform that is out, so
+// maxPollInterval bounds the wait between two polls of a platform that is out, so
 // that its return is noticed within the seconds in which accepted settings have
 // to be in force.
-const maxPollWait = 2 * time.Second
+const maxPollInterval = 2 * time.Second
 
 // outageChange says whether a poll found the platform in another state than
 // the one before.
@@ -24,41 +24,41 @@
 // process would log each failed poll for as long as an outage lasts, and all of
 // them would ask in step again when it ends.
 type outage struct {
-	failures int
+	failedPolls int
 }
 
-// seen records the errors of one poll.
-func (o *outage) seen(errs ...error) outageChange {
+// record records the errors of one poll.
+func (o *outage) record(errs ...error) outageChange {
 	failed := false
 	for _, err := range errs {
 		failed = failed || err != nil
 	}
-	before := o.failures
+	before := o.failedPolls
 	switch {
 	case failed && before == 0:
-		o.failures = 1
+		o.failedPolls = 1
 		return outageBegan
 	case failed:
-		o.failures++
+		o.failedPolls++
 		return outageUnchanged
 	case before > 0:
-		o.failures = 0
+		o.failedPolls = 0
 		return outageEnded
 	}
 	return outageUnchanged
 }
 
-// wait is the time to the next poll: the interval, doubled with each failure
+// pollDelay is the time to the next poll: the interval, doubled with each failure
 // up to the bound, less up to a half at random.
-func (o *outage) wait(interval time.Duration) time.Duration {
-	if o.failures == 0 {
+func (o *outage) pollDelay(interval time.Duration) time.Duration {
+	if o.failedPolls == 0 {
 		return interval
 	}
-	longest := max(interval, maxPollWait)
+	limit := max(interval, maxPollInterval)
 	d := interval
-	for i := 0; i < o.failures && d < longest; i++ {
+	for i := 0; i < o.failedPolls && d < limit; i++ {
 		d *= 2
 	}
-	d = min(d, longest)
+	d = min(d, limit)
 	return d - rand.N(d/2)
 }
--- a/node/platform.go
+++ b/node/platform.go
@@ -27,17 +27,17 @@
 	claimPrefix = "claim/"
 	// platformTimeout bounds each call to the platform.
 	platformTimeout = 2 * time.Second
-	// applyPause is the wait between two looks at the settings row.
-	applyPause = 100 * time.Millisecond
+	// applyRetryInterval is the wait between two looks at the settings row.
+	applyRetryInterval = 100 * time.Millisecond
 )
 
 // platformClient reads and writes the platform's services.
 type platformClient struct {
-	node    *Node
-	table   platformv1connect.TableServiceClient
-	members platformv1connect.MembershipServiceClient
-	// settingsRead is the version of the settings row read last by the poll.
-	settingsRead uint64
+	node              *Node
+	table             platformv1connect.TableServiceClient
+	membershipService platformv1connect.MembershipServiceClient
+	// settingsRowVersion is the version of the settings row read last by the poll.
+	settingsRowVersion uint64
 }
 
 func newPlatformClient(n *Node) *platformClient {
@@ -48,30 +48,30 @@
 		HTTP2:     &http.HTTP2Config{SendPingTimeout: time.Second, PingTimeout: time.Second},
 	})}
 	return &platformClient{
-		node:    n,
-		table:   platformv1connect.NewTableServiceClient(client, n.cfg.PlatformURL),
-		members: platformv1connect.NewMembershipServiceClient(client, n.cfg.PlatformURL),
+		node:              n,
+		table:             platformv1connect.NewTableServiceClient(client, n.cfg.PlatformURL),
+		membershipService: platformv1connect.NewMembershipServiceClient(client, n.cfg.PlatformURL),
 	}
 }
 
 // poll reads members and settings at each interval, and less often while the
 // platform is out.
 func (p *platformClient) poll(ctx context.Context) error {
-	var listed uint64
-	var out outage
+	var membersVersion uint64
+	var state outage
 	for {
 		var membersErr, settingsErr error
 		// Side by side: a platform that takes calls and answers none would
 		// otherwise cost two timeouts in a row, and settings would come late.
 		var reads sync.WaitGroup
-		reads.Go(func() { listed, membersErr = p.readMembers(ctx, listed) })
+		reads.Go(func() { membersVersion, membersErr = p.readMembers(ctx, membersVersion) })
 		reads.Go(func() { settingsErr = p.readSettings(ctx) })
 		reads.Wait()
-		p.logOutage(out.seen(membersErr, settingsErr), membersErr, settingsErr)
+		p.logOutage(state.record(membersErr, settingsErr), membersErr, settingsErr)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(out.wait(p.node.cfg.PollInterval)):
+		case <-time.After(state.pollDelay(p.node.cfg.PollInterval)):
 		}
 	}
 }
@@ -89,7 +89,7 @@
 func (p *platformClient) readMembers(ctx context.Context, known uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
-	res, err := p.members.List(ctx, connect.NewRequest(&platformv1.ListRequest{KnownVersion: known}))
+	res, err := p.membershipService.List(ctx, connect.NewRequest(&platformv1.ListRequest{KnownVersion: known}))
 	if err != nil {
 		return known, err
 	}
@@ -104,14 +104,14 @@
 	return res.Msg.GetVersion(), nil
 }
 
-// settingsRow reads the settings and the version of their row; both are zero
+// readCurrentSettings reads the settings and the version of their row; both are zero
 // if nothing was ever applied.
-func (p *platformClient) settingsRow(ctx context.Context) (*pb.Settings, uint64, error) {
+func (p *platformClient) readCurrentSettings(ctx context.Context) (*pb.Settings, uint64, error) {
 	rows, err := p.readSettingsRow(ctx, 0)
 	if err != nil {
 		return nil, 0, err
 	}
-	return settingsOf(rows)
+	return decodeSettingsRow(rows)
 }
 
 // readSettingsRow reads the row; without its value if its version is known.
@@ -128,7 +128,7 @@
 	return res.Msg.GetRows(), nil
 }
 
-func settingsOf(rows []*platformv1.Row) (*pb.Settings, uint64, error) {
+func decodeSettingsRow(rows []*platformv1.Row) (*pb.Settings, uint64, error) {
 	s := &pb.Settings{}
 	if len(rows) == 0 {
 		return s, 0, nil
@@ -141,18 +141,18 @@
 }
 
 func (p *platformClient) readSettings(ctx context.Context) error {
-	rows, err := p.readSettingsRow(ctx, p.settingsRead)
+	rows, err := p.readSettingsRow(ctx, p.settingsRowVersion)
 	if err != nil {
 		return err
 	}
-	if len(rows) > 0 && rows[0].GetVersion() == p.settingsRead {
+	if len(rows) > 0 && rows[0].GetVersion() == p.settingsRowVersion {
 		return nil
 	}
-	s, version, err := settingsOf(rows)
+	s, version, err := decodeSettingsRow(rows)
 	if err != nil {
 		return err
 	}
-	p.settingsRead = version
+	p.settingsRowVersion = version
 	p.node.post(dispatch.SettingsRead{Settings: s})
 	return nil
 }
@@ -162,7 +162,7 @@
 	change := settings.NewApply(expected, s, rand.Uint64()|1)
 	for first := true; change.Step() != settings.ApplyEnded; first = false {
 		if !first {
-			pause(ctx, applyPause)
+			pause(ctx, applyRetryInterval)
 		}
 		p.applyStep(ctx, change)
 	}
@@ -179,7 +179,7 @@
 
 // applyStep reads the row and, if that leads to a write, writes it.
 func (p *platformClient) applyStep(ctx context.Context, change *settings.Apply) {
-	present, row, err := p.settingsRow(ctx)
+	present, row, err := p.readCurrentSettings(ctx)
 	change.Read(present, row, err == nil)
 	if change.Step() != settings.ApplyWrite {
 		return
@@ -237,7 +237,7 @@
 		return result
 	}
 	for _, row := range res.Msg.GetConflicts() {
-		cf, err := conflictOf(ids, row)
+		cf, err := decodeConflict(ids, row)
 		if err != nil {
 			p.node.log.Error().Err(err).Str("key", row.GetKey()).Msg("claim-row-unreadable")
 			return result
@@ -248,7 +248,7 @@
 	return result
 }
 
-func conflictOf(ids map[string]task.ID, row *platformv1.Row) (dispatch.ClaimConflict, error) {
+func decodeConflict(ids map[string]task.ID, row *platformv1.Row) (dispatch.ClaimConflict, error) {
 	id, ok := ids[row.GetKey()]
 	if !ok || !strings.HasPrefix(row.GetKey(), claimPrefix) {
 		return dispatch.ClaimConflict{}, errors.New("a row that wasn't asked for")
--- a/node/upstreams.go
+++ b/node/upstreams.go
@@ -20,14 +20,14 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// pingAfter is the silence after which a connection is probed, and
+	// pingIdleTime is the silence after which a connection is probed, and
 	// pingTimeout the time it has to answer.
-	pingAfter     = time.Second
+	pingIdleTime  = time.Second
 	pingTimeout   = time.Second
 	settleTimeout = 2 * time.Second
 	stopTimeout   = 2 * time.Second
-	// unlistedKept is how long an upstream that left the list can be asked.
-	unlistedKept = 10 * time.Minute
+	// unlistedRetention is how long an upstream that left the list can be asked.
+	unlistedRetention = 10 * time.Minute
 	// maxOutputBytes is the largest output of one task.
 	maxOutputBytes = 4 << 20
 )
@@ -48,8 +48,8 @@
 type upstreamConn struct {
 	address string
 	client  *http.Client
-	// unlisted is when the upstream left the list; zero while it is listed.
-	unlisted time.Time
+	// unlistedAt is when the upstream left the list; zero while it is listed.
+	unlistedAt time.Time
 }
 
 func newUpstreamClient(n *Node) *upstreamClient {
@@ -63,7 +63,7 @@
 		Protocols:   &p,
 		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		HTTP2: &http.HTTP2Config{
-			SendPingTimeout: pingAfter,
+			SendPingTimeout: pingIdleTime,
 			PingTimeout:     pingTimeout,
 			// Each task's path is another, so entering it into the table of
 			// headers only drives the others out again.
@@ -82,8 +82,8 @@
 	listed := make(map[string]bool, len(m.Upstreams))
 	for _, up := range m.Upstreams {
 		listed[up.Name] = true
-		if c := u.conns[up.Name]; c != nil && c.address == up.Address {
-			c.unlisted = time.Time{}
+		if conn := u.conns[up.Name]; conn != nil && conn.address == up.Address {
+			conn.unlistedAt = time.Time{}
 			continue
 		}
 		u.conns[up.Name] = &upstreamConn{address: up.Address, client: &http.Client{Transport: newTransport()}}
@@ -91,9 +91,9 @@
 	for name, c := range u.conns {
 		switch {
 		case listed[name]:
-		case c.unlisted.IsZero():
-			c.unlisted = time.Now()
-		case time.Since(c.unlisted) > unlistedKept:
+		case c.unlistedAt.IsZero():
+			c.unlistedAt = time.Now()
+		case time.Since(c.unlistedAt) > unlistedRetention:
 			c.client.CloseIdleConnections()
 			delete(u.conns, name)
 		}
@@ -114,13 +114,13 @@
 // start sends a task once.
 func (u *upstreamClient) start(ctx context.Context, cmd dispatch.StartTask) {
 	go func() {
-		u.node.post(dispatch.StartResult{Start: cmd.Start, Result: u.send(ctx, cmd)})
+		u.node.post(dispatch.StartResult{Start: cmd.Start, Result: u.sendStart(ctx, cmd)})
 	}()
 }
 
-func (u *upstreamClient) send(ctx context.Context, cmd dispatch.StartTask) task.Result {
+func (u *upstreamClient) sendStart(ctx context.Context, cmd dispatch.StartTask) task.Result {
 	c, known := u.conn(cmd.Upstream)
-	if !known || !c.unlisted.IsZero() {
+	if !known || !c.unlistedAt.IsZero() {
 		return task.Result{Verdict: task.NotStarted, Detail: "the upstream isn't listed"}
 	}
 	left := cmd.Deadline - u.node.now()
@@ -137,7 +137,7 @@
 	if err != nil {
 		return task.Result{Verdict: task.NotStarted, Detail: err.Error()}
 	}
-	return do(c.client, req)
+	return doRequest(c.client, req)
 }
 
 func newRequest(ctx context.Context, address, path string, query url.Values, body []byte) (*http.Request, error) {
@@ -152,8 +152,8 @@
 	return req, nil
 }
 
-// do sends a request and reads the verdict.
-func do(client *http.Client, req *http.Request) task.Result {
+// doRequest sends a request and reads the verdict.
+func doRequest(client *http.Client, req *http.Request) task.Result {
 	res, err := client.Do(req)
 	if err != nil {
 		return errorResult(err)
@@ -166,7 +166,7 @@
 	if len(body) > maxOutputBytes {
 		return task.Result{Verdict: task.Failed, Detail: "the output is too large"}
 	}
-	return verdict(res, body)
+	return resultOf(res, body)
 }
 
 // errorResult says what a failed request proves. Only a connection that was
@@ -179,7 +179,7 @@
 	return task.Result{Verdict: task.Lost, Detail: err.Error()}
 }
 
-func verdict(res *http.Response, body []byte) task.Result {
+func resultOf(res *http.Response, body []byte) task.Result {
 	r := task.Result{
 		UpstreamRun: res.Header.Get(upstream.HeaderRun),
 		Leaving:     res.Header.Get(upstream.HeaderLeaving) != "",
@@ -207,7 +207,7 @@
 // settle asks on a new connection what became of a start.
 func (u *upstreamClient) settle(ctx context.Context, cmd dispatch.Settle) {
 	go func() {
-		r := u.askAnew(ctx, cmd.Upstream, cmd.Name, upstream.PathSettle, settleTimeout)
+		r := u.queryOnNewConnection(ctx, cmd.Upstream, cmd.Name, upstream.PathSettle, settleTimeout)
 		if r.Verdict == task.NotStarted && !r.Refused {
 			// The question couldn't be sent, which proves nothing of the task.
 			r.Verdict = task.Lost
@@ -228,26 +228,26 @@
 	if !known {
 		return
 	}
-	go ask(ctx, c.client, c.address, cmd.Name, upstream.PathStop, stopTimeout)
+	go queryTask(ctx, c.client, c.address, cmd.Name, upstream.PathStop, stopTimeout)
 }
 
-// askAnew asks on a connection of its own.
-func (u *upstreamClient) askAnew(ctx context.Context, name, taskName, path string, timeout time.Duration) task.Result {
+// queryOnNewConnection asks on a connection of its own.
+func (u *upstreamClient) queryOnNewConnection(ctx context.Context, name, taskName, path string, timeout time.Duration) task.Result {
 	c, known := u.conn(name)
 	if !known {
 		return task.Result{Verdict: task.Unknown, Detail: "the upstream isn't listed"}
 	}
 	transport := newTransport()
 	defer transport.CloseIdleConnections()
-	return ask(ctx, &http.Client{Transport: transport}, c.address, taskName, path, timeout)
+	return queryTask(ctx, &http.Client{Transport: transport}, c.address, taskName, path, timeout)
 }
 
-func ask(ctx context.Context, client *http.Client, address, taskName, path string, timeout time.Duration) task.Result {
+func queryTask(ctx context.Context, client *http.Client, address, taskName, path string, timeout time.Duration) task.Result {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := newRequest(ctx, address, path, url.Values{upstream.ParamTask: {taskName}}, nil)
 	if err != nil {
 		return task.Result{Verdict: task.Lost, Detail: err.Error()}
 	}
-	return do(client, req)
+	return doRequest(client, req)
 }
--- a/node/wasted.go
+++ b/node/wasted.go
@@ -16,13 +16,13 @@
 func (m *metrics) wasted(c dispatch.Counters) map[string]uint64 {
 	s := c.Summary.Stats
 	causes := map[string]uint64{
-		"refused_start": exchange * s.NotStarted,
-		"settle":        exchange * s.Settles,
-		"stop":          exchange * s.Stops,
-		"resubmission":  exchange * s.Resubmissions,
-		"conflict":      exchange * s.Conflicts,
-		"cancel":        exchange * s.Cancels,
-		"id_block":      exchange * counted(m.idBlocks),
+		"refused_start": messagesPerExchange * s.NotStarted,
+		"settle":        messagesPerExchange * s.Settles,
+		"stop":          messagesPerExchange * s.Stops,
+		"resubmission":  messagesPerExchange * s.Resubmissions,
+		"conflict":      messagesPerExchange * s.Conflicts,
+		"cancel":        messagesPerExchange * s.Cancels,
+		"id_block":      messagesPerExchange * counterValue(m.idBlocks),
 	}
 	for kind, n := range c.PeerMessages {
 		causes["peer_"+kind] = n
@@ -35,13 +35,13 @@
 	for call := range calls {
 		var d dto.Metric
 		if call.Write(&d) == nil {
-			causes["platform_"+d.GetLabel()[0].GetValue()] = exchange * uint64(d.GetCounter().GetValue())
+			causes["platform_"+d.GetLabel()[0].GetValue()] = messagesPerExchange * uint64(d.GetCounter().GetValue())
 		}
 	}
 	return causes
 }
 
-func counted(c prometheus.Counter) uint64 {
+func counterValue(c prometheus.Counter) uint64 {
 	var d dto.Metric
 	if c.Write(&d) != nil {
 		return 0
@@ -49,9 +49,9 @@
 	return uint64(d.GetCounter().GetValue())
 }
 
-// events gives the core's counters by their names in the dump, so that a
+// eventCounts gives the core's counters by their names in the dump, so that a
 // counter that is added there shows in the metrics too.
-func events(s dispatch.Stats) map[string]uint64 {
+func eventCounts(s dispatch.Stats) map[string]uint64 {
 	named := make(map[string]uint64)
 	raw, err := json.Marshal(s)
 	if err == nil {
--- a/peer/identity.go
+++ b/peer/identity.go
@@ -14,8 +14,8 @@
 	"github.com/pkg/errors"
 )
 
-// certificateLife is longer than a process lives; the certificate goes with it.
-const certificateLife = 10 * 365 * 24 * time.Hour
+// certificateValidity is longer than a process lives; the certificate goes with it.
+const certificateValidity = 10 * 365 * 24 * time.Hour
 
 // Identity is the key of one lifetime of a process. It is made at start and
 // kept nowhere; the process publishes the fingerprint in the platform's store.
@@ -35,7 +35,7 @@
 		SerialNumber: big.NewInt(1),
 		// A day back, since clocks of VMs differ.
 		NotBefore: now.Add(-24 * time.Hour),
-		NotAfter:  now.Add(certificateLife),
+		NotAfter:  now.Add(certificateValidity),
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -24,28 +24,28 @@
 	// one doesn't: something between the ends can lose track of a connection.
 	idleTimeout      = 600 * time.Millisecond
 	handshakeTimeout = 500 * time.Millisecond
-	redialFirst      = 100 * time.Millisecond
-	// redialMost bounds the pause between two tries. As a cut heals, both sides
+	minRedialDelay   = 100 * time.Millisecond
+	// maxRedialDelay bounds the pause between two tries. As a cut heals, both sides
 	// have a scheduler until they hear each other.
-	redialMost = 250 * time.Millisecond
-	// queueLength bounds the messages that wait for one peer.
-	queueLength = 4096
-	// maxMessage bounds a message: a job of 4,000 bytes and 4,096 tasks, or a
+	maxRedialDelay = 250 * time.Millisecond
+	// sendQueueLength bounds the messages that wait for one peer.
+	sendQueueLength = 4096
+	// maxMessageBytes bounds a message: a job of 4,000 bytes and 4,096 tasks, or a
 	// list of some thousand runners.
-	maxMessage = 4 << 20
+	maxMessageBytes = 4 << 20
 
-	closeEnded   quic.ApplicationErrorCode = 0
-	closeSlow    quic.ApplicationErrorCode = 1
-	closeBroken  quic.ApplicationErrorCode = 2
-	closeForgot  quic.ApplicationErrorCode = 3
-	closeEarlier quic.ApplicationErrorCode = 4
-	closeSpare   quic.ApplicationErrorCode = 5
+	closeStopping      quic.ApplicationErrorCode = 0
+	closeSlow          quic.ApplicationErrorCode = 1
+	closeFailed        quic.ApplicationErrorCode = 2
+	closeNotRegistered quic.ApplicationErrorCode = 3
+	closeReplaced      quic.ApplicationErrorCode = 4
+	closeNotNeeded     quic.ApplicationErrorCode = 5
 
-	// spareAfter is the age at which a connection that isn't wanted any more is
+	// unneededTimeout is the age at which a connection that isn't wanted any more is
 	// closed. Each costs both sides messages for as long as it stands; it must
 	// outlast the trouble in which VMs looked further for a scheduler, or they
 	// would do so again.
-	spareAfter = 10 * time.Second
+	unneededTimeout = 10 * time.Second
 )
 
 // Member is a registered process. A later lifetime on its VM replaces it.
@@ -60,7 +60,7 @@
 type Handler interface {
 	PeerUp(id string)
 	// PeerDown: ended says that the other process said so itself.
-	PeerDown(id string, ended bool, cause error)
+	PeerDown(id string, stopping bool, cause error)
 	PeerMessage(id string, m *pb.FleetMessage)
 }
 
@@ -71,14 +71,14 @@
 	log      zerolog.Logger
 	listener *quic.Listener
 	quic     *quic.Config
-	// spareAfter is the constant, but in tests.
-	spareAfter time.Duration
+	// unneededTimeout is the constant, but in tests.
+	unneededTimeout time.Duration
 
 	mu   sync.Mutex
 	self Member
-	// wanted are the connections that are to stand, and whether this process
+	// desired are the connections that are to stand, and whether this process
 	// makes them.
-	wanted  map[string]bool
+	desired map[string]bool
 	members map[string]Member
 	links   map[string]*link
 	dialing map[string]bool
@@ -87,10 +87,10 @@
 }
 
 type link struct {
-	id    string
-	conn  *quic.Conn
-	out   chan *pb.FleetMessage
-	begun time.Time
+	id          string
+	conn        *quic.Conn
+	out         chan *pb.FleetMessage
+	connectedAt time.Time
 	// dialed: this process has made the connection.
 	dialed bool
 }
@@ -102,13 +102,13 @@
 		handler:  handler,
 		log:      log,
 		members:  make(map[string]Member),
-		wanted:   make(map[string]bool),
+		desired:  make(map[string]bool),
 		links:    make(map[string]*link),
 		dialing:  make(map[string]bool),
 		changed:  make(chan struct{}, 1),
 		quic:     &quic.Config{MaxIdleTimeout: idleTimeout, HandshakeIdleTimeout: handshakeTimeout},
 
-		spareAfter: spareAfter,
+		unneededTimeout: unneededTimeout,
 	}
 	l, err := quic.ListenAddr(address, identity.tlsConfig(m.allowed), m.quic)
 	if err != nil {
@@ -151,25 +151,25 @@
 	}
 	for id, l := range m.links {
 		if _, ok := m.members[id]; !ok {
-			_ = l.conn.CloseWithError(closeForgot, "not registered")
+			_ = l.conn.CloseWithError(closeNotRegistered, "not registered")
 		}
 	}
-	m.signal()
+	m.requestDial()
 }
 
 // SetLinks says which connections are to stand.
 func (m *Mesh) SetLinks(links []topology.Link) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	clear(m.wanted)
+	clear(m.desired)
 	for _, l := range links {
-		m.wanted[l.ID] = l.Dials
+		m.desired[l.ID] = l.Dials
 	}
-	m.signal()
+	m.requestDial()
 }
 
-// signal has missing connections made now.
-func (m *Mesh) signal() {
+// requestDial has missing connections made now.
+func (m *Mesh) requestDial() {
 	select {
 	case m.changed <- struct{}{}:
 	default:
@@ -180,11 +180,11 @@
 // Run accepts and dials until the context ends.
 func (m *Mesh) Run(ctx context.Context) {
 	go m.accept(ctx)
-	ticker := time.NewTicker(redialFirst)
+	ticker := time.NewTicker(minRedialDelay)
 	defer ticker.Stop()
 	for {
 		m.dialMissing(ctx)
-		m.closeSpare()
+		m.closeUnneeded()
 		select {
 		case <-ctx.Done():
 			m.close()
@@ -203,7 +203,7 @@
 	}
 	m.mu.Unlock()
 	for _, l := range links {
-		_ = l.conn.CloseWithError(closeEnded, "the process ends")
+		_ = l.conn.CloseWithError(closeStopping, "the process ends")
 	}
 	_ = m.listener.Close()
 }
@@ -216,7 +216,7 @@
 	if m.self.ID == "" {
 		return
 	}
-	for id, dials := range m.wanted {
+	for id, dials := range m.desired {
 		p, known := m.members[id]
 		if !dials || !known || m.links[id] != nil || m.dialing[id] {
 			continue
@@ -226,38 +226,38 @@
 	}
 }
 
-// closeSpare closes connections that this process has made and that aren't wanted
+// closeUnneeded closes connections that this process has made and that aren't wanted
 // any more. The other side doesn't: it would be dialed again for as long as this
 // one wants them.
-func (m *Mesh) closeSpare() {
+func (m *Mesh) closeUnneeded() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for id, l := range m.links {
-		if _, wanted := m.wanted[id]; l.dialed && !wanted && time.Since(l.begun) > m.spareAfter {
-			_ = l.conn.CloseWithError(closeSpare, "not needed any more")
+		if _, wanted := m.desired[id]; l.dialed && !wanted && time.Since(l.connectedAt) > m.unneededTimeout {
+			_ = l.conn.CloseWithError(closeNotNeeded, "not needed any more")
 		}
 	}
 }
 
 func (m *Mesh) dial(ctx context.Context, p Member) {
-	wait := redialFirst
+	delay := minRedialDelay
 	for {
 		conn, stream, err := m.connect(ctx, p)
 		if err == nil {
 			m.mu.Lock()
 			delete(m.dialing, p.ID)
 			m.mu.Unlock()
-			m.add(&link{id: p.ID, conn: conn, dialed: true}, stream)
+			m.addLink(&link{id: p.ID, conn: conn, dialed: true}, stream)
 			return
 		}
 		m.log.Debug().Str("peer", p.ID).Err(err).Msg("peer-dial-failed")
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(wait):
+		case <-time.After(delay):
 		}
-		wait = min(2*wait, redialMost)
-		if !m.dials(p.ID) {
+		delay = min(2*delay, maxRedialDelay)
+		if !m.shouldDial(p.ID) {
 			m.mu.Lock()
 			delete(m.dialing, p.ID)
 			m.mu.Unlock()
@@ -266,12 +266,12 @@
 	}
 }
 
-// dials reports whether this process is still to make a connection.
-func (m *Mesh) dials(id string) bool {
+// shouldDial reports whether this process is still to make a connection.
+func (m *Mesh) shouldDial(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	_, ok := m.members[id]
-	return ok && m.wanted[id]
+	return ok && m.desired[id]
 }
 
 // connect dials from a socket of its own; see idleTimeout.
@@ -285,12 +285,12 @@
 	}
 	stream, err := conn.OpenStreamSync(ctx)
 	if err != nil {
-		_ = conn.CloseWithError(closeBroken, "no stream")
+		_ = conn.CloseWithError(closeFailed, "no stream")
 		return nil, nil, errors.Wrap(err, "open stream")
 	}
 	// An empty message makes the stream known to the other side.
 	if _, err := protodelim.MarshalTo(stream, &pb.FleetMessage{}); err != nil {
-		_ = conn.CloseWithError(closeBroken, "no stream")
+		_ = conn.CloseWithError(closeFailed, "no stream")
 		return nil, nil, errors.Wrap(err, "greet")
 	}
 	return conn, stream, nil
@@ -311,7 +311,7 @@
 	defer cancel()
 	stream, err := conn.AcceptStream(streamCtx)
 	if err != nil {
-		_ = conn.CloseWithError(closeBroken, "no stream")
+		_ = conn.CloseWithError(closeFailed, "no stream")
 		return
 	}
 	fingerprint := fingerprintOf(conn.ConnectionState().TLS.PeerCertificates[0].Raw)
@@ -319,22 +319,22 @@
 	p, ok := m.byFingerprint(fingerprint)
 	m.mu.Unlock()
 	if !ok {
-		_ = conn.CloseWithError(closeForgot, "not registered")
+		_ = conn.CloseWithError(closeNotRegistered, "not registered")
 		return
 	}
-	m.add(&link{id: p.ID, conn: conn}, stream)
+	m.addLink(&link{id: p.ID, conn: conn}, stream)
 }
 
-// add takes a connection into use in place of an earlier one with the process.
-func (m *Mesh) add(l *link, stream *quic.Stream) {
-	l.out = make(chan *pb.FleetMessage, queueLength)
-	l.begun = time.Now()
+// addLink takes a connection into use in place of an earlier one with the process.
+func (m *Mesh) addLink(l *link, stream *quic.Stream) {
+	l.out = make(chan *pb.FleetMessage, sendQueueLength)
+	l.connectedAt = time.Now()
 	m.mu.Lock()
 	old := m.links[l.id]
 	m.links[l.id] = l
 	m.mu.Unlock()
 	if old != nil {
-		_ = old.conn.CloseWithError(closeEarlier, "replaced")
+		_ = old.conn.CloseWithError(closeReplaced, "replaced")
 	}
 	m.log.Info().Str("peer", l.id).Str("address", l.conn.RemoteAddr().String()).Msg("peer-connected")
 	m.handler.PeerUp(l.id)
@@ -350,14 +350,14 @@
 			return
 		case msg := <-l.out:
 			if _, err := protodelim.MarshalTo(w, msg); err != nil {
-				_ = l.conn.CloseWithError(closeBroken, "write")
+				_ = l.conn.CloseWithError(closeFailed, "write")
 				return
 			}
 			if len(l.out) > 0 {
 				continue
 			}
 			if err := w.Flush(); err != nil {
-				_ = l.conn.CloseWithError(closeBroken, "write")
+				_ = l.conn.CloseWithError(closeFailed, "write")
 				return
 			}
 		}
@@ -366,19 +366,19 @@
 
 func (m *Mesh) read(l *link, stream *quic.Stream) {
 	r := bufio.NewReader(stream)
-	opts := protodelim.UnmarshalOptions{MaxSize: maxMessage}
+	opts := protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}
 	for {
 		msg := &pb.FleetMessage{}
 		if err := opts.UnmarshalFrom(r, msg); err != nil {
-			m.down(l, err)
+			m.removeLink(l, err)
 			return
 		}
 		m.handler.PeerMessage(l.id, msg)
 	}
 }
 
-func (m *Mesh) down(l *link, cause error) {
-	_ = l.conn.CloseWithError(closeBroken, "read")
+func (m *Mesh) removeLink(l *link, cause error) {
+	_ = l.conn.CloseWithError(closeFailed, "read")
 	m.mu.Lock()
 	current := m.links[l.id] == l
 	if current {
@@ -389,9 +389,9 @@
 		return
 	}
 	var app *quic.ApplicationError
-	ended := errors.As(cause, &app) && app.Remote && app.ErrorCode == closeEnded
-	m.log.Info().Str("peer", l.id).Bool("ended", ended).AnErr("cause", cause).Msg("peer-disconnected")
-	m.handler.PeerDown(l.id, ended, cause)
+	stopping := errors.As(cause, &app) && app.Remote && app.ErrorCode == closeStopping
+	m.log.Info().Str("peer", l.id).Bool("ended", stopping).AnErr("cause", cause).Msg("peer-disconnected")
+	m.handler.PeerDown(l.id, stopping, cause)
 }
 
 // Send queues a message and reports whether there is a connection. A peer that
@@ -418,7 +418,7 @@
 	l := m.links[id]
 	m.mu.Unlock()
 	if l != nil {
-		_ = l.conn.CloseWithError(closeBroken, "silent")
+		_ = l.conn.CloseWithError(closeFailed, "silent")
 	}
 }
 
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -14,19 +14,19 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // recorder notes what a mesh tells.
 type recorder struct {
-	mu    sync.Mutex
-	up    map[string]int
-	down  map[string]int
-	ended map[string]bool
-	jobs  []string
+	mu          sync.Mutex
+	up          map[string]int
+	down        map[string]int
+	stopped     map[string]bool
+	droppedJobs []string
 }
 
 func newRecorder() *recorder {
-	return &recorder{up: map[string]int{}, down: map[string]int{}, ended: map[string]bool{}}
+	return &recorder{up: map[string]int{}, down: map[string]int{}, stopped: map[string]bool{}}
 }
 
 func (r *recorder) PeerUp(id string) {
@@ -35,18 +35,18 @@
 	r.up[id]++
 }
 
-func (r *recorder) PeerDown(id string, ended bool, _ error) {
+func (r *recorder) PeerDown(id string, stopped bool, _ error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down[id]++
-	r.ended[id] = ended
+	r.stopped[id] = stopped
 }
 
 func (r *recorder) PeerMessage(_ string, m *pb.FleetMessage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if d := m.GetDropJob(); d != nil {
-		r.jobs = append(r.jobs, d.GetJob())
+		r.droppedJobs = append(r.droppedJobs, d.GetJob())
 	}
 }
 
@@ -57,10 +57,10 @@
 }
 
 type process struct {
-	mesh *Mesh
-	rec  *recorder
-	self Member
-	stop func()
+	mesh     *Mesh
+	recorder *recorder
+	self     Member
+	stop     func()
 }
 
 func newProcess(t *testing.T, number uint64, milliCPU int) *process {
@@ -75,7 +75,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); m.Run(ctx) }()
-	p := &process{mesh: m, rec: rec, stop: func() { cancel(); <-done }}
+	p := &process{mesh: m, recorder: rec, stop: func() { cancel(); <-done }}
 	p.self = Member{
 		Member:  topology.Member{ID: id, VM: id, Number: number, MilliCPU: milliCPU},
 		Address: m.Address(), Fingerprint: identity.Fingerprint(),
@@ -84,28 +84,28 @@
 	return p
 }
 
-func introduce(ps ...*process) {
+func connectAll(ps ...*process) {
 	var list []Member
 	for _, p := range ps {
 		list = append(list, p.self)
 	}
 	for _, p := range ps {
-		p.meet(list, 0)
+		p.setMembers(list, 0)
 	}
 }
 
-// meet tells a process of others, and has it connect as its node would.
-func (p *process) meet(list []Member, widened int) {
+// setMembers tells a process of others, and has it connect as its node would.
+func (p *process) setMembers(list []Member, seatDoublings int) {
 	var members []topology.Member
 	for _, m := range list {
 		members = append(members, m.Member)
 	}
 	fleet := topology.New(layout.Pooled(1), false, members)
 	p.mesh.SetMembers(p.self, list)
-	p.mesh.SetLinks(fleet.Links(p.self.Member, widened))
+	p.mesh.SetLinks(fleet.Links(p.self.Member, seatDoublings))
 }
 
-func drop(job string) *pb.FleetMessage {
+func dropJob(job string) *pb.FleetMessage {
 	return &pb.FleetMessage{Body: &pb.FleetMessage_DropJob{DropJob: &pb.DropJob{Job: job}}}
 }
 
@@ -134,86 +134,86 @@
 	g := NewWithT(t)
 	a, b := newProcess(t, 1, 400), newProcess(t, 2, 400)
 	keepAlive(t, a, b)
-	introduce(a, b)
-	g.Eventually(func() bool { return a.mesh.Send("b", drop("j")) }, patience, 10*time.Millisecond).Should(BeTrue())
+	connectAll(a, b)
+	g.Eventually(func() bool { return a.mesh.Send("b", dropJob("j")) }, testTimeout, 10*time.Millisecond).Should(BeTrue())
 	g.Eventually(func() []string {
-		b.rec.mu.Lock()
-		defer b.rec.mu.Unlock()
-		return b.rec.jobs
-	}, patience).Should(ConsistOf("j"))
-	g.Expect(a.mesh.Send("c", drop("k"))).To(BeFalse())
+		b.recorder.mu.Lock()
+		defer b.recorder.mu.Unlock()
+		return b.recorder.droppedJobs
+	}, testTimeout).Should(ConsistOf("j"))
+	g.Expect(a.mesh.Send("c", dropJob("k"))).To(BeFalse())
 }
 
 // A process that isn't registered in the platform's store dials. Anybody on the
 // network could; it must not be heard.
-func TestStranger(t *testing.T) {
+func TestUnregisteredPeerIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	a, stranger := newProcess(t, 1, 400), newProcess(t, 2, 400)
-	a.meet([]Member{a.self}, 0)
-	stranger.meet([]Member{a.self, stranger.self}, 0)
-	g.Consistently(func() int { return a.rec.ups("b") }, time.Second, 50*time.Millisecond).Should(BeZero())
+	a.setMembers([]Member{a.self}, 0)
+	stranger.setMembers([]Member{a.self, stranger.self}, 0)
+	g.Consistently(func() int { return a.recorder.ups("b") }, time.Second, 50*time.Millisecond).Should(BeZero())
 }
 
 // A connection falls silent or is dropped while both processes live. They
 // connect again.
-func TestConnectsAgain(t *testing.T) {
+func TestReconnects(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newProcess(t, 1, 400), newProcess(t, 2, 400)
 	keepAlive(t, a, b)
-	introduce(a, b)
-	g.Eventually(func() int { return a.rec.ups("b") }, patience, 10*time.Millisecond).Should(Equal(1))
+	connectAll(a, b)
+	g.Eventually(func() int { return a.recorder.ups("b") }, testTimeout, 10*time.Millisecond).Should(Equal(1))
 	a.mesh.Disconnect("b")
-	g.Eventually(func() int { return a.rec.ups("b") }, patience, 10*time.Millisecond).Should(Equal(2))
+	g.Eventually(func() int { return a.recorder.ups("b") }, testTimeout, 10*time.Millisecond).Should(Equal(2))
 }
 
 // A process ends as planned. The others know at once that it isn't just silent.
-func TestGoodbye(t *testing.T) {
+func TestPlannedStopIsReported(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newProcess(t, 1, 400), newProcess(t, 2, 400)
 	keepAlive(t, a, b)
-	introduce(a, b)
-	g.Eventually(func() int { return a.rec.ups("b") }, patience, 10*time.Millisecond).Should(Equal(1))
+	connectAll(a, b)
+	g.Eventually(func() int { return a.recorder.ups("b") }, testTimeout, 10*time.Millisecond).Should(Equal(1))
 	b.stop()
 	g.Eventually(func() bool {
-		a.rec.mu.Lock()
-		defer a.rec.mu.Unlock()
-		return a.rec.ended["b"]
-	}, patience, 10*time.Millisecond).Should(BeTrue())
+		a.recorder.mu.Lock()
+		defer a.recorder.mu.Unlock()
+		return a.recorder.stopped["b"]
+	}, testTimeout, 10*time.Millisecond).Should(BeTrue())
 }
 
 // Small VMs hear the large ones and not each other, until no scheduler is in
 // reach.
-func TestSmallVMs(t *testing.T) {
+func TestSmallVMsConnectWhenNoSchedulerIsReachable(t *testing.T) {
 	g := NewWithT(t)
 	large, small, other := newProcess(t, 1, 800), newProcess(t, 2, 192), newProcess(t, 3, 192)
 	keepAlive(t, large, small, other)
-	introduce(large, small, other)
+	connectAll(large, small, other)
 	for _, id := range []string{"b", "c"} {
-		g.Eventually(func() int { return large.rec.ups(id) }, patience, 10*time.Millisecond).Should(BeNumerically(">", 0))
+		g.Eventually(func() int { return large.recorder.ups(id) }, testTimeout, 10*time.Millisecond).Should(BeNumerically(">", 0))
 	}
-	g.Expect(small.rec.ups("c")).To(BeZero())
-	other.meet([]Member{large.self, small.self, other.self}, 1)
-	g.Eventually(func() int { return small.rec.ups("c") }, patience, 10*time.Millisecond).Should(BeNumerically(">", 0))
+	g.Expect(small.recorder.ups("c")).To(BeZero())
+	other.setMembers([]Member{large.self, small.self, other.self}, 1)
+	g.Eventually(func() int { return small.recorder.ups("c") }, testTimeout, 10*time.Millisecond).Should(BeNumerically(">", 0))
 }
 
 // A small VM that reached no scheduler has looked for the other small ones. Once
 // it reaches one again it closes those connections: each costs heartbeats, and
 // with some thirty small VMs they took more processor time than all jobs.
-func TestSpareConnectionsAreClosed(t *testing.T) {
+func TestUnneededConnectionsAreClosed(t *testing.T) {
 	g := NewWithT(t)
 	large, small, other := newProcess(t, 1, 800), newProcess(t, 2, 192), newProcess(t, 3, 192)
 	for _, p := range []*process{large, small, other} {
 		p.mesh.mu.Lock()
-		p.mesh.spareAfter = 50 * time.Millisecond
+		p.mesh.unneededTimeout = 50 * time.Millisecond
 		p.mesh.mu.Unlock()
 	}
 	keepAlive(t, large, small, other)
-	introduce(large, small, other)
-	other.meet([]Member{large.self, small.self, other.self}, 1)
-	g.Eventually(func() int { return small.rec.ups("c") }, patience, 10*time.Millisecond).Should(BeNumerically(">", 0))
-	other.meet([]Member{large.self, small.self, other.self}, 0)
-	g.Eventually(func() []string { return small.mesh.Connected() }, patience, 10*time.Millisecond).Should(ConsistOf("a"))
-	g.Consistently(func() int { return small.rec.ups("c") }, 300*time.Millisecond, 10*time.Millisecond).Should(Equal(1))
+	connectAll(large, small, other)
+	other.setMembers([]Member{large.self, small.self, other.self}, 1)
+	g.Eventually(func() int { return small.recorder.ups("c") }, testTimeout, 10*time.Millisecond).Should(BeNumerically(">", 0))
+	other.setMembers([]Member{large.self, small.self, other.self}, 0)
+	g.Eventually(func() []string { return small.mesh.Connected() }, testTimeout, 10*time.Millisecond).Should(ConsistOf("a"))
+	g.Consistently(func() int { return small.recorder.ups("c") }, 300*time.Millisecond, 10*time.Millisecond).Should(Equal(1))
 	g.Expect(other.mesh.Connected()).To(ConsistOf("a"))
 }
 
@@ -223,7 +223,7 @@
 	g := NewWithT(t)
 	a, b := newProcess(t, 1, 0), newProcess(t, 2, 0)
 	list := []Member{a.self, b.self}
-	a.meet(list, 0)
-	b.meet(list, 0)
-	g.Eventually(func() int { return a.rec.ups("b") }, patience, 10*time.Millisecond).Should(Equal(1))
+	a.setMembers(list, 0)
+	b.setMembers(list, 0)
+	g.Eventually(func() int { return a.recorder.ups("b") }, testTimeout, 10*time.Millisecond).Should(Equal(1))
 }
