--- a/client/check.go
+++ b/client/check.go
@@ -12,13 +12,13 @@
 // ErrMismatchedAnswer reports an answer to another submission.
 var ErrMismatchedAnswer = errors.New("the answer isn't for this submission")
 
-// ErrIncompleteAnswer reports an answer that calls itself complete without exactly one
-// result a task.
-var ErrIncompleteAnswer = errors.New("the answer isn't whole")
+// ErrIncompleteAnswer reports an answer with outcome complete that doesn't have
+// exactly one result per task.
+var ErrIncompleteAnswer = errors.New("the answer doesn't have one result per task")
 
-// verifyAnswer compares an answer with its submission. An answer crossed with another
-// would put one kitchen's allergens on another's label; a short one would send
-// trays out unmarked.
+// verifyAnswer compares an answer with its submission. With another caller's
+// answer, a kitchen would print another kitchen's allergens on its labels; with
+// missing results, trays would go out without a label.
 func verifyAnswer(s *pb.Submission, a *pb.Answer) error {
 	digest := task.DigestOf(s)
 	if !sameID(a.GetId(), s.GetId()) || !bytes.Equal(a.GetDigest(), digest[:]) {
--- a/client/client.go
+++ b/client/client.go
@@ -1,10 +1,12 @@
-// Package client is the library of callers: it obtains ids, submits jobs
-// safely, checks that an answer is the caller's own, and comes back when told.
+// Package client is the library for callers: it obtains ids, submits jobs
+// idempotently, verifies that an answer belongs to the submission, and submits
+// again after the time that an answer asks for.
 //
-// A submission keeps its id until it has a final word, however often it is
+// A submission has the same id until its outcome is final, however often it is
 // sent and through whichever entry process, so that none of its tasks starts
-// twice. Three words are final: complete, with every task's result; not run,
-// under this id never to be; and failed, which says whether tasks may have run.
+// twice. Three outcomes are final: complete, with every task's result; not run,
+// which means that the job will never run under this id; and failed, which says
+// whether tasks may have run.
 package client
 
 import (
@@ -21,35 +23,35 @@
 )
 
 const (
-	// DefaultMaxAnswerBytes is the largest answer taken, in bytes.
+	// DefaultMaxAnswerBytes is the default limit of the size of an answer.
 	DefaultMaxAnswerBytes = 64 << 20
 	bearerPrefix          = "Bearer "
 )
 
 var errNoURL = connect.NewError(connect.CodeInvalidArgument, errors.New("no URL is configured"))
 
-// Config says whom to call and how.
+// Config configures a Client.
 type Config struct {
-	// URL is the base URL of an entry process or of the balancer before them.
+	// URL is the base URL of an entry process or of a load balancer.
 	URL string
-	// URLs are further entry processes. New submissions take them in turn; one
-	// that fails is left out for a moment, and another is used.
+	// URLs are further entry processes. New submissions use them in rotation. One
+	// that fails is tried only after the others for a second.
 	URLs []string
-	// Token authenticates the institution. It is sent with each call, so use
-	// https URLs wherever others can listen. Empty means that the certificate
-	// in TLS authenticates it.
+	// Token authenticates the institution. It is sent with each call: use https
+	// URLs unless the network is trusted. If it is empty, the client certificate
+	// in TLS authenticates the institution.
 	Token string
-	// TLS is used for https URLs; nil means the system's authorities.
+	// TLS is used for https URLs; nil means the system's certificate authorities.
 	TLS *tls.Config
 	// HTTPClient is used for all calls; nil means one for each URL, with pings
-	// that notice a silent connection within about two seconds. With a client
-	// of one's own, ids aren't dropped when the connection that gave them ends.
+	// that detect a dead connection within about two seconds. If it is set, ids
+	// aren't dropped when the connection that delivered them closes.
 	HTTPClient *http.Client
 	// MaxAnswerBytes bounds an answer; 0 means DefaultMaxAnswerBytes.
 	MaxAnswerBytes int
 	// MaxNewIDs is how often Submit may submit a job again under a new id after
-	// "not run" with a time to come back. It concerns only ids that Submit
-	// obtained itself; 0 returns the answer to the caller.
+	// an answer "not run" with a retry time. It applies only to ids that Submit
+	// obtained itself; with 0 the answer is returned to the caller.
 	MaxNewIDs int
 }
 
@@ -65,16 +67,16 @@
 	calls, idBlocks, resubmissions, rejectedAnswers atomic.Uint64
 }
 
-// Stats counts what a client did.
+// Stats are the counters of a client.
 type Stats struct {
-	// Calls is every request sent.
+	// Calls is the number of requests sent.
 	Calls uint64
-	// IDBlocks is the calls that obtained ids.
+	// IDBlocks is the number of calls for blocks of ids.
 	IDBlocks uint64
-	// Resubmissions is the calls that sent a submission again.
+	// Resubmissions is the number of calls that sent a submission again.
 	Resubmissions uint64
-	// RejectedAnswers is the answers dropped because they weren't for the
-	// submission or weren't whole.
+	// RejectedAnswers is the number of answers discarded because they belonged to
+	// another submission or were incomplete.
 	RejectedAnswers uint64
 }
 
@@ -116,7 +118,7 @@
 	return &pb.SubmissionId{Kind: &pb.SubmissionId_OwnKey{OwnKey: key}}
 }
 
-// NewID returns an unused id from the first entry that gives one.
+// NewID returns an unused id from the first entry that issues one.
 func (c *Client) NewID(ctx context.Context) (*pb.SubmissionId, error) {
 	var err error = errNoURL
 	for _, e := range c.entryOrder(nil) {
@@ -131,7 +133,7 @@
 	return nil, errors.Wrap(err, "obtain an id")
 }
 
-// Cancel ends a submission and returns the word on it.
+// Cancel cancels a submission and returns its answer.
 func (c *Client) Cancel(ctx context.Context, id *pb.SubmissionId) (*pb.Answer, error) {
 	var err error = errNoURL
 	for _, e := range c.entryOrder(id) {
@@ -147,15 +149,15 @@
 	return nil, errors.Wrap(err, "cancel")
 }
 
-// entryOrder lists the entries to try: first the one that gave the id, since it
-// holds the claim and needn't forward, then the others in turn, those that
-// failed a moment ago last.
+// entryOrder lists the entries to try: first the one that issued the id, since it
+// holds the claim and doesn't have to forward, then the others in rotation, and
+// last those that failed recently.
 func (c *Client) entryOrder(id *pb.SubmissionId) []*entry {
 	n := len(c.entries)
 	if n == 0 {
 		return nil
 	}
-	// An issued id took its turn when it was obtained.
+	// The rotation was advanced for an issued id when the id was obtained.
 	turn := c.nextEntry.Load()
 	if id.GetIssued() == nil {
 		turn = c.nextEntry.Add(1)
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -21,8 +21,8 @@
 
 const testTimeout = 20 * time.Second
 
-// testEntry is a small testEntry process for tests: it issues ids and answers each
-// submission by its script, the last step of which is repeated.
+// testEntry is an entry process for tests: it issues ids and answers the n-th
+// submission with the n-th of its answers, and further ones with the last.
 type testEntry struct {
 	node    string
 	validMs uint32
@@ -138,9 +138,9 @@
 	}
 }
 
-// The entry VM takes a job and its connection breaks before the answer. The
-// kitchen's till sends the job again; under a new id its labels would be
-// printed twice.
+// The connection breaks after the entry process received a job and before it
+// answered. The job must be sent again under the same id; under a new one the
+// kitchen's labels would be printed twice.
 func TestLostReplyIsResubmittedUnderTheSameIDElsewhere(t *testing.T) {
 	first, second := startEntry(t, "a", breakConnection), startEntry(t, "b", complete)
 	g, ctx, cfg := setup(t, first, second)
@@ -159,9 +159,9 @@
 	g.Expect(c.Stats().Resubmissions).To(gomega.BeEquivalentTo(1))
 }
 
-// Two answers cross on the way. Taken for its own, the other's would put
-// another kitchen's allergens on the label; it is dropped, counted and the job
-// asked for again.
+// A call returns another submission's answer. Accepted, it would put another
+// kitchen's allergens on the label; it must be rejected, counted and the job sent
+// again.
 func TestMismatchedAndIncompleteAnswersAreRejectedAndCounted(t *testing.T) {
 	e := startEntry(t, "a", mismatchedAnswer, incompleteAnswer, complete)
 	g, ctx, cfg := setup(t, e)
@@ -173,8 +173,8 @@
 	expectSameID(g, e.submissions()...)
 }
 
-// An entry VM mixes up all its answers. The caller must get an error in the
-// end, not somebody's label.
+// An entry process returns only answers to other submissions. Submit must end with
+// an error and not return one of them.
 func TestOnlyMismatchedAnswersIsAnError(t *testing.T) {
 	g, ctx, cfg := setup(t, startEntry(t, "a", mismatchedAnswer))
 	a, err := client.New(cfg).Submit(ctx, job())
@@ -182,8 +182,8 @@
 	g.Expect(errors.Is(err, client.ErrMismatchedAnswer)).To(gomega.BeTrue())
 }
 
-// The holder can't be reached for a while, and the answer says when to come
-// back. A caller that gave up or took a new id would print twice.
+// The holder is unreachable for a while, and the answer has a retry time. If the
+// caller gave up or used a new id, the labels would be printed twice.
 func TestUnknownOutcomeIsResubmittedAfterRetryTime(t *testing.T) {
 	e := startEntry(t, "a", retryLater, retryLater, complete)
 	g, ctx, cfg := setup(t, e)
@@ -195,8 +195,8 @@
 	expectSameID(g, e.submissions()...)
 }
 
-// No entry VM knows the outcome before the caller's time ends. The error keeps
-// the id, so that the caller can ask again later.
+// The outcome is still unknown when the context ends. The error holds the id, so
+// that the caller can submit again later.
 func TestUnsettledErrorHoldsTheID(t *testing.T) {
 	g, _, cfg := setup(t, startEntry(t, "a", retryLater))
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
@@ -209,8 +209,8 @@
 	g.Expect(unsettled.Last.GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_UNKNOWN))
 }
 
-// A job is refused in a rush, truthfully. It may run later, but only under
-// another id, and only if the caller asked for that.
+// A job is rejected under load and has not run. It may run later, but only under a
+// new id, and only if the caller configured that.
 func TestNotRunIsResubmittedUnderANewIDOnlyIfConfigured(t *testing.T) {
 	e := startEntry(t, "a", notRun, notRun, complete)
 	g, ctx, cfg := setup(t, e)
@@ -225,8 +225,8 @@
 	g.Expect(sent[1].GetId().GetIssued().GetNumber()).NotTo(gomega.Equal(sent[2].GetId().GetIssued().GetNumber()))
 }
 
-// One entry VM is down. Its callers' jobs go through another, without a second
-// of silence each time.
+// One entry process is down. Jobs go through another one, without a timeout of a
+// second for each job.
 func TestEntryThatIsDownIsAvoided(t *testing.T) {
 	down, up := startEntry(t, "a", complete), startEntry(t, "b", complete)
 	g, ctx, cfg := setup(t, down, up)
@@ -240,8 +240,8 @@
 	g.Expect(c.Stats().IDBlocks).To(gomega.BeNumerically("<=", 4))
 }
 
-// A caller held on to ids for longer than they are valid. Sent, they would be
-// answered "failed, may have run"; a new block is obtained instead.
+// A caller uses an id after its block has expired. Sent, it would be answered
+// "failed, may have run"; a new block must be obtained instead.
 func TestExpiredIDsAreNotUsed(t *testing.T) {
 	e := startEntry(t, "a", complete)
 	e.validMs = 1
@@ -255,9 +255,10 @@
 	g.Expect(c.Stats().IDBlocks).To(gomega.BeEquivalentTo(3))
 }
 
-// The connection to the entry VM ends, as at its restart, and a balancer may
-// lead the next one elsewhere. The old ids' holder is gone: the first job under
-// one would fail as "may have run" though it never ran.
+// The connection to the entry process closes, for example at a restart, and a load
+// balancer may route the next one to another process. The holder of the old ids no
+// longer exists: the first job under one of them would fail as "may have run"
+// though it never ran.
 func TestIDsAreDroppedWithTheirConnection(t *testing.T) {
 	e := startEntry(t, "a", complete)
 	g, ctx, cfg := setup(t, e)
@@ -269,12 +270,12 @@
 		_, err := c.NewID(ctx)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		return c.Stats().IDBlocks
-	}, 4*time.Second, 50*time.Millisecond).Should(gomega.BeEquivalentTo(2), "80 of the block's 256 ids were taken")
+	}, 4*time.Second, 50*time.Millisecond).Should(gomega.BeEquivalentTo(2), "the calls use up at most 80 of the block's 256 ids")
 }
 
-// Something between caller and entry VM loses track of the open connection:
-// what is sent on it disappears for good, while new connections work. Without
-// pings the label would never come.
+// A middlebox between caller and entry process drops the state of an open
+// connection: packets on it are lost, while new connections work. Without pings the
+// answer would never arrive.
 func TestSilentConnectionIsDetected(t *testing.T) {
 	release := make(chan struct{})
 	e := startEntry(t, "a", func(s *pb.Submission) (*pb.Answer, error) {
@@ -295,8 +296,8 @@
 	expectSameID(g, e.submissions()...)
 }
 
-// An answer is far larger than the caller can hold. It gets an error instead
-// of running out of memory.
+// An answer exceeds the configured limit. The caller gets an error and doesn't run
+// out of memory.
 func TestAnswerOverTheLimitIsAnError(t *testing.T) {
 	g, ctx, cfg := setup(t, startEntry(t, "a", func(s *pb.Submission) (*pb.Answer, error) {
 		a, err := complete(s)
@@ -308,8 +309,8 @@
 	g.Expect(connect.CodeOf(err)).To(gomega.Equal(connect.CodeResourceExhausted))
 }
 
-// A first sending failed and the second is rejected. The first may have
-// started the job, so the error must not say that nothing ran.
+// A first call fails without an answer and the second is rejected. The first may
+// have started the job, so the error must not say that nothing ran.
 func TestRejectionAfterALostReplyIsUnsettled(t *testing.T) {
 	g, ctx, cfg := setup(t, startEntry(t, "a", breakConnection, func(*pb.Submission) (*pb.Answer, error) {
 		return nil, connect.NewError(connect.CodeUnauthenticated, errors.New("the token isn't known"))
@@ -319,8 +320,8 @@
 	g.Expect(errors.As(err, &unsettled)).To(gomega.BeTrue())
 }
 
-// The context's deadline becomes the submission's timeout, and a caller's own
-// timeout isn't stretched by sending again.
+// The context's deadline becomes the submission's timeout, and a resubmission doesn't
+// extend the caller's own timeout.
 func TestDeadlinesAreSentAsTimeouts(t *testing.T) {
 	e := startEntry(t, "a", retryLater, complete)
 	g, ctx, cfg := setup(t, e)
--- a/client/entry.go
+++ b/client/entry.go
@@ -16,28 +16,29 @@
 )
 
 const (
-	// idsPerBlock is the number of ids asked for at once.
+	// idsPerBlock is the number of ids requested at once.
 	idsPerBlock = 256
-	// idMargin is kept from the end of a block's validity, for the way of the
-	// submission; never more than a tenth of the validity.
+	// idMargin is how long before its expiry a block is no longer used, to allow
+	// for the transmission of the submission. It is at most the validity divided
+	// by idMarginDivisor.
 	idMargin        = 5 * time.Second
 	idMarginDivisor = 10
-	// downDuration is how long an entry that failed is tried last.
+	// downDuration is how long an entry that failed is tried after the others.
 	downDuration = time.Second
 	dialTimeout  = 2 * time.Second
-	// pingIdleTime and pingTimeout bound how long a silent connection goes
-	// unnoticed.
+	// pingIdleTime and pingTimeout bound how long a dead connection goes
+	// undetected.
 	pingIdleTime = time.Second
 	pingTimeout  = time.Second
 )
 
-// entry is one URL with the ids it gave.
+// entry is one URL with the current block of ids obtained from it.
 type entry struct {
 	rpc       sapphirepointv1connect.CallerServiceClient
 	token     string
 	stats     *counters
 	transport *http.Transport
-	// fetchSlot is held by the one call that obtains a block.
+	// fetchSlot is held by the call that is obtaining a block.
 	fetchSlot chan struct{}
 
 	mu        sync.Mutex
@@ -78,10 +79,11 @@
 	}
 }
 
-// notifyingConn drops the ids of a connection that ends. Behind a balancer the
-// next connection may lead to another process, and after a restart the ids'
-// holder is gone: a first submission under such an id would be answered
-// "failed, may have run", though it never ran.
+// notifyingConn calls onClose when it is closed. It is used to drop the ids that
+// were obtained over the connection: behind a load balancer the next connection may
+// lead to another process, and after a restart the holder of the ids no longer
+// exists. A first submission under such an id would be answered "failed, may have
+// run", though it never ran.
 type notifyingConn struct {
 	net.Conn
 	onClose func()
@@ -118,14 +120,14 @@
 	e.block = nil
 }
 
-// issued says whether the entry's latest block came from the id's holder.
+// issued reports whether the entry's latest block came from the id's holder.
 func (e *entry) issued(id *pb.SubmissionId) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return id.GetIssued() != nil && task.IncarnationOf(id.GetIssued().GetHolder()) == e.holder
 }
 
-// newID takes an id from the entry's block, with a new block if need be.
+// newID takes an id from the entry's block and requests a new block if necessary.
 func (e *entry) newID(ctx context.Context) (*pb.SubmissionId, error) {
 	if id := e.takeID(time.Now()); id != nil {
 		return id, nil
@@ -151,7 +153,7 @@
 	if id := e.takeID(asked); id != nil {
 		return id, nil
 	}
-	return nil, errors.New("the connection ended as it gave ids")
+	return nil, errors.New("the connection closed while the ids were obtained")
 }
 
 func (e *entry) requestBlock(ctx context.Context) (*pb.IdBlock, error) {
@@ -197,7 +199,7 @@
 	return r
 }
 
-// submit sends a submission once and checks the answer.
+// submit sends a submission once and verifies the answer.
 func (e *entry) submit(ctx context.Context, s *pb.Submission) (*pb.Answer, error) {
 	e.stats.calls.Add(1)
 	res, err := e.rpc.Submit(ctx, newRequest(e, s))
--- a/client/submit.go
+++ b/client/submit.go
@@ -15,26 +15,27 @@
 )
 
 const (
-	// minBackoff and maxBackoff bound the wait after a call without an answer.
+	// minBackoff and maxBackoff bound the backoff after a call without an answer.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = time.Second
-	// jitterDivisor makes the random part of a wait at most half of it.
+	// jitterDivisor bounds the jitter: at most the wait divided by it.
 	jitterDivisor = 2
-	// maxRejectedAnswers is how many answers of others are dropped before Submit ends.
+	// maxRejectedAnswers is the number of rejected answers at which Submit ends.
 	maxRejectedAnswers = 3
-	// answerMargin is what is kept of the context's time for the way of the
-	// answer; never more than a tenth of it.
+	// answerMargin is the part of the context's remaining time that is reserved for
+	// the transmission of the answer. It is at most the remaining time divided by
+	// answerMarginDivisor.
 	answerMargin        = 100 * time.Millisecond
 	answerMarginDivisor = 10
 )
 
-// UnsettledError reports that a submission has no final word yet. Its tasks
-// may have run, be running or never run; submit it again under the same id.
+// UnsettledError reports that the outcome of a submission isn't final yet. Its
+// tasks may have run, be running or never run; submit it again under the same id.
 type UnsettledError struct {
 	ID *pb.SubmissionId
-	// Last is the last answer without a final word; nil if there was none.
+	// Last is the last answer, whose outcome isn't final; nil if there was none.
 	Last *pb.Answer
-	// Err is what ended the waiting.
+	// Err is the error that ended the call.
 	Err error
 }
 
@@ -46,16 +47,16 @@
 	return fmt.Sprintf("the outcome is unknown: %s: %s", e.Last.GetDetail(), e.Err)
 }
 
-// Unwrap returns what ended the waiting.
+// Unwrap returns the error that ended the call.
 func (e *UnsettledError) Unwrap() error { return e.Err }
 
 // submitCall is the state of one call of Submit.
 type submitCall struct {
 	client     *Client
 	submission *pb.Submission
-	// deadline is when the caller's own timeout ends; zero if it set none.
+	// deadline is the deadline by the caller's own timeout; zero if it set none.
 	deadline time.Time
-	// entries is the entries to try, with the present one first.
+	// entries are the entries to try, starting with the current one.
 	entries         []*entry
 	sends           int
 	failedCalls     int
@@ -64,15 +65,15 @@
 	lastAnswer      *pb.Answer
 }
 
-// Submit sends a submission until it has a final word or the context ends. It
-// sends the same id each time, through another entry if one fails, so no task
-// starts twice. An id is filled in if there is none; clear it before you
+// Submit sends a submission until its outcome is final or the context ends. It
+// uses the same id each time, through another entry if one fails, so that no task
+// starts twice. If the submission has no id, Submit sets one; clear it before you
 // submit the same work as a new job.
 //
-// The result is an answer with a final word, or one of outcome unknown that
-// isn't worth asking again about. The error is a *UnsettledError when the
-// context ended first, or a rejection came after a call without an answer.
-// Other errors are rejections of the first call: it started nothing.
+// The result is an answer with a final outcome, or one with outcome unknown and no
+// retry time. The error is an *UnsettledError if the context ended first, or if a
+// call was rejected after an earlier one brought no answer. Other errors are
+// rejections of the first call, which started nothing.
 func (c *Client) Submit(ctx context.Context, s *pb.Submission) (*pb.Answer, error) {
 	call := &submitCall{client: c, submission: s, deadline: callerDeadline(s)}
 	if s.GetId() == nil {
@@ -90,8 +91,9 @@
 	}
 }
 
-// wrapError keeps an error truthful: a rejection after a call that brought no
-// answer doesn't settle what became of that call.
+// wrapError returns an UnsettledError if the submission was sent before: the
+// rejection of a later call doesn't show what an earlier call without an answer has
+// started.
 func (call *submitCall) wrapError(err error) error {
 	if err != nil && call.sends > 1 {
 		return call.unsettled(err)
@@ -106,7 +108,7 @@
 	return &UnsettledError{ID: call.submission.GetId(), Last: call.lastAnswer, Err: err}
 }
 
-// send obtains an id if need be and sends once.
+// send sends the submission once and obtains an id first if it has none.
 func (call *submitCall) send(ctx context.Context) (*pb.Answer, error) {
 	if call.submission.GetId() == nil {
 		id, err := call.client.NewID(ctx)
@@ -129,7 +131,7 @@
 	return call.entries[0].submit(ctx, withTimeout(ctx, call.submission, call.deadline))
 }
 
-// afterCall decides what follows a call: the end, or a wait before the afterCall one.
+// afterCall decides whether Submit ends after a call or how long it waits before the next one.
 func (call *submitCall) afterCall(a *pb.Answer, err error) (time.Duration, bool) {
 	if err != nil {
 		return call.afterError(err)
@@ -149,8 +151,8 @@
 	if tryOtherEntry(a.GetReason()) {
 		call.rotate()
 	}
-	// Never earlier than told, and spread, so that callers that were turned
-	// away together don't come back together.
+	// Wait at least as long as the answer asks for. The jitter spreads the retries of
+	// callers that were rejected at the same time.
 	return wait + jitter(wait), false
 }
 
@@ -158,7 +160,7 @@
 	return !call.deadline.IsZero() && time.Now().Add(wait).After(call.deadline)
 }
 
-// tryOtherEntry says whether another entry may know more.
+// tryOtherEntry reports whether another entry may know the outcome.
 func tryOtherEntry(r pb.Reason) bool {
 	return r == pb.Reason_REASON_NOT_SERVING || r == pb.Reason_REASON_HOLDER_UNREACHABLE
 }
@@ -180,7 +182,7 @@
 	return backoff + jitter(backoff), false
 }
 
-// rotate puts the next entry first.
+// rotate moves the first entry to the end.
 func (call *submitCall) rotate() {
 	if len(call.entries) > 1 {
 		call.entries = append(call.entries[1:len(call.entries):len(call.entries)], call.entries[0])
@@ -205,9 +207,10 @@
 	}
 }
 
-// withTimeout gives the submission the time that is left: of the caller's own
-// timeout, counted from the first sending and never extended, and of the
-// context, so that the last answer still reaches the caller.
+// withTimeout returns a copy of the submission with the remaining time as its timeout:
+// that of the caller's own timeout, which counts from the first call and isn't
+// extended, or that of the context if it is shorter, minus a margin so that the last
+// answer still arrives in time.
 func withTimeout(ctx context.Context, s *pb.Submission, deadline time.Time) *pb.Submission {
 	left := time.Duration(0)
 	if !deadline.IsZero() {
@@ -229,7 +232,7 @@
 	}
 }
 
-// isPermanent says whether asking again can't help.
+// isPermanent reports whether a repeated call would fail in the same way.
 func isPermanent(err error) bool {
 	var untrusted *tls.CertificateVerificationError
 	if errors.As(err, &untrusted) {
@@ -243,7 +246,7 @@
 	return false
 }
 
-// SubmitOnce sends a submission that has an id once.
+// SubmitOnce sends a submission, which must have an id, once.
 func (c *Client) SubmitOnce(ctx context.Context, s *pb.Submission) (*pb.Answer, error) {
 	order := c.entryOrder(s.GetId())
 	if len(order) == 0 {
@@ -252,7 +255,7 @@
 	return order[0].submit(ctx, withTimeout(ctx, s, callerDeadline(s)))
 }
 
-// callerDeadline is when the caller's own timeout ends; zero if it set none.
+// callerDeadline is the deadline by the caller's own timeout; zero if it set none.
 func callerDeadline(s *pb.Submission) time.Time {
 	if s.GetTimeoutMs() == 0 {
 		return time.Time{}
--- a/node/docs_test.go
+++ b/node/docs_test.go
@@ -14,8 +14,8 @@
 
 const operatorsPage = "../docs/OPERATIONS.md"
 
-// An event or a metric shows up at night and the page doesn't know it. These
-// tests keep the page whole.
+// Operators look up log events and metrics on the operators' page. Each must have
+// a row there.
 func TestLogEventsAreDocumented(t *testing.T) {
 	g := gomega.NewWithT(t)
 	page, err := os.ReadFile(operatorsPage)
--- a/node/fuzz_test.go
+++ b/node/fuzz_test.go
@@ -36,7 +36,7 @@
 	}}}
 }
 
-// peerSeeds is one message of each kind.
+// peerSeeds returns one message of each kind.
 func peerSeeds(self, peer task.Incarnation) []*pb.PeerMessage {
 	id := task.ID{Institution: "hollowell", Holder: self, Number: 1}.Proto()
 	s := &pb.Submission{Id: id, Service: "labels", Tasks: []*pb.Task{{Payload: []byte("x")}}}
@@ -61,8 +61,8 @@
 	}
 }
 
-// FuzzPeerMessages lets a peer send whatever it likes. A message that brought a
-// process down would bring down all processes, one after the other.
+// FuzzPeerMessages handles arbitrary messages of a peer. A message that crashes one
+// process would crash all that it is sent to.
 func FuzzPeerMessages(f *testing.F) {
 	self, peer := task.Incarnation{Node: "a", Run: 1}, task.Incarnation{Node: "b", Run: 2}
 	var all []byte
@@ -95,7 +95,7 @@
 	})
 }
 
-// FuzzHello reads what a connection begins with.
+// FuzzHello decodes the first message on a connection.
 func FuzzHello(f *testing.F) {
 	f.Add(delimited(&pb.Hello{Incarnation: &pb.Incarnation{Node: "a", Run: 7}, FailureDomain: "d"}))
 	f.Add([]byte{})
@@ -107,8 +107,8 @@
 	})
 }
 
-// FuzzClaimRow reads what stands in a claim's row. A row that can't be read
-// must not pass for a claim of this process.
+// FuzzClaimRow decodes claim rows. A malformed row must not be taken for a claim of
+// this process.
 func FuzzClaimRow(f *testing.F) {
 	id := task.ID{Institution: "hollowell", OwnKey: "lot-1"}
 	row, _ := proto.Marshal(&pb.ClaimRow{Holder: &pb.Incarnation{Node: "a", Run: 7}, Digest: bytes.Repeat([]byte{1}, 32)})
@@ -122,7 +122,7 @@
 	})
 }
 
-// FuzzSettingsRow reads what stands in the settings row.
+// FuzzSettingsRow decodes settings rows. Invalid settings must not come into force.
 func FuzzSettingsRow(f *testing.F) {
 	value, _ := proto.Marshal(testSettings())
 	f.Add(value, uint64(1))
@@ -139,8 +139,8 @@
 	})
 }
 
-// FuzzUpstreamAnswer reads the answer of an upstream. Only its own clear word
-// may count as proof that a task didn't start.
+// FuzzUpstreamAnswer decodes answers of upstreams. Only the verdict not-started may
+// count as proof that a task didn't start.
 func FuzzUpstreamAnswer(f *testing.F) {
 	for _, v := range []string{upstream.VerdictFinished, upstream.VerdictFailed, upstream.VerdictNotStarted, upstream.VerdictRunning, "", "done"} {
 		f.Add(200, v, "run", []byte("output"))
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -33,7 +33,7 @@
 	operatorToken = "node-test-operator"
 )
 
-// settings declares two institutions with the same names of services.
+// settings declares two institutions with the same service names.
 func settings() *pb.Settings {
 	s := standin.Settings()
 	kandy := proto.Clone(s.GetInstitutions()[0]).(*pb.Institution)
@@ -46,7 +46,7 @@
 	return s
 }
 
-// startNode runs a node over a platform stand-in until the test ends.
+// startNode runs a node with a stand-in platform until the test ends.
 func startNode(t *testing.T, configure func(*node.Config)) (*gomega.WithT, context.Context, *node.Node, keys.Pair) {
 	t.Helper()
 	g := gomega.NewWithT(t)
@@ -96,9 +96,8 @@
 	return &pb.Submission{Service: "labels", Team: "kitchens", TimeoutMs: 100, Tasks: []*pb.Task{{Payload: []byte(payload)}}}
 }
 
-// Somebody listens between a kitchen and the entry VM and picks up the token
-// of a plain connection. With the listener's certificate set, callers speak
-// TLS and plain connections are turned away.
+// On a plain connection, anyone on the network between a kitchen and the entry VM
+// can read the token. With a certificate configured, the listener accepts TLS only.
 func TestCallerListenerRequiresTLSWhenConfigured(t *testing.T) {
 	g, ctx, n, ca := startNode(t, func(*node.Config) {})
 	c := client.New(client.Config{URL: "https://" + n.CallerAddress(), Token: standin.Token, TLS: trustCA(ca)})
@@ -116,8 +115,8 @@
 	g.Expect(err).To(gomega.MatchError(gomega.ContainSubstring("certificate")))
 }
 
-// A caller makes its keys from free text. A line break in one would forge a
-// log line, and a very long one would fill the table service with its row.
+// Callers choose own keys freely. A line break in a key would forge a log line, and
+// a very long key would make its row in the table service too large.
 func TestInvalidOwnKeysAreRejected(t *testing.T) {
 	g, ctx, n, _ := startNode(t, withoutTLS)
 	c := client.New(client.Config{URL: "http://" + n.CallerAddress(), Token: standin.Token})
@@ -134,9 +133,9 @@
 	g.Expect(err).To(gomega.MatchError(gomega.ContainSubstring("an issued id or an own key is needed")))
 }
 
-// A caterer's tills hold certificates instead of a token. A certificate of the
-// callers' authority with a declared name is enough; one of the peer link's
-// authority, which every entry VM holds, must open nothing here.
+// An institution's callers authenticate by client certificate instead of a token.
+// Certificates of the callers' authority with a declared name must be accepted; those
+// of the peer link's authority, which every entry VM has, must be rejected.
 func TestCallersMayAuthenticateByCertificate(t *testing.T) {
 	callers, err := keys.NewCA("callers")
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
@@ -151,7 +150,7 @@
 		cert, err := tls.X509KeyPair(pair.Cert, pair.Key)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		cfg := trustCA(callers)
-		// Shown even if the server names other authorities.
+		// Sent even if the server names other authorities.
 		cfg.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &cert, nil }
 		c := client.New(client.Config{URL: "https://" + n.CallerAddress(), TLS: cfg})
 		defer c.Close()
@@ -166,7 +165,7 @@
 
 func withoutTLS(cfg *node.Config) { cfg.CallerTLS = nil }
 
-// dump is the text of a node's dump.
+// dump returns a node's dump as text.
 func dump(g *gomega.WithT, n *node.Node) string {
 	req, err := http.NewRequest(http.MethodGet, "http://"+n.OperatorAddress()+"/dump", nil)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -179,8 +178,8 @@
 	return string(raw)
 }
 
-// A buyer of the auction learns or guesses the id of a kitchen's job. Under
-// another institution's token it must name nothing: no answer, no cancellation.
+// A caller of one institution knows or guesses the id of another institution's job.
+// Under its own token the id must not refer to that job: no answer, no cancellation.
 func TestInstitutionSeesOnlyItsOwnJobs(t *testing.T) {
 	g, ctx, n, _ := startNode(t, withoutTLS)
 	url := "http://" + n.CallerAddress()
@@ -217,9 +216,8 @@
 	g.Expect(connect.CodeOf(err)).To(gomega.Equal(connect.CodeUnauthenticated))
 }
 
-// Operators' calls are served on their own listener, to their own token: a
-// caller who could drain a process or replace the settings would stop both
-// institutions.
+// Operators' calls have a listener and a token of their own: a caller that could
+// drain a process or replace the settings would stop the jobs of all institutions.
 func TestOperatorCallsNeedTheirOwnListenerAndToken(t *testing.T) {
 	g, _, n, _ := startNode(t, withoutTLS)
 	status := func(address, path, token string) int {
@@ -240,8 +238,8 @@
 	g.Expect(status(n.CallerAddress(), "/metrics", "")).To(gomega.Equal(http.StatusNotFound))
 }
 
-// One caller sends a request far beyond what the process is set to take. It
-// gets a final error, and the process doesn't hold the request in memory.
+// A caller sends a request far above the configured limit. It gets a permanent error,
+// and the process doesn't read the request into memory.
 func TestRequestOverTheLimitIsRejected(t *testing.T) {
 	g, ctx, n, _ := startNode(t, func(cfg *node.Config) {
 		withoutTLS(cfg)
@@ -253,9 +251,9 @@
 	g.Expect(connect.CodeOf(err)).To(gomega.Equal(connect.CodeResourceExhausted))
 }
 
-// A caller leaks connections. Past the limit the next one isn't served until
-// another is closed; without the limit the process would run out of file
-// descriptors and lose its peers and upstreams too.
+// A caller leaks connections. Above the limit a new connection isn't served until
+// another one closes; without the limit the process would run out of file
+// descriptors and could no longer connect to peers and upstreams.
 func TestOpenConnectionsAreBounded(t *testing.T) {
 	g, _, n, _ := startNode(t, func(cfg *node.Config) {
 		withoutTLS(cfg)
--- a/node/outage_test.go
+++ b/node/outage_test.go
@@ -8,9 +8,9 @@
 	"github.com/pkg/errors"
 )
 
-// The platform is down for an hour. A line for each poll of each process would
-// bury what else the log has to say, and processes that ask in step would meet
-// the platform all at once when it comes back.
+// The platform is unavailable for an hour. A log line for each poll of each process
+// would hide other events, and processes that poll at the same time would overload
+// the platform when it is available again.
 func TestOutageIsLoggedOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var o outage
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -16,7 +16,7 @@
 
 const testTimeout = 20 * time.Second
 
-// recorder notes what a mesh tells.
+// recorder records the calls of a mesh to its handler.
 type recorder struct {
 	mu          sync.Mutex
 	up          map[string]int
@@ -94,7 +94,7 @@
 	}
 }
 
-// setMembers tells a process of others, and has it connect as its node would.
+// setMembers sets the members of a process and the links that its node would set.
 func (p *process) setMembers(list []Member, seatDoublings int) {
 	var members []topology.Member
 	for _, m := range list {
@@ -109,8 +109,8 @@
 	return &pb.FleetMessage{Body: &pb.FleetMessage_DropJob{DropJob: &pb.DropJob{Job: job}}}
 }
 
-// keepAlive sends heartbeats, as the node does; without them a connection
-// counts as silent.
+// keepAlive sends heartbeats, as the node does; without them a connection reaches its
+// idle timeout.
 func keepAlive(t *testing.T, ps ...*process) {
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
@@ -144,8 +144,8 @@
 	g.Expect(a.mesh.Send("c", dropJob("k"))).To(BeFalse())
 }
 
-// A process that isn't registered in the platform's store dials. Anybody on the
-// network could; it must not be heard.
+// A process that isn't registered in the platform's store dials. Any host on the
+// network could do so; it must be rejected.
 func TestUnregisteredPeerIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	a, stranger := newProcess(t, 1, 400), newProcess(t, 2, 400)
@@ -154,8 +154,8 @@
 	g.Consistently(func() int { return a.recorder.ups("b") }, time.Second, 50*time.Millisecond).Should(BeZero())
 }
 
-// A connection falls silent or is dropped while both processes live. They
-// connect again.
+// A connection is closed, or times out, while both processes run. They must connect
+// again.
 func TestReconnects(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newProcess(t, 1, 400), newProcess(t, 2, 400)
@@ -166,7 +166,7 @@
 	g.Eventually(func() int { return a.recorder.ups("b") }, testTimeout, 10*time.Millisecond).Should(Equal(2))
 }
 
-// A process ends as planned. The others know at once that it isn't just silent.
+// A process stops as planned. Its peers must distinguish that from a lost connection.
 func TestPlannedStopIsReported(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newProcess(t, 1, 400), newProcess(t, 2, 400)
@@ -181,8 +181,8 @@
 	}, testTimeout, 10*time.Millisecond).Should(BeTrue())
 }
 
-// Small VMs hear the large ones and not each other, until no scheduler is in
-// reach.
+// Small VMs connect to large ones and not to each other while a scheduler is
+// reachable.
 func TestSmallVMsConnectWhenNoSchedulerIsReachable(t *testing.T) {
 	g := NewWithT(t)
 	large, small, other := newProcess(t, 1, 800), newProcess(t, 2, 192), newProcess(t, 3, 192)
@@ -196,9 +196,9 @@
 	g.Eventually(func() int { return small.recorder.ups("c") }, testTimeout, 10*time.Millisecond).Should(BeNumerically(">", 0))
 }
 
-// A small VM that reached no scheduler has looked for the other small ones. Once
-// it reaches one again it closes those connections: each costs heartbeats, and
-// with some thirty small VMs they took more processor time than all jobs.
+// A small VM that reached no scheduler has connected to the other small VMs. When it
+// reaches a scheduler again, it must close those connections: each costs heartbeats,
+// and with about thirty small VMs they used more CPU time than all jobs.
 func TestUnneededConnectionsAreClosed(t *testing.T) {
 	g := NewWithT(t)
 	large, small, other := newProcess(t, 1, 800), newProcess(t, 2, 192), newProcess(t, 3, 192)
@@ -217,8 +217,8 @@
 	g.Expect(other.mesh.Connected()).To(ConsistOf("a"))
 }
 
-// No settings tell the VMs' processor. Each process has come to lead by itself, so
-// that none thinks it is alone; they must find each other all the same.
+// The settings don't declare the VMs' CPU capacity. Each process leads on its own, so
+// none of them doubles the number of seats. They must connect all the same.
 func TestUnknownProcessorsConnect(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newProcess(t, 1, 0), newProcess(t, 2, 0)
