--- a/keys/keys.go
+++ b/keys/keys.go
@@ -1,4 +1,4 @@
-// Package keys makes the certificate authority and the process certificates
+// Package keys creates the certificate authority and the process certificates
 // of the peer link, and the TLS configurations that use them.
 package keys
 
@@ -24,18 +24,18 @@
 	CAValidity = 10 * 365 * 24 * time.Hour
 	// CertificateValidity is how long a new process certificate is valid.
 	CertificateValidity = 365 * 24 * time.Hour
-	// backdate allows for clocks that differ.
+	// backdate allows for clock skew.
 	backdate   = time.Hour
 	serialBits = 127
 )
 
-// Pair is a certificate with its private key, each in PEM.
+// Pair is a certificate with its private key, both in PEM.
 type Pair struct {
 	Cert []byte
 	Key  []byte
 }
 
-// NewCA makes a certificate authority.
+// NewCA creates a certificate authority.
 func NewCA(name string) (Pair, error) {
 	t, err := template(name, CAValidity)
 	if err != nil {
@@ -51,9 +51,9 @@
 	return encode(t, t, key, key)
 }
 
-// NewProcessCertificate makes the certificate of an entry process, named after its node.
-// With the addresses that callers and operators use, it serves their listeners
-// too.
+// NewProcessCertificate creates the certificate of an entry process, named after its
+// node. With the addresses that callers and operators use, it is valid for their
+// listeners too.
 func NewProcessCertificate(ca Pair, node string, addresses ...net.IP) (Pair, error) {
 	return issue(ca, node, func(t *x509.Certificate) {
 		t.DNSNames = []string{node}
@@ -62,7 +62,7 @@
 	})
 }
 
-// issue makes a certificate that the authority signs.
+// issue creates a certificate signed by the authority.
 func issue(ca Pair, name string, fill func(*x509.Certificate)) (Pair, error) {
 	parent, err := tls.X509KeyPair(ca.Cert, ca.Key)
 	if err != nil {
@@ -114,8 +114,8 @@
 	}, nil
 }
 
-// PeerTLS is the configuration of both ends of the peer link: each shows its
-// certificate and accepts only those that the authority signed.
+// PeerTLS is the configuration of both ends of the peer link: each presents its
+// certificate and accepts only those signed by the authority.
 func PeerTLS(caCert []byte, process Pair) (*tls.Config, error) {
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(caCert) {
@@ -135,17 +135,17 @@
 	}, nil
 }
 
-// NewCallerCertificate makes the certificate by which the callers of an institution
-// authenticate. It opens no peer link, nor must its authority.
+// NewCallerCertificate creates the client certificate by which the callers of an
+// institution authenticate. It must not be accepted on the peer link, so its authority
+// must not be that of the peer link.
 func NewCallerCertificate(ca Pair, name string) (Pair, error) {
 	return issue(ca, name, func(t *x509.Certificate) {
 		t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
 	})
 }
 
-// ServerTLS is the configuration of a listener for callers or operators. With
-// the certificate of an authority, clients may show a certificate of it; one
-// that doesn't verify is turned away.
+// ServerTLS is the configuration of a listener for callers or operators. With clientCA,
+// clients may present a certificate signed by it; an invalid one is rejected.
 func ServerTLS(server Pair, clientCA []byte) (*tls.Config, error) {
 	cert, err := tls.X509KeyPair(server.Cert, server.Key)
 	if err != nil {
--- a/node/callers.go
+++ b/node/callers.go
@@ -19,11 +19,11 @@
 	"sapphirepoint.example/sapphirepoint/gen/sapphirepointv1/sapphirepointv1connect"
 )
 
-// bearer is the scheme of the Authorization header.
-const bearer = "Bearer "
+// bearerPrefix precedes the token in the Authorization header.
+const bearerPrefix = "Bearer "
 
-// callers serves CallerService and matches replies to requests.
-type callers struct {
+// callerService serves CallerService and passes answers to the requests that wait for them.
+type callerService struct {
 	node *Node
 
 	mu          sync.Mutex
@@ -31,8 +31,8 @@
 	pending     map[uint64]chan *pb.Answer
 }
 
-func newCallers(n *Node) *callers {
-	return &callers{node: n, pending: make(map[uint64]chan *pb.Answer)}
+func newCallerService(n *Node) *callerService {
+	return &callerService{node: n, pending: make(map[uint64]chan *pb.Answer)}
 }
 
 func (n *Node) callerHandler() http.Handler {
@@ -53,16 +53,16 @@
 	})
 }
 
-// institution authenticates a request, by token or else by certificate.
-func (cs *callers) institution(ctx context.Context, h http.Header) (string, error) {
-	token, hasToken := strings.CutPrefix(h.Get("Authorization"), bearer)
+// institution authenticates a request, by token or by client certificate.
+func (cs *callerService) institution(ctx context.Context, h http.Header) (string, error) {
+	token, hasToken := strings.CutPrefix(h.Get("Authorization"), bearerPrefix)
 	certificate, hasCertificate := certificateName(ctx)
 	if !hasToken && !hasCertificate {
 		return "", connect.NewError(connect.CodeUnauthenticated, errors.New("a bearer token or a client certificate is needed"))
 	}
 	current := cs.node.currentSettings.Load()
 	if current.Version() == 0 {
-		// Called unknown, the token of a good caller would be given up on.
+		// Rejected as unauthenticated, a caller with a valid token would not retry.
 		return "", connect.NewError(connect.CodeUnavailable, errors.New("the process has no settings yet"))
 	}
 	if !hasToken {
@@ -80,8 +80,8 @@
 	return name, nil
 }
 
-// IssueIds hands out a block of ids.
-func (cs *callers) IssueIds(ctx context.Context, req *connect.Request[pb.IssueIdsRequest]) (*connect.Response[pb.IssueIdsResponse], error) {
+// IssueIds issues a block of ids.
+func (cs *callerService) IssueIds(ctx context.Context, req *connect.Request[pb.IssueIdsRequest]) (*connect.Response[pb.IssueIdsResponse], error) {
 	if _, err := cs.institution(ctx, req.Header()); err != nil {
 		return nil, err
 	}
@@ -91,15 +91,15 @@
 	}
 	cs.node.metrics.idBlocks.Inc()
 	var block *pb.IdBlock
-	cs.node.call(func(c *dispatch.Core) { block = c.IssueIDs(cs.node.now(), count) })
+	cs.node.call(func(c *dispatch.Core) { block = c.IssueIDs(cs.node.elapsed(), count) })
 	if block == nil {
 		return nil, connect.NewError(connect.CodeUnavailable, errors.New("the process is stopping or has no settings yet"))
 	}
 	return connect.NewResponse(&pb.IssueIdsResponse{Block: block}), nil
 }
 
-// checkID rejects ids that name nothing, and own keys that can't stand in the
-// keys of rows, task names and log lines.
+// checkID rejects empty ids, and own keys that can't be part of row keys, task names and
+// log lines.
 func checkID(institution string, id *pb.SubmissionId) error {
 	if !task.IDOf(institution, id).Valid() {
 		return connect.NewError(connect.CodeInvalidArgument, errors.New("id: an issued id or an own key is needed"))
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// authenticate authenticates a request that names a submission.
-func (cs *callers) authenticate(ctx context.Context, h http.Header, id *pb.SubmissionId) (string, error) {
+// authenticate authenticates a request about a submission and checks the id.
+func (cs *callerService) authenticate(ctx context.Context, h http.Header, id *pb.SubmissionId) (string, error) {
 	name, err := cs.institution(ctx, h)
 	if err != nil {
 		return "", err
@@ -121,8 +121,8 @@
 	return name, checkID(name, id)
 }
 
-// Submit runs a job.
-func (cs *callers) Submit(ctx context.Context, req *connect.Request[pb.Submission]) (*connect.Response[pb.Answer], error) {
+// Submit runs a job and returns its answer.
+func (cs *callerService) Submit(ctx context.Context, req *connect.Request[pb.Submission]) (*connect.Response[pb.Answer], error) {
 	name, err := cs.authenticate(ctx, req.Header(), req.Msg.GetId())
 	if err != nil {
 		return nil, err
@@ -136,8 +136,8 @@
 	return connect.NewResponse(a), nil
 }
 
-// Cancel ends a submission.
-func (cs *callers) Cancel(ctx context.Context, req *connect.Request[pb.CancelRequest]) (*connect.Response[pb.CancelResponse], error) {
+// Cancel cancels a submission and returns its answer.
+func (cs *callerService) Cancel(ctx context.Context, req *connect.Request[pb.CancelRequest]) (*connect.Response[pb.CancelResponse], error) {
 	name, err := cs.authenticate(ctx, req.Header(), req.Msg.GetId())
 	if err != nil {
 		return nil, err
@@ -151,8 +151,8 @@
 	return connect.NewResponse(&pb.CancelResponse{Answer: a}), nil
 }
 
-// await posts a request and waits for its answer.
-func (cs *callers) await(ctx context.Context, event func(uint64) dispatch.Event) (*pb.Answer, error) {
+// await posts a request to the core and waits for the answer.
+func (cs *callerService) await(ctx context.Context, event func(uint64) dispatch.Event) (*pb.Answer, error) {
 	began := time.Now()
 	request, replies := cs.register()
 	cs.node.post(event(request))
@@ -169,7 +169,7 @@
 	}
 }
 
-// asError turns answers about the request itself into errors of the call.
+// asError returns an error of the call for an answer that rejects the request itself.
 func asError(a *pb.Answer) error {
 	switch a.GetReason() {
 	case pb.Reason_REASON_INVALID:
@@ -180,7 +180,7 @@
 	return nil
 }
 
-func (cs *callers) register() (uint64, chan *pb.Answer) {
+func (cs *callerService) register() (uint64, chan *pb.Answer) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.lastRequest++
@@ -189,14 +189,14 @@
 	return cs.lastRequest, replies
 }
 
-func (cs *callers) unregister(request uint64) {
+func (cs *callerService) unregister(request uint64) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	delete(cs.pending, request)
 }
 
 // reply passes an answer to the request that waits for it.
-func (cs *callers) reply(r dispatch.Reply) {
+func (cs *callerService) reply(r dispatch.Reply) {
 	cs.mu.Lock()
 	replies := cs.pending[r.Request]
 	delete(cs.pending, r.Request)
--- a/node/certificate.go
+++ b/node/certificate.go
@@ -8,8 +8,8 @@
 // certificateKey is the context key of the name in a client certificate.
 type certificateKey struct{}
 
-// withCertificateName passes on the common name of a client certificate that was
-// verified.
+// withCertificateName adds the common name of a verified client certificate to the
+// request's context.
 func withCertificateName(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.TLS != nil && len(r.TLS.VerifiedChains) > 0 {
--- a/node/config.go
+++ b/node/config.go
@@ -7,11 +7,11 @@
 	"github.com/rs/zerolog"
 )
 
-// Limits of what a process accepts from outside.
+// Limits of requests and connections.
 const (
-	// DefaultMaxRequestBytes is the largest request of a caller, in bytes.
+	// DefaultMaxRequestBytes is the default limit of the size of a request.
 	DefaultMaxRequestBytes = 32 << 20
-	// maxPeerMessageBytes leaves room for a forwarded request's envelope.
+	// maxPeerMessageBytes leaves room for the envelope of a forwarded request.
 	maxPeerMessageBytes = DefaultMaxRequestBytes + 1<<16
 	maxIDsPerBlock      = 4096
 	maxOwnKeyBytes      = 256
@@ -21,12 +21,12 @@
 	DefaultMaxOperatorConnections = 64
 )
 
-// Config is what a node needs to start. Files are read by the daemon; the
-// node gets their content.
+// Config is the configuration of a node. It holds the content of files, not
+// their paths.
 type Config struct {
 	Name          string
 	FailureDomain string
-	// Addresses to listen on, as IP and port.
+	// The addresses to listen on, as IP and port.
 	CallerAddress   string
 	OperatorAddress string
 	PeerAddress     string
@@ -38,21 +38,21 @@
 	// CallerTLS and OperatorTLS may be nil for plain connections.
 	CallerTLS   *tls.Config
 	OperatorTLS *tls.Config
-	// MaxRequestBytes is the largest request of a caller or operator; 0 means
-	// DefaultMaxRequestBytes, which is also the most.
+	// MaxRequestBytes is the limit of the size of a request of a caller or operator.
+	// 0 means DefaultMaxRequestBytes, which must not be exceeded.
 	MaxRequestBytes int
 	// MaxCallerConnections and MaxOperatorConnections bound the open connections of
 	// each listener; 0 means the default.
 	MaxCallerConnections   int
 	MaxOperatorConnections int
-	// PollInterval is how often settings and members are read.
+	// PollInterval is the interval at which settings and members are read.
 	PollInterval time.Duration
 	Log          zerolog.Logger
 }
 
 const defaultPollInterval = time.Second
 
-// withDefaults fills in what is left out.
+// withDefaults sets the fields that are zero to their defaults.
 func (c Config) withDefaults() Config {
 	if c.PollInterval == 0 {
 		c.PollInterval = defaultPollInterval
--- a/node/links.go
+++ b/node/links.go
@@ -13,17 +13,17 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// link is one connection with one incarnation of a peer.
+// link is a connection with one incarnation of a peer.
 type link struct {
 	conn        *quic.Conn
 	stream      *quic.Stream
 	out         chan *pb.PeerMessage
 	connectedAt time.Time
-	// preferred is set if the node whose name sorts first has dialed.
+	// preferred is set if the dialing node is the one whose name sorts first.
 	preferred bool
 }
 
-// handshake exchanges Hello and starts the link.
+// handshake exchanges Hello messages and starts the link.
 func (m *mesh) handshake(conn *quic.Conn, stream *quic.Stream, dialed bool) {
 	hello := &pb.Hello{Incarnation: m.node.self.Proto(), FailureDomain: m.node.cfg.FailureDomain}
 	if _, err := protodelim.MarshalTo(stream, hello); err != nil {
@@ -60,14 +60,14 @@
 	go m.read(peer, l, reader)
 }
 
-// addLink registers a link and reports whether it is to be used. An earlier one
-// with the same incarnation is closed; the core is told that it is down, since
-// what was sent on it may be lost and a forward would wait for its answer until
-// its deadline.
+// addLink registers a link and reports whether it is used. An earlier link with the
+// same incarnation is closed and reported to the core as down: messages sent on it may
+// be lost, and a forwarded request would otherwise wait for its answer until its
+// deadline.
 //
-// Two nodes that dial each other at the same moment would each close the
-// other's connection, and again at the next try. So a young connection from
-// the node that usually dials stays.
+// Two nodes that dial each other at the same time would each close the other's
+// connection, and do so again at the next attempt. A recent connection from the
+// preferred dialer is therefore not replaced by one from the other node.
 func (m *mesh) addLink(peer task.Incarnation, l *link, failureDomain string) bool {
 	m.orderMu.Lock()
 	defer m.orderMu.Unlock()
--- a/node/listeners.go
+++ b/node/listeners.go
@@ -8,10 +8,10 @@
 	"golang.org/x/net/netutil"
 )
 
-// listenTCP binds a listener that keeps at most the given number of open
-// connections. Further connections wait in the system's backlog: without the
-// limit, a client that leaks connections would use up the process's file
-// descriptors, and peers and upstreams couldn't be reached any more.
+// listenTCP opens a listener with a limit of open connections. Further connections
+// wait in the system's backlog. Without the limit, a client that leaks connections
+// would use up the process's file descriptors, and connections with peers and
+// upstreams would fail.
 func listenTCP(address string, connections int, tlsConfig *tls.Config) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
--- a/node/mesh.go
+++ b/node/mesh.go
@@ -17,43 +17,44 @@
 )
 
 const (
-	// peerKeepAlive and peerIdleTimeout bound how long a silent peer
-	// connection goes unnoticed.
+	// peerKeepAlive and peerIdleTimeout bound how long a dead connection with a peer
+	// goes undetected.
 	peerKeepAlive    = time.Second
 	peerIdleTimeout  = 2 * time.Second
 	handshakeTimeout = 2 * time.Second
 	redialInterval   = 300 * time.Millisecond
-	// reverseDialDelay is how long the node that is usually dialed waits
-	// before it dials itself.
+	// reverseDialDelay is how long a node waits for the preferred dialer before it
+	// dials itself.
 	reverseDialDelay = time.Second
-	// peerQueueLength bounds the messages that wait to be written to one peer.
+	// peerQueueLength bounds the messages queued for one peer.
 	peerQueueLength = 4096
-	// Codes with which connections are closed.
+	// Application error codes of closed connections.
 	closeNormal   quic.ApplicationErrorCode = 0
 	closeReplaced quic.ApplicationErrorCode = 1
 	closeProtocol quic.ApplicationErrorCode = 2
 )
 
-// mesh keeps one connection with each listed entry process. Of a pair, the
-// one whose name sorts first dials. The other one dials after a while without
-// a connection: a process that starts while the platform is down has no list,
-// so it can't dial, and would never be found by those whose names sort after
-// its own.
+// mesh maintains one connection with each listed entry process. Of two nodes, the one
+// whose name sorts first is the preferred dialer. The other one dials after
+// reverseDialDelay without a connection: a process that starts while the platform is
+// down has no list of members and can't dial, and nodes that wait for it to dial would
+// never connect with it.
 type mesh struct {
 	node      *Node
 	transport *quic.Transport
 	listener  *quic.Listener
 	quicCfg   *quic.Config
 
-	// orderMu is held while a link is added or removed and its events are
-	// posted, so that the core sees them in the orderMu in which they happened.
-	// The loop never takes it.
+	// orderMu is held while a link is added or removed and its events are posted, so
+	// that the core receives the events in the order in which they happened. The
+	// core's loop never locks it.
 	orderMu sync.Mutex
 
 	mu      sync.Mutex
 	members map[string]task.Node
 	links   map[task.Incarnation]*link
-	// disconnectedAt is when the connection with a listed node was last lost.
+	// disconnectedAt is when the connection with a listed node was last lost, or when
+	// the node was first listed.
 	disconnectedAt map[string]time.Time
 }
 
@@ -82,9 +83,9 @@
 	return m, errors.Wrap(err, "listen for peers")
 }
 
-// resetKey is the same for each run of a process with the same certificate, so
-// that a process started again resets the connections of its predecessor at
-// once and its peers needn't wait out the idle timeout.
+// resetKey is derived from the private key, so that it is the same after a restart: the
+// new process can reset the connections of its predecessor at once, and its peers don't
+// have to wait for the idle timeout.
 func resetKey(cfg *tls.Config) *quic.StatelessResetKey {
 	key := quic.StatelessResetKey{}
 	if raw, err := x509.MarshalPKCS8PrivateKey(cfg.Certificates[0].PrivateKey); err == nil {
@@ -157,7 +158,7 @@
 	_ = m.transport.Conn.Close()
 }
 
-// missingPeers lists the nodes that this one should dial and isn't connected with.
+// missingPeers lists the nodes that this node should dial and is not connected with.
 func (m *mesh) missingPeers() []task.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -211,8 +212,8 @@
 			return
 		}
 		go func() {
-			// Each connection is greeted on its own: a peer that says nothing
-			// holds up nobody else.
+			// Each handshake has its own goroutine, so that a peer that sends nothing
+			// doesn't delay others.
 			streamCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 			defer cancel()
 			stream, err := conn.AcceptStream(streamCtx)
@@ -225,8 +226,8 @@
 	}
 }
 
-// send queues a message. A peer that doesn't keep up loses its connection, so
-// that what waits for it is answered; the loop never waits for a peer.
+// send queues a message. If a peer's queue is full, its connection is closed, so that
+// requests waiting for the peer are answered and the core's loop never blocks.
 func (m *mesh) send(cmd dispatch.Send) {
 	m.mu.Lock()
 	l := m.links[cmd.Peer]
@@ -241,7 +242,7 @@
 	}
 }
 
-// connected is the number of connected peers.
+// connected returns the number of connected peers.
 func (m *mesh) connected() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -15,7 +15,7 @@
 
 const (
 	namespace = "sapphirepoint"
-	// messagesPerExchange is the messages of a request with its answer.
+	// messagesPerExchange counts a request and its answer.
 	messagesPerExchange = 2
 )
 
@@ -61,7 +61,7 @@
 	m.response.WithLabelValues(outcome).Observe(took.Seconds())
 }
 
-// labelValue turns the name of an enum's value into a label's value.
+// labelValue converts an enum value's name to a label value.
 func labelValue(name, prefix string) string {
 	return strings.ToLower(strings.TrimPrefix(name, prefix))
 }
@@ -72,8 +72,8 @@
 	}
 }
 
-// countCalls counts each call that a transport carries by the last part of its
-// path, which is the name of the call.
+// countCalls counts the calls made through a transport, by the last element of the
+// path, which is the call's name.
 func (m *metrics) countCalls(next http.RoundTripper) http.RoundTripper {
 	return countingTransport{next, m.platform}
 }
@@ -97,30 +97,30 @@
 }
 
 var (
-	startsDesc  = newDesc("task_starts_total", "Tasks sent to upstreams to be started.")
-	wastedDesc  = newDesc("wasted_messages_total", "Messages beyond one request and one answer for each task and job.", "cause")
-	peerDesc    = newDesc("peer_messages_total", "Messages sent to peers.", "kind")
-	eventsDesc  = newDesc("events_total", "Events counted by the dispatch core.", "kind")
-	queuedDesc  = newDesc("queued_tasks", "Tasks that wait for a slot.", "institution")
-	jobsDesc    = newDesc("jobs", "Jobs in progress under this process's claims.")
-	runningDesc = newDesc("running_tasks", "Task starts that aren't settled.")
-	slotsDesc   = newDesc("slots", "Upstream slots of this process by use; borrowed ones aren't its own.", "use")
-	refusedDesc = newDesc("refused_jobs_total", "Jobs not taken on, by reason.", "reason")
-	healthDesc  = newDesc("upstreams_not_in_full_use", "Upstreams that get less work or none because of their health.")
-	claimsDesc  = newDesc("waiting_claims", "Claims that wait for the table service.")
-	forwardDesc = newDesc("waiting_forwards", "Requests passed on to their holder and not answered.")
-	keptDesc    = newDesc("kept_answers", "Final answers kept for resubmissions.")
-	bytesDesc   = newDesc("kept_answer_bytes", "Size of the answers kept for resubmissions.")
-	blocksDesc  = newDesc("id_blocks", "Blocks of issued ids that are still valid.")
-	peersDesc   = newDesc("peers", "Connected peers.")
-	versionDesc = newDesc("settings_version", "Version of the settings in force.")
-	readyDesc   = newDesc("ready", "1 if the process takes new work.")
+	startsDesc           = newDesc("task_starts_total", "Tasks sent to upstreams to be started.")
+	wastedDesc           = newDesc("wasted_messages_total", "Messages beyond one request and one answer for each task and job.", "cause")
+	peerDesc             = newDesc("peer_messages_total", "Messages sent to peers.", "kind")
+	eventsDesc           = newDesc("events_total", "Events counted by the dispatch core.", "kind")
+	queuedDesc           = newDesc("queued_tasks", "Tasks that wait for a slot.", "institution")
+	jobsDesc             = newDesc("jobs", "Jobs in progress under this process's claims.")
+	runningDesc          = newDesc("running_tasks", "Task starts that aren't settled.")
+	slotsDesc            = newDesc("slots", "Upstream slots of this process by use; borrowed ones aren't its own.", "use")
+	refusedDesc          = newDesc("refused_jobs_total", "Jobs not taken on, by reason.", "reason")
+	limitedUpstreamsDesc = newDesc("upstreams_not_in_full_use", "Upstreams that get less work or none because of their health.")
+	claimsDesc           = newDesc("waiting_claims", "Claims that wait for the table service.")
+	forwardsDesc         = newDesc("waiting_forwards", "Requests passed on to their holder and not answered.")
+	retainedAnswersDesc  = newDesc("kept_answers", "Final answers kept for resubmissions.")
+	retainedBytesDesc    = newDesc("kept_answer_bytes", "Size of the answers kept for resubmissions.")
+	blocksDesc           = newDesc("id_blocks", "Blocks of issued ids that are still valid.")
+	peersDesc            = newDesc("peers", "Connected peers.")
+	versionDesc          = newDesc("settings_version", "Version of the settings in force.")
+	readyDesc            = newDesc("ready", "1 if the process takes new work.")
 )
 
 // Describe implements prometheus.Collector.
 func (cc *coreCollector) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{startsDesc, wastedDesc, peerDesc, eventsDesc, queuedDesc, jobsDesc, runningDesc, slotsDesc, refusedDesc, healthDesc,
-		claimsDesc, forwardDesc, keptDesc, bytesDesc, blocksDesc, peersDesc, versionDesc, readyDesc} {
+	for _, d := range []*prometheus.Desc{startsDesc, wastedDesc, peerDesc, eventsDesc, queuedDesc, jobsDesc, runningDesc, slotsDesc, refusedDesc, limitedUpstreamsDesc,
+		claimsDesc, forwardsDesc, retainedAnswersDesc, retainedBytesDesc, blocksDesc, peersDesc, versionDesc, readyDesc} {
 		ch <- d
 	}
 }
@@ -139,7 +139,7 @@
 	}
 	summary := c.Summary
 	count(startsDesc, summary.Stats.Starts)
-	for cause, n := range cc.node.metrics.wasted(c) {
+	for cause, n := range cc.node.metrics.wastedMessages(c) {
 		count(wastedDesc, n, cause)
 	}
 	for kind, n := range c.PeerMessages {
@@ -161,11 +161,11 @@
 	for reason, n := range c.Refusals {
 		count(refusedDesc, n, labelValue(reason, "REASON_"))
 	}
-	gauge(healthDesc, c.UpstreamsLimited)
+	gauge(limitedUpstreamsDesc, c.UpstreamsLimited)
 	gauge(claimsDesc, summary.ClaimsWaiting)
-	gauge(forwardDesc, summary.Forwards)
-	gauge(keptDesc, summary.RetainedAnswers)
-	gauge(bytesDesc, summary.RetainedBytes)
+	gauge(forwardsDesc, summary.Forwards)
+	gauge(retainedAnswersDesc, summary.RetainedAnswers)
+	gauge(retainedBytesDesc, summary.RetainedBytes)
 	gauge(blocksDesc, summary.IDBlocks)
 	gauge(peersDesc, c.Peers)
 	gauge(versionDesc, int(summary.SettingsVersion))
--- a/node/node.go
+++ b/node/node.go
@@ -1,5 +1,5 @@
-// Package node runs a dispatch core: it owns the sockets and timers of an
-// entry process, turns what arrives into events and carries out commands.
+// Package node runs a dispatch core: it owns the sockets and timers of an entry
+// process, converts requests and messages to events and executes the core's commands.
 package node
 
 import (
@@ -22,14 +22,14 @@
 
 const (
 	inputQueueLength = 8192
-	// maxBatch bounds the events handled before commands are carried out.
+	// maxBatch bounds the queued events handled before commands are executed.
 	maxBatch = 256
-	// minShutdownTimeout is how long answers that are being written may take at
-	// a planned stop if nothing longer is contracted.
+	// minShutdownTimeout is the minimum time that responses in progress may take at
+	// a planned stop. A longer contracted response time extends it.
 	minShutdownTimeout = 10 * time.Second
 )
 
-// input is an event for the core, or a call that needs its state.
+// input is an event for the core, or a function to be called with it.
 type input struct {
 	event dispatch.Event
 	call  func(*dispatch.Core)
@@ -46,11 +46,11 @@
 	stopped chan struct{}
 	drained chan struct{}
 
-	// currentSettings is replaced as a whole; readers never see it change.
+	// currentSettings is replaced as a whole and never modified.
 	currentSettings atomic.Pointer[settings.State]
 	ready           atomic.Bool
 
-	callers   *callers
+	callers   *callerService
 	platform  *platformClient
 	upstreams *upstreamClient
 	mesh      *mesh
@@ -60,7 +60,7 @@
 	operatorListener net.Listener
 }
 
-// New prepares a node and binds its sockets.
+// New creates a node and opens its sockets.
 func New(cfg Config) (*Node, error) {
 	cfg = cfg.withDefaults()
 	self := task.Incarnation{Node: cfg.Name, Run: rand.Uint64()}
@@ -76,7 +76,7 @@
 	n.log = cfg.Log.With().Stringer("incarnation", self).Str("failure_domain", cfg.FailureDomain).Logger()
 	n.currentSettings.Store(settings.NewState())
 	n.metrics = newMetrics(n)
-	n.callers = newCallers(n)
+	n.callers = newCallerService(n)
 	n.platform = newPlatformClient(n)
 	n.upstreams = newUpstreamClient(n)
 	return n, n.listen()
@@ -96,23 +96,23 @@
 	return err
 }
 
-// CallerAddress is the address that callers reach.
+// CallerAddress is the address that the node listens on for callers.
 func (n *Node) CallerAddress() string { return n.callerListener.Addr().String() }
 
-// OperatorAddress is the address that operators reach.
+// OperatorAddress is the address that the node listens on for operators.
 func (n *Node) OperatorAddress() string { return n.operatorListener.Addr().String() }
 
-// PeerAddress is the address that peers reach.
+// PeerAddress is the address that the node listens on for peers.
 func (n *Node) PeerAddress() string { return n.mesh.address() }
 
 // SettingsVersion is the version of the settings in force, 0 if there are none.
 func (n *Node) SettingsVersion() uint64 { return n.currentSettings.Load().Version() }
 
-// Incarnation names this run of the process.
+// Incarnation identifies this run of the process.
 func (n *Node) Incarnation() task.Incarnation { return n.self }
 
-// Run serves until the context ends or a planned stop is complete. When it
-// returns, the sockets are closed.
+// Run serves until the context ends or a planned stop is complete. It closes the sockets
+// before it returns.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -139,9 +139,9 @@
 	return err
 }
 
-// shutdown lets the answers that are being written reach their callers. The
-// longest contracted response time bounds the wait: by then a caller has given
-// up, and one that doesn't read must not keep the process for ever.
+// shutdown waits until responses in progress are written. The timeout is the longest
+// contracted response time, after which callers have given up; without it, a caller that
+// doesn't read its response would prevent the process from stopping.
 func (n *Node) shutdown(servers ...*http.Server) {
 	timeout := minShutdownTimeout
 	for _, inst := range n.currentSettings.Load().Current().GetInstitutions() {
@@ -156,7 +156,7 @@
 	}
 }
 
-// Drain starts the planned stop: Run returns when nothing is in progress.
+// Drain begins a planned stop: Run returns when no work is in progress.
 func (n *Node) Drain() {
 	n.post(dispatch.Drain{})
 }
@@ -186,12 +186,12 @@
 	return nil
 }
 
-// now reads the monotonic clock.
-func (n *Node) now() task.Time {
+// elapsed returns the monotonic time since the node was created.
+func (n *Node) elapsed() task.Time {
 	return time.Since(n.started)
 }
 
-// post hands an event to the loop; it is dropped once the loop has ended.
+// post queues an event for the loop. The event is dropped if the loop has ended.
 func (n *Node) post(e dispatch.Event) {
 	select {
 	case n.inputs <- input{event: e}:
@@ -199,8 +199,8 @@
 	}
 }
 
-// call runs f with the core on the loop and waits for it. It reports false if
-// the loop has ended.
+// call runs f with the core in the loop and waits for it. It returns false if the loop
+// has ended.
 func (n *Node) call(f func(*dispatch.Core)) bool {
 	done := make(chan struct{})
 	run := func(c *dispatch.Core) {
@@ -220,7 +220,7 @@
 	}
 }
 
-// loop owns the core.
+// loop handles inputs and timers; only it uses the core.
 func (n *Node) loop(ctx context.Context) error {
 	defer close(n.stopped)
 	wake := time.NewTimer(0)
@@ -233,12 +233,12 @@
 			n.handle(in)
 			n.handleQueued()
 		case <-wake.C:
-			n.core.Tick(n.now())
+			n.core.Tick(n.elapsed())
 		}
 		n.execute(ctx, n.core.TakeCommands())
 		n.ready.Store(n.core.Ready())
 		if at, ok := n.core.NextTimer(); ok {
-			wake.Reset(at - n.now())
+			wake.Reset(at - n.elapsed())
 		}
 	}
 }
@@ -248,7 +248,7 @@
 		in.call(n.core)
 		return
 	}
-	n.core.Step(n.now(), in.event)
+	n.core.Step(n.elapsed(), in.event)
 }
 
 func (n *Node) handleQueued() {
@@ -323,8 +323,8 @@
 		Msg("members-in-force")
 }
 
-// Ready says whether the node takes new work and has at least the given number
-// of connected peers.
+// Ready reports whether the node accepts new work and is connected with at least the
+// given number of peers.
 func (n *Node) Ready(peers int) bool {
 	return n.ready.Load() && n.mesh.connected() >= peers
 }
--- a/node/operators.go
+++ b/node/operators.go
@@ -17,8 +17,8 @@
 	"sapphirepoint.example/sapphirepoint/gen/sapphirepointv1/sapphirepointv1connect"
 )
 
-// operators serves OperatorService.
-type operators struct{ node *Node }
+// operatorService serves OperatorService.
+type operatorService struct{ node *Node }
 
 func (n *Node) operatorHandler() http.Handler {
 	e := echo.New()
@@ -28,14 +28,14 @@
 	protected.GET("/dump", func(c echo.Context) error {
 		return c.JSONPretty(http.StatusOK, n.dump(), "  ")
 	})
-	path, h := sapphirepointv1connect.NewOperatorServiceHandler(operators{n}, connect.WithReadMaxBytes(n.cfg.MaxRequestBytes))
+	path, h := sapphirepointv1connect.NewOperatorServiceHandler(operatorService{n}, connect.WithReadMaxBytes(n.cfg.MaxRequestBytes))
 	protected.Any(path+"*", echo.WrapHandler(h))
 	return e
 }
 
-// requireOperator turns away requests without the operators' token.
+// requireOperator rejects requests without the operators' token.
 func (n *Node) requireOperator(next echo.HandlerFunc) echo.HandlerFunc {
-	want := []byte(bearer + n.cfg.OperatorToken)
+	want := []byte(bearerPrefix + n.cfg.OperatorToken)
 	return func(c echo.Context) error {
 		got := []byte(c.Request().Header.Get("Authorization"))
 		if n.cfg.OperatorToken == "" || subtle.ConstantTimeCompare(got, want) != 1 {
@@ -52,7 +52,7 @@
 }
 
 // GetSettings returns the settings in force and the version at each node.
-func (o operators) GetSettings(context.Context, *connect.Request[pb.GetSettingsRequest]) (*connect.Response[pb.GetSettingsResponse], error) {
+func (o operatorService) GetSettings(context.Context, *connect.Request[pb.GetSettingsRequest]) (*connect.Response[pb.GetSettingsResponse], error) {
 	res := &pb.GetSettingsResponse{}
 	o.node.call(func(c *dispatch.Core) {
 		res.Settings = c.Settings()
@@ -62,7 +62,7 @@
 }
 
 // ApplySettings writes new settings by compare-and-set.
-func (o operators) ApplySettings(ctx context.Context, req *connect.Request[pb.ApplySettingsRequest]) (*connect.Response[pb.ApplySettingsResponse], error) {
+func (o operatorService) ApplySettings(ctx context.Context, req *connect.Request[pb.ApplySettingsRequest]) (*connect.Response[pb.ApplySettingsResponse], error) {
 	if err := settings.Validate(req.Msg.GetSettings()); err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
@@ -75,8 +75,8 @@
 	return connect.NewResponse(&pb.ApplySettingsResponse{Version: applied.GetVersion()}), nil
 }
 
-// Dump returns the state of the process.
-func (o operators) Dump(context.Context, *connect.Request[pb.DumpRequest]) (*connect.Response[pb.DumpResponse], error) {
+// Dump returns the state of the process as JSON.
+func (o operatorService) Dump(context.Context, *connect.Request[pb.DumpRequest]) (*connect.Response[pb.DumpResponse], error) {
 	raw, err := json.Marshal(o.node.dump())
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInternal, errors.Wrap(err, "encode dump"))
@@ -84,8 +84,8 @@
 	return connect.NewResponse(&pb.DumpResponse{Json: raw}), nil
 }
 
-// Drain starts the planned stop.
-func (o operators) Drain(context.Context, *connect.Request[pb.DrainRequest]) (*connect.Response[pb.DrainResponse], error) {
+// Drain begins a planned stop.
+func (o operatorService) Drain(context.Context, *connect.Request[pb.DrainRequest]) (*connect.Response[pb.DrainResponse], error) {
 	o.node.log.Info().Msg("drain-requested")
 	o.node.Drain()
 	return connect.NewResponse(&pb.DrainResponse{}), nil
--- a/node/outage.go
+++ b/node/outage.go
@@ -5,13 +5,11 @@
 	"time"
 )
 
-// maxPollInterval bounds the wait between two polls of a platform that is out, so
-// that its return is noticed within the seconds in which accepted settings have
-// to be in force.
+// maxPollInterval bounds the interval between polls during an outage of the platform,
+// so that settings accepted after it come into force within the few seconds required.
 const maxPollInterval = 2 * time.Second
 
-// outageChange says whether a poll found the platform in another state than
-// the one before.
+// outageChange is the change of the platform's state that a poll found.
 type outageChange int
 
 const (
@@ -20,14 +18,14 @@
 	outageEnded
 )
 
-// outage follows the state of the platform over polls. Without it, each
-// process would log each failed poll for as long as an outage lasts, and all of
-// them would ask in step again when it ends.
+// outage records over consecutive polls whether the platform is available. It limits the
+// log to the begin and the end of an outage, and spreads the polls of the processes so
+// that they don't all reach the platform at the same time when the outage ends.
 type outage struct {
 	failedPolls int
 }
 
-// record records the errors of one poll.
+// record records the errors of one poll and returns the change of state.
 func (o *outage) record(errs ...error) outageChange {
 	failed := false
 	for _, err := range errs {
@@ -48,8 +46,8 @@
 	return outageUnchanged
 }
 
-// pollDelay is the time to the next poll: the interval, doubled with each failure
-// up to the bound, less up to a half at random.
+// pollDelay is the time until the next poll: the interval, doubled for each consecutive
+// failure up to the limit, minus a random part of up to a half.
 func (o *outage) pollDelay(interval time.Duration) time.Duration {
 	if o.failedPolls == 0 {
 		return interval
--- a/node/platform.go
+++ b/node/platform.go
@@ -22,21 +22,21 @@
 )
 
 const (
-	// settingsKey is the row of the declared settings.
+	// settingsKey is the key of the settings row.
 	settingsKey = "settings"
 	claimPrefix = "claim/"
-	// platformTimeout bounds each call to the platform.
+	// platformTimeout is the timeout of each call to the platform.
 	platformTimeout = 2 * time.Second
-	// applyRetryInterval is the wait between two looks at the settings row.
+	// applyRetryInterval is the interval between steps of a change of the settings.
 	applyRetryInterval = 100 * time.Millisecond
 )
 
-// platformClient reads and writes the platform's services.
+// platformClient calls the platform's services.
 type platformClient struct {
 	node              *Node
 	table             platformv1connect.TableServiceClient
 	membershipService platformv1connect.MembershipServiceClient
-	// settingsRowVersion is the version of the settings row read last by the poll.
+	// settingsRowVersion is the version of the settings row that poll read last.
 	settingsRowVersion uint64
 }
 
@@ -54,15 +54,15 @@
 	}
 }
 
-// poll reads members and settings at each interval, and less often while the
-// platform is out.
+// poll reads members and settings at each interval, and less often during an outage
+// of the platform.
 func (p *platformClient) poll(ctx context.Context) error {
 	var membersVersion uint64
 	var state outage
 	for {
 		var membersErr, settingsErr error
-		// Side by side: a platform that takes calls and answers none would
-		// otherwise cost two timeouts in a row, and settings would come late.
+		// Read in parallel: if the platform accepts calls and doesn't answer, the
+		// settings would otherwise be delayed by two consecutive timeouts.
 		var reads sync.WaitGroup
 		reads.Go(func() { membersVersion, membersErr = p.readMembers(ctx, membersVersion) })
 		reads.Go(func() { settingsErr = p.readSettings(ctx) })
@@ -85,7 +85,7 @@
 	}
 }
 
-// readMembers reads the list and returns the highest version read so far.
+// readMembers reads the members and returns the highest version read so far.
 func (p *platformClient) readMembers(ctx context.Context, known uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
@@ -104,8 +104,8 @@
 	return res.Msg.GetVersion(), nil
 }
 
-// readCurrentSettings reads the settings and the version of their row; both are zero
-// if nothing was ever applied.
+// readCurrentSettings reads the settings and the version of their row. Both are zero if
+// no settings were ever applied.
 func (p *platformClient) readCurrentSettings(ctx context.Context) (*pb.Settings, uint64, error) {
 	rows, err := p.readSettingsRow(ctx, 0)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return decodeSettingsRow(rows)
 }
 
-// readSettingsRow reads the row; without its value if its version is known.
+// readSettingsRow reads the settings row, without its value if its version is known.
 func (p *platformClient) readSettingsRow(ctx context.Context, known uint64) ([]*platformv1.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// applySettings carries out an operator's change of the settings.
+// applySettings writes new settings for an operator.
 func (p *platformClient) applySettings(ctx context.Context, expected uint64, s *pb.Settings) (*pb.Settings, error) {
 	change := settings.NewApply(expected, s, rand.Uint64()|1)
 	for first := true; change.Step() != settings.ApplyEnded; first = false {
@@ -177,7 +177,7 @@
 	return nil, connect.NewError(connect.CodeUnavailable, errors.New("the write isn't settled; ask for the version in force before applying again"))
 }
 
-// applyStep reads the row and, if that leads to a write, writes it.
+// applyStep reads the settings row and writes it if the change then requires that.
 func (p *platformClient) applyStep(ctx context.Context, change *settings.Apply) {
 	present, row, err := p.readCurrentSettings(ctx)
 	change.Read(present, row, err == nil)
@@ -209,7 +209,7 @@
 	return res.Msg.GetCommitted(), nil
 }
 
-// writeClaims inserts claim rows in one transaction.
+// writeClaims inserts claim rows in one transaction, in the background.
 func (p *platformClient) writeClaims(ctx context.Context, cmd dispatch.ClaimWrite) {
 	go func() {
 		p.node.post(p.insertClaims(ctx, cmd))
@@ -251,7 +251,7 @@
 func decodeConflict(ids map[string]task.ID, row *platformv1.Row) (dispatch.ClaimConflict, error) {
 	id, ok := ids[row.GetKey()]
 	if !ok || !strings.HasPrefix(row.GetKey(), claimPrefix) {
-		return dispatch.ClaimConflict{}, errors.New("a row that wasn't asked for")
+		return dispatch.ClaimConflict{}, errors.New("the row's key doesn't belong to a claim of this batch")
 	}
 	claimed := &pb.ClaimRow{}
 	if err := proto.Unmarshal(row.GetValue(), claimed); err != nil {
@@ -259,7 +259,7 @@
 	}
 	cf := dispatch.ClaimConflict{ID: id, Holder: task.IncarnationOf(claimed.GetHolder()), Number: claimed.GetClaim()}
 	if cf.Holder.Node == "" || len(claimed.GetDigest()) != len(cf.Digest) {
-		return dispatch.ClaimConflict{}, errors.New("a claim row without holder or digest")
+		return dispatch.ClaimConflict{}, errors.New("the claim row has no holder or no valid digest")
 	}
 	copy(cf.Digest[:], claimed.GetDigest())
 	return cf, nil
--- a/node/traffic.go
+++ b/node/traffic.go
@@ -1,7 +1,6 @@
 package node
 
-// PeerTraffic is what this process exchanged on its present peer connections,
-// as UDP payload.
+// PeerTraffic is the traffic on the open connections with peers, in UDP payload.
 type PeerTraffic struct {
 	BytesSent       uint64
 	BytesReceived   uint64
@@ -9,7 +8,7 @@
 	PacketsReceived uint64
 }
 
-// PeerTraffic adds up the present peer connections.
+// PeerTraffic returns the total of the open connections with peers.
 func (n *Node) PeerTraffic() PeerTraffic {
 	n.mesh.mu.Lock()
 	defer n.mesh.mu.Unlock()
--- a/node/upstreams.go
+++ b/node/upstreams.go
@@ -20,24 +20,25 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// pingIdleTime is the silence after which a connection is probed, and
-	// pingTimeout the time it has to answer.
+	// pingIdleTime is the idle time after which a connection is pinged, and pingTimeout
+	// the timeout of the ping.
 	pingIdleTime  = time.Second
 	pingTimeout   = time.Second
 	settleTimeout = 2 * time.Second
 	stopTimeout   = 2 * time.Second
-	// unlistedRetention is how long an upstream that left the list can be asked.
+	// unlistedRetention is how long an upstream can still be queried after it left the
+	// list of members.
 	unlistedRetention = 10 * time.Minute
-	// maxOutputBytes is the largest output of one task.
+	// maxOutputBytes is the limit of the size of one task's output.
 	maxOutputBytes = 4 << 20
 )
 
 // upstreamClient sends tasks to upstreams over HTTP.
 //
-// Each upstream has one HTTP/2 connection. A middlebox may forget the
-// connection while new ones work; then nothing arrives on it and nothing
-// fails. The pings on the connection itself notice within two seconds, and
-// the starts on it are settled over another connection.
+// Each upstream has one HTTP/2 connection. A middlebox may drop the state of the
+// connection while new ones work; then nothing more arrives on it and no error is
+// reported. Pings detect that within two seconds, and the starts sent on it are then
+// settled over another connection.
 type upstreamClient struct {
 	node *Node
 
@@ -65,17 +66,16 @@
 		HTTP2: &http.HTTP2Config{
 			SendPingTimeout: pingIdleTime,
 			PingTimeout:     pingTimeout,
-			// Each task's path is another, so entering it into the table of
-			// headers only drives the others out again.
+			// Each task has a different path, and entries for the paths would evict the
+			// other headers from the table.
 			MaxEncoderHeaderTableSize: 1,
 		},
 	}
 }
 
-// setMembers takes the list of upstreams. One that has left the list gets no
-// new tasks, but can be asked for a while about those that it was sent: a
-// connection that falls silent just then would otherwise turn a finished job
-// into an unknown one.
+// setMembers sets the list of upstreams. An upstream that is no longer listed gets no new
+// tasks, but can be queried for a while about the tasks that it was sent. Otherwise a
+// connection lost at that moment would leave the outcome of a finished job unknown.
 func (u *upstreamClient) setMembers(m task.Members) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -100,7 +100,7 @@
 	}
 }
 
-// conn returns a copy, because the list may change meanwhile.
+// conn returns a copy, because the list may change concurrently.
 func (u *upstreamClient) conn(name string) (upstreamConn, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -111,7 +111,7 @@
 	return *c, true
 }
 
-// start sends a task once.
+// start sends a task once and posts the result, in the background.
 func (u *upstreamClient) start(ctx context.Context, cmd dispatch.StartTask) {
 	go func() {
 		u.node.post(dispatch.StartResult{Start: cmd.Start, Result: u.sendStart(ctx, cmd)})
@@ -123,7 +123,7 @@
 	if !known || !c.unlistedAt.IsZero() {
 		return task.Result{Verdict: task.NotStarted, Detail: "the upstream isn't listed"}
 	}
-	left := cmd.Deadline - u.node.now()
+	left := cmd.Deadline - u.node.elapsed()
 	if left <= 0 {
 		return task.Result{Verdict: task.NotStarted, Detail: "the deadline passed before the task was sent"}
 	}
@@ -146,8 +146,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody the transport can't send the body a second time: a task
-	// that it sent twice by itself would be a second start nobody counted.
+	// Without GetBody the transport can't send the body again: a retry by the transport
+	// would be a second start that isn't accounted for.
 	req.GetBody = nil
 	return req, nil
 }
@@ -169,8 +169,8 @@
 	return resultOf(res, body)
 }
 
-// errorResult says what a failed request proves. Only a connection that was
-// never made proves that nothing was sent.
+// errorResult returns the result of a failed request. Only a failure to connect proves
+// that nothing was sent.
 func errorResult(err error) task.Result {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -204,12 +204,12 @@
 	return r
 }
 
-// settle asks on a new connection what became of a start.
+// settle queries the state of a start over a new connection.
 func (u *upstreamClient) settle(ctx context.Context, cmd dispatch.Settle) {
 	go func() {
 		r := u.queryOnNewConnection(ctx, cmd.Upstream, cmd.Name, upstream.PathSettle, settleTimeout)
 		if r.Verdict == task.NotStarted && !r.Refused {
-			// The question couldn't be sent, which proves nothing of the task.
+			// The query couldn't be sent, which proves nothing about the task.
 			r.Verdict = task.Lost
 		}
 		if r.Verdict == task.NotStarted && (cmd.UpstreamRun == "" || r.UpstreamRun != cmd.UpstreamRun) {
@@ -220,9 +220,9 @@
 	}()
 }
 
-// stop tells an upstream that a result isn't wanted. It uses the connection
-// that is there: in a wave of cancellations a new one for each task would use
-// up what the upstream accepts, and a stop that is lost only wastes a slot.
+// stop notifies an upstream that a result is no longer wanted. It uses the existing
+// connection: with many cancellations at once, new connections would exceed the number
+// that the upstream accepts, and a lost stop only wastes a slot.
 func (u *upstreamClient) stop(ctx context.Context, cmd dispatch.StopTask) {
 	c, known := u.conn(cmd.Upstream)
 	if !known {
@@ -231,7 +231,7 @@
 	go queryTask(ctx, c.client, c.address, cmd.Name, upstream.PathStop, stopTimeout)
 }
 
-// queryOnNewConnection asks on a connection of its own.
+// queryOnNewConnection queries the state of a task over a new connection.
 func (u *upstreamClient) queryOnNewConnection(ctx context.Context, name, taskName, path string, timeout time.Duration) task.Result {
 	c, known := u.conn(name)
 	if !known {
--- a/node/wasted.go
+++ b/node/wasted.go
@@ -9,11 +9,10 @@
 	"sapphirepoint.example/sapphirepoint/core/dispatch"
 )
 
-// wasted counts by cause the messages beyond one request and one answer for
-// each task and job. A request counts together with its answer; a message to a
-// peer counts alone, at its sender, so that the sum over all processes holds
-// each message once.
-func (m *metrics) wasted(c dispatch.Counters) map[string]uint64 {
+// wastedMessages counts by cause the messages beyond one request and one answer for each
+// task and job. A request and its answer count as two; a message to a peer counts once,
+// at its sender, so that the sum over all processes includes each message once.
+func (m *metrics) wastedMessages(c dispatch.Counters) map[string]uint64 {
 	s := c.Summary.Stats
 	causes := map[string]uint64{
 		"refused_start": messagesPerExchange * s.NotStarted,
@@ -49,8 +48,8 @@
 	return uint64(d.GetCounter().GetValue())
 }
 
-// eventCounts gives the core's counters by their names in the dump, so that a
-// counter that is added there shows in the metrics too.
+// eventCounts returns the core's counters by their names in the dump, so that a counter
+// added there is included in the metrics.
 func eventCounts(s dispatch.Stats) map[string]uint64 {
 	named := make(map[string]uint64)
 	raw, err := json.Marshal(s)
--- a/peer/identity.go
+++ b/peer/identity.go
@@ -14,32 +14,32 @@
 	"github.com/pkg/errors"
 )
 
-// certificateValidity is longer than a process lives; the certificate goes with it.
+// certificateValidity exceeds the lifetime of any process; a certificate is used by only one.
 const certificateValidity = 10 * 365 * 24 * time.Hour
 
-// Identity is the key of one lifetime of a process. It is made at start and
-// kept nowhere; the process publishes the fingerprint in the platform's store.
+// Identity is the key of one run of a process. It is generated at start and never
+// stored; the process publishes its fingerprint in the platform's store.
 type Identity struct {
 	cert        tls.Certificate
 	fingerprint string
 }
 
-// NewIdentity makes a key and a certificate that it signs itself.
+// NewIdentity generates a key and a self-signed certificate.
 func NewIdentity() (*Identity, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make key")
+		return nil, errors.Wrap(err, "generate key")
 	}
 	now := time.Now()
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1),
-		// A day back, since clocks of VMs differ.
+		// One day earlier, to allow for clock skew between VMs.
 		NotBefore: now.Add(-24 * time.Hour),
 		NotAfter:  now.Add(certificateValidity),
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return nil, errors.Wrap(err, "make certificate")
+		return nil, errors.Wrap(err, "create certificate")
 	}
 	return &Identity{
 		cert:        tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key},
@@ -47,7 +47,7 @@
 	}, nil
 }
 
-// Fingerprint names the key: the SHA-256 of the certificate, in hexadecimal.
+// Fingerprint identifies the key: the SHA-256 of the certificate, in hexadecimal.
 func (i *Identity) Fingerprint() string { return i.fingerprint }
 
 func fingerprintOf(der []byte) string {
@@ -55,16 +55,16 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// tlsConfig accepts whoever allowed accepts by its fingerprint.
+// tlsConfig accepts the peers whose fingerprints are allowed.
 func (i *Identity) tlsConfig(allowed func(fingerprint string) bool) *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{i.cert},
 		NextProtos:   []string{protocolName},
 		ClientAuth:   tls.RequireAnyClientCert,
-		// There is no authority and there are no host names: the fingerprint in
-		// the platform's store, which only the system's processes can write,
-		// says who a process is. VerifyConnection checks it on both sides.
+		// There are no certificate authority and no host names. A process is identified
+		// by its fingerprint in the platform's store, which only the system's processes
+		// can write. VerifyConnection checks it on both sides.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(s tls.ConnectionState) error {
 			if len(s.PeerCertificates) == 0 || !allowed(fingerprintOf(s.PeerCertificates[0].Raw)) {
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -1,5 +1,5 @@
-// Package peer keeps QUIC connections between entry processes that are registered
-// in the platform's store, and passes messages on them.
+// Package peer maintains QUIC connections between entry processes that are registered
+// in the platform's store, and sends and receives messages on them.
 package peer
 
 import (
@@ -19,19 +19,19 @@
 
 const (
 	protocolName = "sapphirepoint-fleet/1"
-	// idleTimeout ends a connection that has fallen silent; heartbeats come
-	// every 150 ms. A new one, on a socket of its own, may work where the old
-	// one doesn't: something between the ends can lose track of a connection.
+	// idleTimeout closes a connection on which nothing arrives; heartbeats are sent
+	// every 150 ms. A new connection from another socket may work where the old one
+	// doesn't, because a middlebox can drop the state of a connection.
 	idleTimeout      = 600 * time.Millisecond
 	handshakeTimeout = 500 * time.Millisecond
 	minRedialDelay   = 100 * time.Millisecond
-	// maxRedialDelay bounds the pause between two tries. As a cut heals, both sides
-	// have a scheduler until they hear each other.
+	// maxRedialDelay bounds the delay between two attempts to connect. After a network
+	// partition heals, both sides have a scheduler until they are connected.
 	maxRedialDelay = 250 * time.Millisecond
-	// sendQueueLength bounds the messages that wait for one peer.
+	// sendQueueLength bounds the messages queued for one peer.
 	sendQueueLength = 4096
-	// maxMessageBytes bounds a message: a job of 4,000 bytes and 4,096 tasks, or a
-	// list of some thousand runners.
+	// maxMessageBytes bounds a message. The largest are a job of 4,000 bytes and 4,096
+	// tasks, and a list of some thousand runners.
 	maxMessageBytes = 4 << 20
 
 	closeStopping      quic.ApplicationErrorCode = 0
@@ -41,48 +41,48 @@
 	closeReplaced      quic.ApplicationErrorCode = 4
 	closeNotNeeded     quic.ApplicationErrorCode = 5
 
-	// unneededTimeout is the age at which a connection that isn't wanted any more is
-	// closed. Each costs both sides messages for as long as it stands; it must
-	// outlast the trouble in which VMs looked further for a scheduler, or they
-	// would do so again.
+	// unneededTimeout is the age at which a connection that is no longer desired is
+	// closed. Each connection costs both sides heartbeats. The timeout must be longer
+	// than a disturbance in which VMs connect to more peers to find a scheduler, or
+	// they would have to connect to them again.
 	unneededTimeout = 10 * time.Second
 )
 
-// Member is a registered process. A later lifetime on its VM replaces it.
+// Member is a registered process. A later process on the same VM replaces it.
 type Member struct {
 	topology.Member
 	Address     string
 	Fingerprint string
 }
 
-// Handler is told what happens. Calls come from several goroutines, but those
+// Handler receives the events of a Mesh. Calls come from several goroutines, but those
 // about one connection come in order.
 type Handler interface {
 	PeerUp(id string)
-	// PeerDown: ended says that the other process said so itself.
+	// PeerDown reports a lost connection; stopping is set if the peer closed it because
+	// it is stopping.
 	PeerDown(id string, stopping bool, cause error)
 	PeerMessage(id string, m *pb.FleetMessage)
 }
 
-// Mesh is the connections of one process.
+// Mesh holds the connections of one process.
 type Mesh struct {
 	identity *Identity
 	handler  Handler
 	log      zerolog.Logger
 	listener *quic.Listener
 	quic     *quic.Config
-	// unneededTimeout is the constant, but in tests.
+	// unneededTimeout equals the constant, except in tests.
 	unneededTimeout time.Duration
 
 	mu   sync.Mutex
 	self Member
-	// desired are the connections that are to stand, and whether this process
-	// makes them.
+	// desired are the peers to be connected with, and whether this process dials them.
 	desired map[string]bool
 	members map[string]Member
 	links   map[string]*link
 	dialing map[string]bool
-	// changed is signalled when there are members to be dialed.
+	// changed is signalled when members or desired connections have changed.
 	changed chan struct{}
 }
 
@@ -91,11 +91,11 @@
 	conn        *quic.Conn
 	out         chan *pb.FleetMessage
 	connectedAt time.Time
-	// dialed: this process has made the connection.
+	// dialed is set if this process dialed.
 	dialed bool
 }
 
-// Listen opens the socket for peers.
+// Listen opens the socket for peers and returns a mesh.
 func Listen(address string, identity *Identity, handler Handler, log zerolog.Logger) (*Mesh, error) {
 	m := &Mesh{
 		identity: identity,
@@ -118,7 +118,7 @@
 	return m, nil
 }
 
-// Address is where the mesh listens.
+// Address is the address that the mesh listens on.
 func (m *Mesh) Address() string { return m.listener.Addr().String() }
 
 func (m *Mesh) allowed(fingerprint string) bool {
@@ -137,8 +137,8 @@
 	return Member{}, false
 }
 
-// SetMembers replaces the list of registered processes. Connections with those
-// that aren't listed any more are closed.
+// SetMembers replaces the list of registered processes and closes the connections with
+// processes that are no longer listed.
 func (m *Mesh) SetMembers(self Member, list []Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -157,7 +157,7 @@
 	m.requestDial()
 }
 
-// SetLinks says which connections are to stand.
+// SetLinks sets the desired connections.
 func (m *Mesh) SetLinks(links []topology.Link) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -168,12 +168,12 @@
 	m.requestDial()
 }
 
-// requestDial has missing connections made now.
+// requestDial makes Run dial missing connections at once.
 func (m *Mesh) requestDial() {
 	select {
 	case m.changed <- struct{}{}:
 	default:
-		// The signal before hasn't been taken yet; it does for this one too.
+		// A signal is already pending and covers this request.
 	}
 }
 
@@ -208,8 +208,8 @@
 	_ = m.listener.Close()
 }
 
-// dialMissing makes the connections that are wanted and that this process is to
-// make.
+// dialMissing dials the desired connections that are missing and that this process is
+// responsible for.
 func (m *Mesh) dialMissing(ctx context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -226,9 +226,9 @@
 	}
 }
 
-// closeUnneeded closes connections that this process has made and that aren't wanted
-// any more. The other side doesn't: it would be dialed again for as long as this
-// one wants them.
+// closeUnneeded closes connections that this process dialed and that are no longer
+// desired. The accepting side leaves them open: the dialing side would dial again for as
+// long as it desires them.
 func (m *Mesh) closeUnneeded() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -266,7 +266,7 @@
 	}
 }
 
-// shouldDial reports whether this process is still to make a connection.
+// shouldDial reports whether this process is still responsible for a connection.
 func (m *Mesh) shouldDial(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -274,7 +274,7 @@
 	return ok && m.desired[id]
 }
 
-// connect dials from a socket of its own; see idleTimeout.
+// connect dials from a new socket; see idleTimeout.
 func (m *Mesh) connect(ctx context.Context, p Member) (*quic.Conn, *quic.Stream, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
@@ -288,10 +288,10 @@
 		_ = conn.CloseWithError(closeFailed, "no stream")
 		return nil, nil, errors.Wrap(err, "open stream")
 	}
-	// An empty message makes the stream known to the other side.
+	// The stream becomes visible to the other side only with its first data.
 	if _, err := protodelim.MarshalTo(stream, &pb.FleetMessage{}); err != nil {
 		_ = conn.CloseWithError(closeFailed, "no stream")
-		return nil, nil, errors.Wrap(err, "greet")
+		return nil, nil, errors.Wrap(err, "send first message")
 	}
 	return conn, stream, nil
 }
@@ -325,7 +325,7 @@
 	m.addLink(&link{id: p.ID, conn: conn}, stream)
 }
 
-// addLink takes a connection into use in place of an earlier one with the process.
+// addLink registers a connection and closes an earlier one with the same process.
 func (m *Mesh) addLink(l *link, stream *quic.Stream) {
 	l.out = make(chan *pb.FleetMessage, sendQueueLength)
 	l.connectedAt = time.Now()
@@ -394,8 +394,8 @@
 	m.handler.PeerDown(l.id, stopping, cause)
 }
 
-// Send queues a message and reports whether there is a connection. A peer that
-// doesn't keep up loses its connection, so nobody waits for it.
+// Send queues a message and reports whether there is a connection. The connection with a
+// peer whose queue is full is closed, so that Send never blocks.
 func (m *Mesh) Send(id string, msg *pb.FleetMessage) bool {
 	m.mu.Lock()
 	l := m.links[id]
@@ -422,7 +422,7 @@
 	}
 }
 
-// Connected lists the processes with a connection.
+// Connected lists the processes that have a connection with this one.
 func (m *Mesh) Connected() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,16 +1,16 @@
-// Package upstream names the HTTP calls that an entry process makes to an
+// Package upstream defines the HTTP calls that an entry process makes to an
 // upstream. An upstream answers each with a verdict in a header:
 //
 //   - PathStart runs the task and answers finished (the body is the output),
-//     failed (the body is the error) or not-started (the body is the cause).
-//     A task name that was settled or is known already isn't run.
-//   - PathSettle answers what became of the task. If it hasn't begun, the
-//     upstream remembers the name, never runs it and answers not-started. A
-//     running task is waited for a while before the answer is running.
+//     failed (the body is the error) or not-started (the body is the reason).
+//     A task is not run if its name is already known, from a start or a settle.
+//   - PathSettle returns the state of the task. If the task has not started, the
+//     upstream records the name, never runs the task and answers not-started. If
+//     it is running, the upstream waits for a while before it answers running.
 //   - PathStop does the same and also ends a running task.
 //
-// Each answer carries the run of the upstream process, random at its start: a
-// process that was started again knows nothing of its predecessor's tasks.
+// Each answer carries the run of the upstream process, a random value chosen at its
+// start: after a restart the process has no record of its predecessor's tasks.
 package upstream
 
 // Paths of the calls, all POST.
@@ -31,8 +31,8 @@
 const (
 	HeaderVerdict = "Sapphirepoint-Verdict"
 	HeaderRun     = "Sapphirepoint-Run"
-	// HeaderLeaving is set, to any value, by an upstream that is about to leave
-	// and shouldn't be sent new tasks.
+	// HeaderLeaving is set, to any value, by an upstream that is about to stop
+	// and should not be sent new tasks.
 	HeaderLeaving = "Sapphirepoint-Leaving"
 )
 
