--- a/core/schedule/listing.go
+++ b/core/schedule/listing.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// believedTime is how long a runner is used that isn't listed and answers
-	// after a long silence, as when a failure domain was cut off, from the store
-	// too: the entry is back within two seconds, if the runner is there to stay.
-	// In that time a quarter of the runners would be missing.
-	believedTime = 2500 * time.Millisecond
-	// longSilence is how long that is: less than an entry takes to lapse.
+	// unlistedGrace is how long an unlisted runner is used that answers after a long silence.
+	// A failure domain that was cut off from the store and the other domains loses its
+	// entries in the list, and they are back within two seconds if the runners still exist.
+	// Without the grace a quarter of the runners would be unused in that time.
+	unlistedGrace = 2500 * time.Millisecond
+	// longSilence is the length of such a silence: less than an entry takes to expire.
 	longSilence = time.Second
-	// lapsedCheck is how often a runner whose entry has lapsed is looked at while
-	// it is idle, so that a job doesn't find out first that it has gone.
-	lapsedCheck = 200 * time.Millisecond
+	// lapsedCheckInterval is how often an idle runner with an expired entry is checked, so that its
+	// loss is noticed before a job is placed on it.
+	lapsedCheckInterval = 200 * time.Millisecond
 )
 
-// answersAgain notes that a runner has answered after a silence.
-func (s *Scheduler) answersAgain(r *runner, silence time.Duration) {
+// noteAnswerAfterSilence handles an answer of a runner that was silent for some time.
+func (s *Scheduler) noteAnswerAfterSilence(r *runner, silence time.Duration) {
 	if r.unlisted && !r.info.Draining && silence > longSilence {
-		r.believedUntil = s.now + believedTime
+		r.assumedPresentUntil = s.now + unlistedGrace
 	}
 }
 
-// known reports whether the runner is there, by the list or by its answers.
-func (r *runner) known(now Time) bool { return !r.unlisted || now < r.believedUntil }
+// present reports whether the runner counts as existing, by the list or by its answers.
+func (r *runner) present(now Time) bool { return !r.unlisted || now < r.assumedPresentUntil }
 
 // SetRunners replaces the list of runners.
-func (s *Scheduler) SetRunners(now Time, list []workload.Runner) {
+func (s *Scheduler) SetRunners(now Time, runnerList []workload.Runner) {
 	s.now = now
-	listed := make(map[workload.RunnerID]bool, len(list))
-	for _, info := range list {
+	listed := make(map[workload.RunnerID]bool, len(runnerList))
+	for _, info := range runnerList {
 		listed[info.ID] = true
 		r := s.runners[info.ID]
 		if r == nil {
@@ -42,16 +42,16 @@
 			continue
 		}
 		lapsed := info.Lapsed && !r.info.Lapsed
-		r.unlisted, r.believedUntil, r.info = false, 0, info
+		r.unlisted, r.assumedPresentUntil, r.info = false, 0, info
 		if lapsed {
-			s.look(r)
+			s.requestList(r)
 		}
-		s.sameLife(r, info.Born)
+		s.checkIncarnation(r, info.Born)
 	}
-	for _, r := range s.list {
+	for _, r := range s.runnerList {
 		if !listed[r.info.ID] && !r.unlisted {
 			r.unlisted = true
-			r.suspectUntil = now + s.cfg.Resend
+			r.retainUntil = now + s.cfg.Resend
 		}
 	}
 	s.forgetRunners()
@@ -59,51 +59,51 @@
 	s.dispatch()
 }
 
-// AddUnlistedRunners adds runners on which another scheduler may have started jobs that
-// are about to be handed in here.
+// AddUnlistedRunners adds runners on which another scheduler may have started jobs that are about
+// to be handed in here.
 //
-// While a failure domain is cut off from the store its runners vanish from the
-// platform's list, yet the scheduler on that side uses them. When the cut heals
-// its jobs come here before the runners are listed again; without a look at
-// these the tasks would be started a second time.
+// While a failure domain is cut off from the store its runners vanish from the platform's list,
+// but the scheduler on that side still uses them. When the partition heals, that side's jobs
+// arrive here before its runners are listed again; unless these runners are asked for their lists
+// the tasks would be started a second time.
 func (s *Scheduler) AddUnlistedRunners(now Time, list []workload.Runner) {
 	s.now = now
 	for _, info := range list {
 		if r := s.runners[info.ID]; r != nil {
-			r.suspectUntil = now + s.cfg.Resend
+			r.retainUntil = now + s.cfg.Resend
 			continue
 		}
 		r := newRunner(info, now)
 		r.unlisted = true
-		r.suspectUntil = now + s.cfg.Resend
+		r.retainUntil = now + s.cfg.Resend
 		s.addRunner(r)
 	}
 	s.sortRunners()
 }
 
-// addRunner adds one that isn't known yet, and takes it if this scheduler leads.
+// addRunner adds an unknown runner, and acquires it if this scheduler leads.
 func (s *Scheduler) addRunner(r *runner) {
 	r.evacuated = s.evacuates(r.info.Domain)
 	s.runners[r.info.ID] = r
-	s.list = append(s.list, r)
+	s.runnerList = append(s.runnerList, r)
 	if s.leading {
 		s.acquire(r)
 	}
 }
 
 func (s *Scheduler) sortRunners() {
-	slices.SortFunc(s.list, func(a, b *runner) int { return workload.CompareRunners(a.info, b.info) })
+	slices.SortFunc(s.runnerList, func(a, b *runner) int { return workload.CompareRunners(a.info, b.info) })
 }
 
-// forgetRunners drops runners that aren't listed and have nothing running.
+// forgetRunners drops unlisted runners without runs.
 func (s *Scheduler) forgetRunners() {
-	kept := s.list[:0]
-	for _, r := range s.list {
-		if r.unlisted && len(r.runs) == 0 && s.now >= max(r.suspectUntil, r.believedUntil) {
+	kept := s.runnerList[:0]
+	for _, r := range s.runnerList {
+		if r.unlisted && len(r.runs) == 0 && s.now >= max(r.retainUntil, r.assumedPresentUntil) {
 			delete(s.runners, r.info.ID)
 			continue
 		}
 		kept = append(kept, r)
 	}
-	s.list = kept
+	s.runnerList = kept
 }
