--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -233,7 +233,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for id, l := range m.links {
-		if _, wanted := m.desired[id]; l.dialed && !wanted && time.Since(l.connectedAt) > m.unneededTimeout {
+		if _, desired := m.desired[id]; l.dialed && !desired && time.Since(l.connectedAt) > m.unneededTimeout {
 			_ = l.conn.CloseWithError(closeNotNeeded, "not needed any more")
 		}
 	}
@@ -291,7 +291,7 @@
 	// The stream becomes visible to the other side only with its first data.
 	if _, err := protodelim.MarshalTo(stream, &pb.FleetMessage{}); err != nil {
 		_ = conn.CloseWithError(closeFailed, "no stream")
-		return nil, nil, errors.Wrap(err, "send first message")
+		return nil, nil, errors.Wrap(err, "greet")
 	}
 	return conn, stream, nil
 }
