--- a/core/dispatch/admission.go
+++ b/core/dispatch/admission.go
@@ -38,7 +38,7 @@
 type admissionState struct {
 	estimate    *admission.Estimator
 	quotas      *admission.Quotas
-	retryAfters map[admission.Key]*admission.ComeBack
+	retryAfters map[admission.Key]*admission.RetrySpreader
 	refusals    map[pb.Reason]uint64
 	// totals are the totals of the listed upstreams, by institution.
 	totals map[string]upstreamTotals
@@ -56,7 +56,7 @@
 	return admissionState{
 		estimate:    admission.NewEstimator(),
 		quotas:      admission.NewQuotas(self),
-		retryAfters: make(map[admission.Key]*admission.ComeBack),
+		retryAfters: make(map[admission.Key]*admission.RetrySpreader),
 		refusals:    make(map[pb.Reason]uint64),
 		inUse:       make(map[string]int),
 		teams:       make(map[admission.Key]teamQueue),
@@ -134,10 +134,10 @@
 	c.admission.refusals[refusal.Reason]++
 	schedule := c.admission.retryAfters[key]
 	if schedule == nil {
-		schedule = &admission.ComeBack{}
+		schedule = &admission.RetrySpreader{}
 		c.admission.retryAfters[key] = schedule
 	}
-	return refusal, schedule.After(c.now, refusal, j, capacity)
+	return refusal, schedule.RetryAfter(c.now, refusal, j, capacity)
 }
 
 // queueLimit is the maximum number of waiting tasks of an institution.
@@ -151,7 +151,7 @@
 
 func (c *Core) jobOf(sub *submission) admission.Job {
 	j := admission.Job{
-		Allowed:   sub.deadline - c.now,
+		TimeLimit: sub.deadline - c.now,
 		CPUMillis: sub.service.GetCpuMillis(),
 		MemoryMiB: sub.service.GetMemoryMib(),
 	}
@@ -174,7 +174,7 @@
 
 // expectedRunTime is the declared run time of a task, corrected by observed times.
 func (c *Core) expectedRunTime(sub *submission, index int) time.Duration {
-	return c.admission.estimate.Expect(sub.id.Institution, sub.request.GetService(), declaredRun(sub, index))
+	return c.admission.estimate.ExpectedRunTime(sub.id.Institution, sub.request.GetService(), declaredRun(sub, index))
 }
 
 // nextTask takes the next task to start, within quotas and ceiling.
@@ -193,7 +193,7 @@
 
 // belowCeiling reports whether the institution may hold one more slot.
 func (c *Core) belowCeiling(institution string) bool {
-	return c.admission.quotas.Room(c.now, admission.Key{Institution: institution})
+	return c.admission.quotas.HasCapacity(c.now, admission.Key{Institution: institution})
 }
 
 // giveUpInfeasible ends a job whose next task cannot end before the deadline; it
--- a/core/dispatch/lending.go
+++ b/core/dispatch/lending.go
@@ -171,7 +171,7 @@
 	if mean := c.lending.mean[institution]; mean > 0 {
 		return mean
 	}
-	return queue.DefaultWork
+	return queue.DefaultRunTime
 }
 
 // slotInterval is the expected time between two slots of an institution becoming
@@ -236,7 +236,7 @@
 // then own ones. It reports false if there are none.
 func (c *Core) grant(k requestKey) bool {
 	r := c.lending.received[k]
-	givenBack := c.pool.GiveBackIdle(k.peer, r.count)
+	givenBack := c.pool.ReturnIdle(k.peer, r.count)
 	c.lending.lastLoan++
 	id := c.lending.lastLoan
 	l := &loan{borrower: k.peer, slots: c.pool.Lend(k.institution, r.count-givenBack, k.peer, id)}
@@ -314,7 +314,7 @@
 	other := func(k requestKey, _ *slotRequest) bool { return k.peer == p }
 	maps.DeleteFunc(c.lending.requested, other)
 	maps.DeleteFunc(c.lending.received, other)
-	c.pool.LenderGone(p)
+	c.pool.LenderUnreachable(p)
 	for _, id := range slices.Sorted(maps.Keys(c.lending.granted)) {
 		if c.lending.granted[id].borrower == p {
 			c.after(lostBorrowerGrace, func() { c.endLoan(id) })
--- a/core/health/evidence.go
+++ b/core/health/evidence.go
@@ -7,40 +7,41 @@
 )
 
 const (
-	// recent is how many outcomes of an upstream are kept for each service.
-	recent = 16
-	// recentOthers is how many of them count when it is compared with; fewer,
-	// so that a fault of the service itself shows within a few tasks.
-	recentOthers = 8
-	// othersWanted and othersScanned bound the comparison's cost.
-	othersWanted  = 64
-	othersScanned = 256
+	// historyLength is the number of outcomes kept for each upstream and service.
+	historyLength = 16
+	// comparedOutcomes is how many of them count when another upstream is compared with this
+	// one. It is smaller, so that a fault of the service itself shows within a few tasks.
+	comparedOutcomes = 8
+	// maxComparedUpstreams and maxScannedUpstreams limit the cost of the comparison.
+	maxComparedUpstreams = 64
+	maxScannedUpstreams  = 256
 
-	// brokenRate is the rate of failures of an upstream worth closing.
-	brokenRate = 0.5
-	// leastRate is the least rate taken for the others. Lower, and a single
-	// failure would close an upstream.
-	leastRate = 0.01
-	// Until others have been seen, they are taken to fail one time in four.
+	// brokenFailureRate is the failure rate of an upstream that is worth ejecting.
+	brokenFailureRate = 0.5
+	// minFailureRate is the minimum failure rate assumed for the other upstreams. With a lower
+	// one, a single failure would eject an upstream.
+	minFailureRate = 0.01
+	// priorFailures of priorTotal is the failure rate assumed before other upstreams have any
+	// outcomes: one in four.
 	priorFailures = 0.5
 	priorTotal    = 2
 
-	// enough is the log-likelihood ratio that closes an upstream: two failures
-	// in a row while the others hardly fail, and never if they fail as often.
-	enough = 7.5
-	// enoughBeside holds while another upstream of the same worker or rack is
-	// closed: one failure.
-	enoughBeside = 3.5
-	// witnesses is how many others must have done well since an upstream began
-	// to fail before it is closed for it.
-	witnesses = 3
+	// ejectionThreshold is the log-likelihood ratio that ejects an upstream. Two failures in a
+	// row reach it if the others hardly fail; it is never reached if they fail as often.
+	ejectionThreshold = 7.5
+	// reducedEjectionThreshold applies to a returning upstream, to one that a peer has ejected,
+	// and while another upstream of the same worker or rack is ejected. One failure reaches it.
+	reducedEjectionThreshold = 3.5
+	// minSucceedingOthers is how many other upstreams must have succeeded with the service
+	// since an upstream began to fail before it is ejected.
+	minSucceedingOthers = 3
 )
 
-// history is the latest outcomes of one service, the newest in the lowest bit.
+// history has the latest outcomes of one service on one upstream, the newest in the lowest bit.
 type history struct {
 	failed uint16
 	count  uint8
-	// failingSince is when the latest unbroken row of failures began.
+	// failingSince is when the latest series of consecutive failures began.
 	failingSince task.Time
 	lastSuccess  task.Time
 }
@@ -55,11 +56,11 @@
 	if failed {
 		h.failed |= 1
 	}
-	h.count = min(h.count+1, recent)
+	h.count = min(h.count+1, historyLength)
 }
 
-// tally counts failures among the newest outcomes, n at most.
-func (h *history) tally(n uint8) (failures, total float64) {
+// recentFailures counts the failures among the newest n outcomes.
+func (h *history) recentFailures(n uint8) (failures, total float64) {
 	n = min(h.count, n)
 	for i := range n {
 		failures += float64(h.failed >> i & 1)
@@ -67,14 +68,14 @@
 	return failures, float64(n)
 }
 
-// ratio is the greatest log-likelihood ratio, over all recent spans, of a
-// broken upstream against one that fails at the given rate.
-func (h *history) ratio(rate float64) float64 {
-	if rate >= brokenRate {
+// likelihoodRatio is the greatest log-likelihood ratio, over all series of newest outcomes, of
+// a broken upstream against one that fails at the given rate.
+func (h *history) likelihoodRatio(rate float64) float64 {
+	if rate >= brokenFailureRate {
 		return 0
 	}
-	onFailure := math.Log(brokenRate / rate)
-	onSuccess := math.Log((1 - brokenRate) / (1 - rate))
+	onFailure := math.Log(brokenFailureRate / rate)
+	onSuccess := math.Log((1 - brokenFailureRate) / (1 - rate))
 	var sum, best float64
 	for i := range h.count {
 		if h.failed>>i&1 == 1 {
@@ -87,68 +88,68 @@
 	return best
 }
 
-// othersRate is the rate at which a service fails on the institution's other
-// upstreams, how many of them have had a success with it since a time, and how
-// many are known to run it.
+// othersFailureRate returns the rate at which a service fails on the institution's other
+// upstreams, how many of them have succeeded with it since the given time, and how many are
+// known to run it.
 //
-// A caller that sends payloads which can't succeed makes every upstream fail;
-// without the comparison all would be closed for one caller's fault. Those
-// that have only failed since that time are left out: they may be broken too,
-// as in a rack without power, and would then excuse each other.
-func (t *Tracker) othersRate(u *upstream, service int, since task.Time) (rate float64, well, known int) {
+// If a caller sends payloads that can't succeed, every upstream fails. Without the comparison,
+// all would be ejected because of one caller. Upstreams that have only failed since that time
+// are left out: they may be broken too, as in a rack without power, and would raise the rate
+// so that none of the rack is ejected.
+func (t *Tracker) othersFailureRate(u *upstream, service int, since task.Time) (rate float64, succeeding, known int) {
 	failures, total := priorFailures, float64(priorTotal)
-	mates := u.pool.members
-	for i := 1; i < min(len(mates), othersScanned) && known < othersWanted; i++ {
-		h := mates[(u.at+i)%len(mates)].history(service)
+	others := u.institutionPool.members
+	for i := 1; i < min(len(others), maxScannedUpstreams) && known < maxComparedUpstreams; i++ {
+		h := others[(u.poolIndex+i)%len(others)].history(service)
 		if h == nil || h.count == 0 {
 			continue
 		}
 		known++
 		if h.lastSuccess >= since {
-			well++
+			succeeding++
 		} else if h.failed&1 == 1 {
 			continue
 		}
-		f, n := h.tally(recentOthers)
+		f, n := h.recentFailures(comparedOutcomes)
 		failures += f
 		total += n
 	}
-	return max(failures/total, leastRate), well, known
+	return max(failures/total, minFailureRate), succeeding, known
 }
 
-// verdict is what the outcomes of an upstream say.
-type verdict uint8
+// assessment is the conclusion from the outcomes of an upstream.
+type assessment uint8
 
 const (
-	sound verdict = iota
-	// suspect: it fails, and nobody has done better in the meantime.
+	healthy assessment = iota
+	// suspect: the upstream fails, and too few others have succeeded in the meantime.
 	suspect
 	broken
 )
 
-// judge weighs the evidence against an upstream over all services. Before
-// others have done well since it began to fail, it may be the service or the
-// payloads that fail, and then it is only suspect.
-func (t *Tracker) judge(u *upstream, limit float64) verdict {
-	var proved, likely float64
-	for service := range u.services {
-		h := &u.services[service]
+// assess weighs the evidence against an upstream over all services. The cause may be the
+// service or its payloads, so the upstream is only suspect until enough others have succeeded
+// since it began to fail.
+func (t *Tracker) assess(u *upstream, threshold float64) assessment {
+	var confirmed, unconfirmed float64
+	for service := range u.histories {
+		h := &u.histories[service]
 		if h.failed == 0 {
 			continue
 		}
-		rate, well, known := t.othersRate(u, service, h.failingSince)
-		if known > 0 && well >= min(witnesses, known) {
-			proved += h.ratio(rate)
+		rate, succeeding, known := t.othersFailureRate(u, service, h.failingSince)
+		if known > 0 && succeeding >= min(minSucceedingOthers, known) {
+			confirmed += h.likelihoodRatio(rate)
 			continue
 		}
-		rate, _, _ = t.othersRate(u, service, 0)
-		likely += h.ratio(rate)
+		rate, _, _ = t.othersFailureRate(u, service, 0)
+		unconfirmed += h.likelihoodRatio(rate)
 	}
 	switch {
-	case proved >= limit:
+	case confirmed >= threshold:
 		return broken
-	case proved+likely >= limit:
+	case confirmed+unconfirmed >= threshold:
 		return suspect
 	}
-	return sound
+	return healthy
 }
--- a/core/health/health.go
+++ b/core/health/health.go
@@ -1,12 +1,11 @@
-// Package health decides how much work each upstream attracts, from what its
-// own tasks came to. No probe messages are sent: the tasks are the probes.
+// Package health decides from the outcomes of tasks how many slots of each upstream may be
+// used. No separate probe messages are sent: a probe is a task.
 //
-// An upstream that fails everything looks idle and fast. It is closed after a
-// couple of failures that the other upstreams don't share, alone or with its
-// whole worker or rack, and comes back through a single slot after a wait that
-// doubles. One that can't be reached or refuses is closed for a short wait.
-// One that is slow gets fewer slots. How many may be closed for failures at
-// once is limited.
+// An upstream on which every task fails quickly looks idle and fast. It is ejected after a few
+// failures that the other upstreams don't share, alone or with its whole worker or rack, and
+// returns through a single slot after a wait that doubles with each ejection. One that is
+// unreachable or refuses tasks is closed for a short time. One that is slow gets fewer slots.
+// The number of upstreams ejected at once is limited.
 package health
 
 import (
@@ -17,47 +16,47 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// Outcome is what a task start says of the upstream.
+// Outcome is the outcome of a task start as far as it concerns the upstream.
 type Outcome uint8
 
 // The outcomes.
 const (
 	// Succeeded: the task ran to its end.
 	Succeeded Outcome = iota
-	// TaskFailed: it ran and failed, or nobody can tell what became of it.
+	// TaskFailed: the task ran and failed, or its result is unknown.
 	TaskFailed
-	// Refused: the upstream answered that it won't run it.
+	// Refused: the upstream answered that it doesn't run the task.
 	Refused
-	// Unreachable: no connection, or it fell silent.
+	// Unreachable: there is no connection, or the upstream stopped answering.
 	Unreachable
 )
 
-// Config is the limits; times as durations.
+// Config has the limits of the tracker.
 type Config struct {
-	// FirstClosed is how long an upstream stays closed after its first
-	// ejection; each further one in a row doubles it up to MaxClosed.
-	FirstClosed, MaxClosed time.Duration
-	// FirstAway and MaxAway are the same for one that can't be reached.
-	FirstAway, MaxAway time.Duration
-	// MaxEjectedPercent limits the upstreams of an institution in a failure
-	// domain that are closed for failures at once.
+	// BaseEjectionTime is how long the first ejection of an upstream lasts. Each further
+	// consecutive ejection lasts twice as long, up to MaxEjectionTime.
+	BaseEjectionTime, MaxEjectionTime time.Duration
+	// BaseUnavailableTime and MaxUnavailableTime are the same for an unreachable upstream.
+	BaseUnavailableTime, MaxUnavailableTime time.Duration
+	// MaxEjectedPercent limits the upstreams of an institution in a failure domain that are
+	// ejected at once.
 	MaxEjectedPercent int
 	// Self is the name by which peers list this process.
 	Self string
-	// Alone ignores what peers report.
-	Alone bool
-	// Off gives every upstream its full weight, to compare with.
-	Off bool
+	// IgnorePeers ignores the ejections that peers report.
+	IgnorePeers bool
+	// Disabled gives every upstream its full weight, for comparison.
+	Disabled bool
 }
 
-// DefaultConfig returns the usual limits.
+// DefaultConfig returns the default limits.
 func DefaultConfig() Config {
 	return Config{
-		FirstClosed:       2 * time.Second,
-		MaxClosed:         5 * time.Minute,
-		FirstAway:         50 * time.Millisecond,
-		MaxAway:           2 * time.Second,
-		MaxEjectedPercent: 50,
+		BaseEjectionTime:    2 * time.Second,
+		MaxEjectionTime:     5 * time.Minute,
+		BaseUnavailableTime: 50 * time.Millisecond,
+		MaxUnavailableTime:  2 * time.Second,
+		MaxEjectedPercent:   50,
 	}
 }
 
@@ -65,9 +64,9 @@
 
 const (
 	open state = iota
-	// away: unreachable, refusing, or suspect of failing everything.
-	away
-	// ejected: closed for failures.
+	// unavailable, "away" by name: unreachable, refusing, or suspected of failing every task.
+	unavailable
+	// ejected: closed because of failures.
 	ejected
 	// probing: one slot is open until the first outcome.
 	probing
@@ -80,21 +79,21 @@
 func (s state) String() string { return stateNames[s] }
 
 const (
-	// refusals in a row that close an upstream for a while; one refusal alone
-	// is a matter of the slot.
-	refusals = 3
-	// slowFrom is how much longer than expected tasks must run, in the mean,
-	// before an upstream gets less.
-	slowFrom = 1.75
-	// slowGain is the weight of the newest run time in that mean.
-	slowGain = 1.0 / 16
-	// ratioLimit keeps a single run time from deciding.
-	ratioLimit = 8
-	// returnFrom is the first share of one that comes back.
-	returnFrom = 1.0 / 8
-	// calm is after how many times its last wait a closed upstream counts as
-	// cured, so that the next ejection begins with the first wait again.
-	calm = 10
+	// refusalThreshold is the number of consecutive refusals that close an upstream for a
+	// while. A single refusal may concern the slot only.
+	refusalThreshold = 3
+	// slownessThreshold is the mean slowness (run time over expected run time) from which an
+	// upstream gets fewer slots. The mean is geometric and gives newer run times more weight.
+	slownessThreshold = 1.75
+	// slownessGain is the weight of the newest run time in that mean.
+	slownessGain = 1.0 / 16
+	// maxSlowness limits a single slowness, and its inverse, so that one run time can't decide.
+	maxSlowness = 8
+	// initialShare is the first share of a returning upstream.
+	initialShare = 1.0 / 8
+	// levelResetFactor is the number of its last ejection times after which an upstream counts
+	// as recovered, so that the next ejection lasts BaseEjectionTime again.
+	levelResetFactor = 10
 	// MinWeight is the weight that leaves one slot open.
 	MinWeight = 1e-9
 )
@@ -102,45 +101,56 @@
 type upstream struct {
 	name  string
 	state state
-	// told is the state at the last change of weight.
-	told        state
-	until       task.Time
-	level       int
-	awayFor     int
-	closedAt    task.Time
-	wait        task.Time
-	refused     int
-	suspect     bool
-	share       float64
-	slowness    float64
+	// reportedState is the state in the latest Change.
+	reportedState state
+	// until is when an ejected or unavailable upstream may be used again; 0 after that.
+	until task.Time
+	// ejectionLevel and unavailableLevel are the levels of the backoff in these states.
+	ejectionLevel    int
+	unavailableLevel int
+	// ejectedAt and ejectionTime are the time and the length of the latest ejection.
+	ejectedAt           task.Time
+	ejectionTime        task.Time
+	consecutiveRefusals int
+	// suspect: the upstream is unavailable because its failures aren't confirmed yet.
+	suspect bool
+	// share is the share of slots that a returning or open upstream may use, apart from its
+	// slowness.
+	share float64
+	// logSlowness is the logarithm of the mean slowness of its tasks.
+	logSlowness float64
 	weight      float64
-	services    []history
-	lastSuccess task.Time
-	pool        *pool
-	at          int
-	ceiling     *pool
-	groups      [2]*group
-	// reporters are the peers that have closed it for failures.
+	// histories are by the index of the service.
+	histories []history
+	// lastSuccess is when the task with the latest success was sent.
+	lastSuccess     task.Time
+	institutionPool *pool
+	// poolIndex is the index in institutionPool.
+	poolIndex  int
+	domainPool *pool
+	// groups are the worker and the rack; nil if unknown.
+	groups [2]*group
+	// reporters are the peers that have ejected the upstream.
 	reporters []string
 	spec      task.Upstream
 }
 
 func (u *upstream) history(service int) *history {
-	if service >= len(u.services) {
+	if service >= len(u.histories) {
 		return nil
 	}
-	return &u.services[service]
+	return &u.histories[service]
 }
 
-// Change is a new weight of an upstream: 0 closes it, else it is the share of
-// its slots that may be used, one slot at least.
+// Change is a new weight of an upstream: 0 closes it, otherwise it is the share of its slots
+// that may be used, but at least one slot.
 type Change struct {
 	Upstream string
 	Weight   float64
-	// Until is when a closed one is due for a trial; 0 if it isn't closed.
+	// Until is when a closed upstream may be used again; 0 if it isn't closed.
 	Until task.Time
-	// State is the name of its state; NewState says that the last change had
-	// another.
+	// State is the name of the upstream's state. NewState: the state differs from that of the
+	// previous change.
 	State    string
 	NewState bool
 }
@@ -155,211 +165,210 @@
 	Returns        uint64 `json:"returns"`
 }
 
-// Tracker is the health of the upstreams as one process sees it.
+// Tracker tracks the health of the upstreams from the outcomes that one process observes.
 type Tracker struct {
-	cfg       Config
-	rng       *rand.Rand
-	upstreams map[string]*upstream
-	services  map[string]int
-	order     []*upstream
-	changes   []Change
-	reports   map[string][]string
-	// ejected counts upstreams closed for failures or on trial.
+	cfg            Config
+	rng            *rand.Rand
+	upstreams      map[string]*upstream
+	serviceIndexes map[string]int
+	sorted         []*upstream
+	changes        []Change
+	reports        map[string][]string
+	// ejected is the number of upstreams that are ejected or probing.
 	ejected int
 	stats   Stats
 }
 
-// New returns an empty tracker. The random source jitters waits.
+// New returns an empty tracker. The random source is for the jitter of waits.
 func New(cfg Config, rng *rand.Rand) *Tracker {
 	return &Tracker{
-		cfg:       cfg,
-		rng:       rng,
-		upstreams: make(map[string]*upstream),
-		services:  make(map[string]int),
-		reports:   make(map[string][]string),
+		cfg:            cfg,
+		rng:            rng,
+		upstreams:      make(map[string]*upstream),
+		serviceIndexes: make(map[string]int),
+		reports:        make(map[string][]string),
 	}
 }
 
 // Stats returns the counters.
 func (t *Tracker) Stats() Stats { return t.stats }
 
-// Result is what became of one task start.
+// Result is the result of one task start.
 type Result struct {
 	Upstream, Service string
 	Outcome           Outcome
 	// Sent is when the task was sent.
 	Sent task.Time
-	// Slowness is the task's run time over what was expected of it; 0 if it
-	// isn't known.
+	// Slowness is the task's run time divided by the expected one; 0 if it isn't known.
 	Slowness float64
 }
 
-// Observe takes a result.
+// Observe records a result.
 func (t *Tracker) Observe(now task.Time, r Result) {
 	u := t.upstreams[r.Upstream]
-	if u == nil || t.cfg.Off {
+	if u == nil || t.cfg.Disabled {
 		return
 	}
 	switch r.Outcome {
 	case Succeeded:
-		t.succeeded(now, u, r)
+		t.observeSuccess(now, u, r)
 	case TaskFailed:
-		t.failed(now, u, t.serviceOf(u, r.Service))
+		t.observeFailure(now, u, t.historyFor(u, r.Service))
 	case Refused:
-		u.refused++
-		if u.refused >= refusals || u.state != open {
-			t.goAway(now, u)
+		u.consecutiveRefusals++
+		if u.consecutiveRefusals >= refusalThreshold || u.state != open {
+			t.setUnavailable(now, u)
 		}
 	case Unreachable:
-		t.goAway(now, u)
+		t.setUnavailable(now, u)
 	}
 }
 
-func (t *Tracker) serviceOf(u *upstream, name string) *history {
-	i, ok := t.services[name]
+func (t *Tracker) historyFor(u *upstream, name string) *history {
+	i, ok := t.serviceIndexes[name]
 	if !ok {
-		i = len(t.services)
-		t.services[name] = i
+		i = len(t.serviceIndexes)
+		t.serviceIndexes[name] = i
 	}
-	for len(u.services) <= i {
-		u.services = append(u.services, history{})
+	for len(u.histories) <= i {
+		u.histories = append(u.histories, history{})
 	}
-	return &u.services[i]
+	return &u.histories[i]
 }
 
-func (t *Tracker) succeeded(now task.Time, u *upstream, r Result) {
+func (t *Tracker) observeSuccess(now task.Time, u *upstream, r Result) {
 	if r.Slowness > 0 {
-		x := math.Log(min(max(r.Slowness, 1.0/ratioLimit), ratioLimit))
-		u.slowness += slowGain * (x - u.slowness)
+		x := math.Log(min(max(r.Slowness, 1.0/maxSlowness), maxSlowness))
+		u.logSlowness += slownessGain * (x - u.logSlowness)
 	}
-	h := t.serviceOf(u, r.Service)
+	h := t.historyFor(u, r.Service)
 	if h.failed&1 == 1 && r.Sent < h.failingSince {
-		// It began before the upstream began to fail. Counted, the tasks that
-		// were running then would hide for seconds that all later ones fail.
+		// The task was sent before the upstream began to fail. If the tasks that ran at that
+		// time counted, they would hide for seconds that all later ones fail.
 		return
 	}
 	h.add(now, false)
-	u.refused = 0
+	u.consecutiveRefusals = 0
 	u.lastSuccess = r.Sent
 	switch u.state {
 	case ejected:
-		// A task sent before the ejection: it says nothing of the present.
+		// The task was sent before the ejection and doesn't show that the upstream has recovered.
 		return
 	case probing:
-		t.comeBack(u)
-		t.wakeGroups(now, u)
+		t.startReturning(u)
+		t.startGroupProbes(now, u)
 	case returning:
 		u.share = min(2*u.share, 1)
 		if u.share == 1 {
 			u.state = open
 		}
-	case away:
+	case unavailable:
 		u.state = open
 		u.suspect = false
 	}
-	t.reweigh(u)
+	t.updateWeight(u)
 }
 
-// comeBack opens an upstream step by step.
-func (t *Tracker) comeBack(u *upstream) {
+// startReturning opens an upstream in steps after a successful probe.
+func (t *Tracker) startReturning(u *upstream) {
 	t.stats.Returns++
-	t.count(u, -1)
+	t.countEjected(u, -1)
 	u.state = returning
-	u.share = returnFrom
-	clear(u.services)
+	u.share = initialShare
+	clear(u.histories)
 }
 
-func (t *Tracker) failed(now task.Time, u *upstream, h *history) {
+func (t *Tracker) observeFailure(now task.Time, u *upstream, h *history) {
 	h.add(now, true)
-	u.refused = 0
+	u.consecutiveRefusals = 0
 	switch u.state {
 	case ejected:
 		return
 	case probing:
-		t.count(u, -1)
+		t.countEjected(u, -1)
 		t.eject(now, u)
-		t.postponeGroups(now, u)
+		t.postponeGroupProbes(now, u)
 		return
 	}
-	switch t.judge(u, t.limit(u)) {
+	switch t.assess(u, t.ejectionThresholdFor(u)) {
 	case suspect:
 		u.suspect = true
-		t.goAway(now, u)
+		t.setUnavailable(now, u)
 	case broken:
 		t.eject(now, u)
 		t.ejectGroups(now, u)
 	}
 }
 
-// limit is the evidence that closes an upstream.
-func (t *Tracker) limit(u *upstream) float64 {
-	if u.state == returning || len(u.reporters) > 0 || t.beside(u) {
-		return enoughBeside
+// ejectionThresholdFor returns the log-likelihood ratio that ejects an upstream.
+func (t *Tracker) ejectionThresholdFor(u *upstream) float64 {
+	if u.state == returning || len(u.reporters) > 0 || t.groupHasEjection(u) {
+		return reducedEjectionThreshold
 	}
-	return enough
+	return ejectionThreshold
 }
 
-// eject closes an upstream for failures, within the ceiling; beyond it, it
-// keeps one slot.
+// eject ejects an upstream. If the limit on ejections is reached, the upstream keeps one slot
+// instead.
 func (t *Tracker) eject(now task.Time, u *upstream) {
-	if (u.ceiling.ejected+1)*100 > t.cfg.MaxEjectedPercent*len(u.ceiling.members) {
+	if (u.domainPool.ejected+1)*100 > t.cfg.MaxEjectedPercent*len(u.domainPool.members) {
 		t.stats.CeilingHits++
 		u.state = returning
 		u.share = MinWeight
-		t.reweigh(u)
+		t.updateWeight(u)
 		return
 	}
 	t.stats.Ejections++
-	t.count(u, 1)
-	u.level++
-	if u.closedAt > 0 && now-u.closedAt > calm*u.wait {
-		u.level = 1
+	t.countEjected(u, 1)
+	u.ejectionLevel++
+	if u.ejectedAt > 0 && now-u.ejectedAt > levelResetFactor*u.ejectionTime {
+		u.ejectionLevel = 1
 	}
 	u.state = ejected
-	u.closedAt = now
-	u.wait = backOff(t.rng, t.cfg.FirstClosed, t.cfg.MaxClosed, u.level-1)
-	u.until = now + u.wait
-	t.reweigh(u)
+	u.ejectedAt = now
+	u.ejectionTime = backoff(t.rng, t.cfg.BaseEjectionTime, t.cfg.MaxEjectionTime, u.ejectionLevel-1)
+	u.until = now + u.ejectionTime
+	t.updateWeight(u)
 }
 
-// count takes account of an upstream closed for failures, or no longer so.
-func (t *Tracker) count(u *upstream, n int) {
-	u.ceiling.ejected += n
+// countEjected adds n to the numbers of ejected upstreams.
+func (t *Tracker) countEjected(u *upstream, n int) {
+	u.domainPool.ejected += n
 	t.ejected += n
 }
 
-// goAway closes an upstream that can't be reached or refuses.
-func (t *Tracker) goAway(now task.Time, u *upstream) {
-	if u.state == ejected || u.state == away && now < u.until {
+// setUnavailable closes an upstream that is unreachable, refuses tasks or is suspect.
+func (t *Tracker) setUnavailable(now task.Time, u *upstream) {
+	if u.state == ejected || u.state == unavailable && now < u.until {
 		return
 	}
 	t.stats.Away++
 	switch u.state {
 	case probing:
-		t.count(u, -1)
+		t.countEjected(u, -1)
 		t.eject(now, u)
 		return
-	case away:
-		u.awayFor++
+	case unavailable:
+		u.unavailableLevel++
 	default:
-		u.awayFor = 0
+		u.unavailableLevel = 0
 	}
-	u.state = away
-	u.until = now + backOff(t.rng, t.cfg.FirstAway, t.cfg.MaxAway, u.awayFor)
-	u.refused = 0
-	t.reweigh(u)
+	u.state = unavailable
+	u.until = now + backoff(t.rng, t.cfg.BaseUnavailableTime, t.cfg.MaxUnavailableTime, u.unavailableLevel)
+	u.consecutiveRefusals = 0
+	t.updateWeight(u)
 }
 
-// Close makes an upstream go away for a while at somebody else's wish, such
-// as a retry budget that is spent.
-func (t *Tracker) Close(now task.Time, name string) {
-	if u := t.upstreams[name]; u != nil && !t.cfg.Off {
-		t.goAway(now, u)
+// MarkUnavailable closes an upstream for a while for another reason than an outcome, such as
+// an exhausted retry budget.
+func (t *Tracker) MarkUnavailable(now task.Time, name string) {
+	if u := t.upstreams[name]; u != nil && !t.cfg.Disabled {
+		t.setUnavailable(now, u)
 	}
 }
 
-// backOff is a jittered wait that doubles with the level, counted from 0.
-func backOff(rng *rand.Rand, first, limit time.Duration, level int) task.Time {
+// backoff returns a jittered wait that doubles with each level, starting at level 0.
+func backoff(rng *rand.Rand, first, limit time.Duration, level int) task.Time {
 	d := limit
 	if level < 20 {
 		d = min(first<<level, limit)
@@ -367,68 +376,68 @@
 	return d - time.Duration(rng.Int64N(int64(d)/4+1))
 }
 
-// Tick opens what is due.
+// Tick probes the ejected upstreams that are due and reopens the unavailable ones.
 func (t *Tracker) Tick(now task.Time) {
-	for _, u := range t.order {
+	for _, u := range t.sorted {
 		if now < u.until || u.until == 0 {
 			continue
 		}
 		switch u.state {
 		case ejected:
-			if t.triedElsewhere(now, u) {
+			if t.deferProbe(now, u) {
 				continue
 			}
 			t.stats.Probes++
 			u.state = probing
 			u.until = 0
-			t.reweigh(u)
-		case away:
-			t.endAway(now, u)
+			t.updateWeight(u)
+		case unavailable:
+			t.endUnavailable(now, u)
 		}
 	}
 }
 
-// endAway lets one task try an upstream that was away, or closes one for good
-// that was suspect if others have done well meanwhile. The state stays away,
-// so that a second failure waits longer.
-func (t *Tracker) endAway(now task.Time, u *upstream) {
+// endUnavailable opens one slot of an upstream that was unavailable. If the upstream was
+// suspect and enough others have succeeded in the meantime, it ejects the upstream instead. The
+// state stays unavailable until a task succeeds, so that a second failure closes it for longer.
+func (t *Tracker) endUnavailable(now task.Time, u *upstream) {
 	u.until = 0
 	wasSuspect := u.suspect
 	u.suspect = false
-	if wasSuspect && t.judge(u, t.limit(u)) == broken {
+	if wasSuspect && t.assess(u, t.ejectionThresholdFor(u)) == broken {
 		t.eject(now, u)
 		t.ejectGroups(now, u)
 		return
 	}
-	t.reweigh(u)
+	t.updateWeight(u)
 }
 
-// reweigh records the weight that follows from the state if it has changed.
-func (t *Tracker) reweigh(u *upstream) {
+// updateWeight emits a Change if the weight that follows from the state has changed.
+func (t *Tracker) updateWeight(u *upstream) {
 	w := 1.0
 	until := task.Time(0)
 	switch {
-	case u.state == ejected, u.state == away && u.until > 0:
+	case u.state == ejected, u.state == unavailable && u.until > 0:
 		w = 0
 		until = u.until
-	case u.state == probing, u.state == away:
+	case u.state == probing, u.state == unavailable:
 		w = MinWeight
 	default:
-		w = u.share * speed(u.slowness)
+		w = u.share * slownessShare(u.logSlowness)
 	}
 	if w == u.weight && until == 0 {
 		return
 	}
 	u.weight = w
-	t.changes = append(t.changes, Change{u.name, w, until, u.state.String(), u.state != u.told})
-	u.told = u.state
+	t.changes = append(t.changes, Change{u.name, w, until, u.state.String(), u.state != u.reportedState})
+	u.reportedState = u.state
 }
 
-// speed is the share for an upstream whose tasks run longer than expected, in
-// steps of an eighth so that noise doesn't make the weight flap.
-func speed(slowness float64) float64 {
-	factor := math.Exp(slowness)
-	if factor < slowFrom {
+// slownessShare is the share of slots for an upstream whose tasks run longer than expected, in
+// steps of an eighth so that noise doesn't make the weight fluctuate.
+func slownessShare(logSlowness float64) float64 {
+	factor := math.Exp(logSlowness)
+	if factor < slownessThreshold {
 		return 1
 	}
 	const steps = 8
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -20,12 +20,12 @@
 }
 
 const (
-	hollowell = "hollowell"
-	far       = time.Hour
+	hollowell       = "hollowell"
+	distantDeadline = time.Hour
 )
 
 func job(id JobID, arrived task.Time, work ...task.Time) Job {
-	return Job{ID: id, Institution: hollowell, Arrived: arrived, Deadline: far, Work: work}
+	return Job{ID: id, Institution: hollowell, Arrived: arrived, Deadline: distantDeadline, RunTimes: work}
 }
 
 func drain(q *Queue) []Ref {
@@ -67,8 +67,8 @@
 	}
 }
 
-// A team has used up its quota while others wait behind it. Were the queue to
-// stop at its first job, the other teams' labels would be held up as well.
+// A team has used up its quota while tasks of other teams wait behind its job. If the queue stopped
+// at that job, the other teams would be delayed as well.
 func TestTeamWithoutQuotaIsPassedOver(t *testing.T) {
 	g := NewWithT(t)
 	q := New()
@@ -86,8 +86,8 @@
 	g.Expect(ok).To(BeFalse())
 }
 
-// Short jobs keep arriving faster than they are served. Without a bound on how
-// far they go ahead, a long job that came first would never start.
+// Short jobs arrive faster than they are served. Without a limit on how far they can overtake, a
+// long job that arrived first would never start.
 func TestLongJobIsNotStarved(t *testing.T) {
 	g := NewWithT(t)
 	q := New()
@@ -104,8 +104,8 @@
 	t.Fatal("the long job never started")
 }
 
-// Over any order of calls each waiting task is served once, none of a held or
-// removed job is, and what comes out is never ranked after what stays.
+// In any order of calls, each waiting task is served once, no task of a held or removed job is
+// served, and no served task has a later rank than one that stays waiting.
 func TestQueueAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New()
@@ -119,7 +119,7 @@
 				last++
 				j := job(last, task.Time(last), rapid.SliceOfN(rapid.Map(rapid.IntRange(1, 9), func(n int) task.Time { return task.Time(n) }), 1, 5).Draw(t, "work")...)
 				j.Team = rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "team")
-				for i := range j.Work {
+				for i := range j.RunTimes {
 					waiting[Ref{last, i}] = true
 				}
 				q.Add(j)
@@ -141,9 +141,9 @@
 				delete(waiting, r)
 				taken = append(taken, r)
 				e := q.jobs[r.Job]
-				rank := min(e.due(r.Index)+e.longest, far-e.longest)
+				rank := min(e.latestStart(r.Index)+e.longest, distantDeadline-e.longest)
 				for w := range waiting {
-					if o := q.jobs[w.Job]; !held[w.Job] && min(o.due(w.Index)+o.longest, far-o.longest) < rank {
+					if o := q.jobs[w.Job]; !held[w.Job] && min(o.latestStart(w.Index)+o.longest, distantDeadline-o.longest) < rank {
 						t.Fatalf("%v served before %v", r, w)
 					}
 				}
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -154,7 +154,7 @@
 	gauge(jobsDesc, c.Submissions)
 	gauge(runningDesc, c.RunningStarts)
 	for use, n := range map[string]int{
-		"busy": summary.Slots.Busy, "idle": summary.Slots.Idle, "resting": summary.Slots.Resting, "lent": summary.Slots.Lent, "borrowed": summary.Slots.Borrowed,
+		"busy": summary.Slots.Busy, "idle": summary.Slots.Idle, "resting": summary.Slots.CoolingDown, "lent": summary.Slots.Lent, "borrowed": summary.Slots.Borrowed,
 	} {
 		gauge(slotsDesc, n, use)
 	}
