--- a/node/upstreams.go
+++ b/node/upstreams.go
@@ -20,24 +20,25 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// pingAfter is the silence after which a connection is probed, and
-	// pingTimeout the time it has to answer.
-	pingAfter     = time.Second
+	// pingIdleTime is the idle time after which a connection is pinged, and pingTimeout
+	// the timeout of the ping.
+	pingIdleTime  = time.Second
 	pingTimeout   = time.Second
 	settleTimeout = 2 * time.Second
 	stopTimeout   = 2 * time.Second
-	// unlistedKept is how long an upstream that left the list can be asked.
-	unlistedKept = 10 * time.Minute
-	// maxOutputBytes is the largest output of one task.
+	// unlistedRetention is how long an upstream can still be queried after it left the
+	// list of members.
+	unlistedRetention = 10 * time.Minute
+	// maxOutputBytes is the limit of the size of one task's output.
 	maxOutputBytes = 4 << 20
 )
 
 // upstreamClient sends tasks to upstreams over HTTP.
 //
-// Each upstream has one HTTP/2 connection. A middlebox may forget the
-// connection while new ones work; then nothing arrives on it and nothing
-// fails. The pings on the connection itself notice within two seconds, and
-// the starts on it are settled over another connection.
+// Each upstream has one HTTP/2 connection. A middlebox may drop the state of the
+// connection while new ones work; then nothing more arrives on it and no error is
+// reported. Pings detect that within two seconds, and the starts sent on it are then
+// settled over another connection.
 type upstreamClient struct {
 	node *Node
 
@@ -48,8 +49,8 @@
 type upstreamConn struct {
 	address string
 	client  *http.Client
-	// unlisted is when the upstream left the list; zero while it is listed.
-	unlisted time.Time
+	// unlistedAt is when the upstream left the list; zero while it is listed.
+	unlistedAt time.Time
 }
 
 func newUpstreamClient(n *Node) *upstreamClient {
@@ -63,27 +64,26 @@
 		Protocols:   &p,
 		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		HTTP2: &http.HTTP2Config{
-			SendPingTimeout: pingAfter,
+			SendPingTimeout: pingIdleTime,
 			PingTimeout:     pingTimeout,
-			// Each task's path is another, so entering it into the table of
-			// headers only drives the others out again.
+			// Each task has a different path, and entries for the paths would evict the
+			// other headers from the table.
 			MaxEncoderHeaderTableSize: 1,
 		},
 	}
 }
 
-// setMembers takes the list of upstreams. One that has left the list gets no
-// new tasks, but can be asked for a while about those that it was sent: a
-// connection that falls silent just then would otherwise turn a finished job
-// into an unknown one.
+// setMembers sets the list of upstreams. An upstream that is no longer listed gets no new
+// tasks, but can be queried for a while about the tasks that it was sent. Otherwise a
+// connection lost at that moment would leave the outcome of a finished job unknown.
 func (u *upstreamClient) setMembers(m task.Members) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	listed := make(map[string]bool, len(m.Upstreams))
 	for _, up := range m.Upstreams {
 		listed[up.Name] = true
-		if c := u.conns[up.Name]; c != nil && c.address == up.Address {
-			c.unlisted = time.Time{}
+		if conn := u.conns[up.Name]; conn != nil && conn.address == up.Address {
+			conn.unlistedAt = time.Time{}
 			continue
 		}
 		u.conns[up.Name] = &upstreamConn{address: up.Address, client: &http.Client{Transport: newTransport()}}
@@ -91,16 +91,16 @@
 	for name, c := range u.conns {
 		switch {
 		case listed[name]:
-		case c.unlisted.IsZero():
-			c.unlisted = time.Now()
-		case time.Since(c.unlisted) > unlistedKept:
+		case c.unlistedAt.IsZero():
+			c.unlistedAt = time.Now()
+		case time.Since(c.unlistedAt) > unlistedRetention:
 			c.client.CloseIdleConnections()
 			delete(u.conns, name)
 		}
 	}
 }
 
-// conn returns a copy, because the list may change meanwhile.
+// conn returns a copy, because the list may change concurrently.
 func (u *upstreamClient) conn(name string) (upstreamConn, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -111,19 +111,19 @@
 	return *c, true
 }
 
-// start sends a task once.
+// start sends a task once and posts the result, in the background.
 func (u *upstreamClient) start(ctx context.Context, cmd dispatch.StartTask) {
 	go func() {
-		u.node.post(dispatch.StartResult{Start: cmd.Start, Result: u.send(ctx, cmd)})
+		u.node.post(dispatch.StartResult{Start: cmd.Start, Result: u.sendStart(ctx, cmd)})
 	}()
 }
 
-func (u *upstreamClient) send(ctx context.Context, cmd dispatch.StartTask) task.Result {
+func (u *upstreamClient) sendStart(ctx context.Context, cmd dispatch.StartTask) task.Result {
 	c, known := u.conn(cmd.Upstream)
-	if !known || !c.unlisted.IsZero() {
+	if !known || !c.unlistedAt.IsZero() {
 		return task.Result{Verdict: task.NotStarted, Detail: "the upstream isn't listed"}
 	}
-	left := cmd.Deadline - u.node.now()
+	left := cmd.Deadline - u.node.elapsed()
 	if left <= 0 {
 		return task.Result{Verdict: task.NotStarted, Detail: "the deadline passed before the task was sent"}
 	}
@@ -137,7 +137,7 @@
 	if err != nil {
 		return task.Result{Verdict: task.NotStarted, Detail: err.Error()}
 	}
-	return do(c.client, req)
+	return doRequest(c.client, req)
 }
 
 func newRequest(ctx context.Context, address, path string, query url.Values, body []byte) (*http.Request, error) {
@@ -146,14 +146,14 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody the transport can't send the body a second time: a task
-	// that it sent twice by itself would be a second start nobody counted.
+	// Without GetBody the transport can't send the body again: a retry by the transport
+	// would be a second start that isn't accounted for.
 	req.GetBody = nil
 	return req, nil
 }
 
-// do sends a request and reads the verdict.
-func do(client *http.Client, req *http.Request) task.Result {
+// doRequest sends a request and reads the verdict.
+func doRequest(client *http.Client, req *http.Request) task.Result {
 	res, err := client.Do(req)
 	if err != nil {
 		return errorResult(err)
@@ -166,11 +166,11 @@
 	if len(body) > maxOutputBytes {
 		return task.Result{Verdict: task.Failed, Detail: "the output is too large"}
 	}
-	return verdict(res, body)
+	return resultOf(res, body)
 }
 
-// errorResult says what a failed request proves. Only a connection that was
-// never made proves that nothing was sent.
+// errorResult returns the result of a failed request. Only a failure to connect proves
+// that nothing was sent.
 func errorResult(err error) task.Result {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -179,7 +179,7 @@
 	return task.Result{Verdict: task.Lost, Detail: err.Error()}
 }
 
-func verdict(res *http.Response, body []byte) task.Result {
+func resultOf(res *http.Response, body []byte) task.Result {
 	r := task.Result{
 		UpstreamRun: res.Header.Get(upstream.HeaderRun),
 		Leaving:     res.Header.Get(upstream.HeaderLeaving) != "",
@@ -204,12 +204,12 @@
 	return r
 }
 
-// settle asks on a new connection what became of a start.
+// settle queries the state of a start over a new connection.
 func (u *upstreamClient) settle(ctx context.Context, cmd dispatch.Settle) {
 	go func() {
-		r := u.askAnew(ctx, cmd.Upstream, cmd.Name, upstream.PathSettle, settleTimeout)
+		r := u.queryOnNewConnection(ctx, cmd.Upstream, cmd.Name, upstream.PathSettle, settleTimeout)
 		if r.Verdict == task.NotStarted && !r.Refused {
-			// The question couldn't be sent, which proves nothing of the task.
+			// The query couldn't be sent, which proves nothing about the task.
 			r.Verdict = task.Lost
 		}
 		if r.Verdict == task.NotStarted && (cmd.UpstreamRun == "" || r.UpstreamRun != cmd.UpstreamRun) {
@@ -220,34 +220,34 @@
 	}()
 }
 
-// stop tells an upstream that a result isn't wanted. It uses the connection
-// that is there: in a wave of cancellations a new one for each task would use
-// up what the upstream accepts, and a stop that is lost only wastes a slot.
+// stop notifies an upstream that a result is no longer wanted. It uses the existing
+// connection: with many cancellations at once, new connections would exceed the number
+// that the upstream accepts, and a lost stop only wastes a slot.
 func (u *upstreamClient) stop(ctx context.Context, cmd dispatch.StopTask) {
 	c, known := u.conn(cmd.Upstream)
 	if !known {
 		return
 	}
-	go ask(ctx, c.client, c.address, cmd.Name, upstream.PathStop, stopTimeout)
+	go queryTask(ctx, c.client, c.address, cmd.Name, upstream.PathStop, stopTimeout)
 }
 
-// askAnew asks on a connection of its own.
-func (u *upstreamClient) askAnew(ctx context.Context, name, taskName, path string, timeout time.Duration) task.Result {
+// queryOnNewConnection queries the state of a task over a new connection.
+func (u *upstreamClient) queryOnNewConnection(ctx context.Context, name, taskName, path string, timeout time.Duration) task.Result {
 	c, known := u.conn(name)
 	if !known {
 		return task.Result{Verdict: task.Unknown, Detail: "the upstream isn't listed"}
 	}
 	transport := newTransport()
 	defer transport.CloseIdleConnections()
-	return ask(ctx, &http.Client{Transport: transport}, c.address, taskName, path, timeout)
+	return queryTask(ctx, &http.Client{Transport: transport}, c.address, taskName, path, timeout)
 }
 
-func ask(ctx context.Context, client *http.Client, address, taskName, path string, timeout time.Duration) task.Result {
+func queryTask(ctx context.Context, client *http.Client, address, taskName, path string, timeout time.Duration) task.Result {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := newRequest(ctx, address, path, url.Values{upstream.ParamTask: {taskName}}, nil)
 	if err != nil {
 		return task.Result{Verdict: task.Lost, Detail: err.Error()}
 	}
-	return do(client, req)
+	return doRequest(client, req)
 }
