--- a/bench/scenarios.go
+++ b/bench/scenarios.go
@@ -39,9 +39,9 @@
 	c.AdmissionPolicy.OverloadWaitPercent = c.AdmissionPolicy.WaitPercent
 }
 
-func ownHealthOnly(c *dispatch.Config) { c.Health.Alone = true }
+func ownHealthOnly(c *dispatch.Config) { c.Health.IgnorePeers = true }
 
-func withoutHealth(c *dispatch.Config) { c.Health.Off = true }
+func withoutHealth(c *dispatch.Config) { c.Health.Disabled = true }
 
 // runAll runs scenarios concurrently.
 func runAll(list []Scenario) []*Run {
--- a/client/entry.go
+++ b/client/entry.go
@@ -16,29 +16,30 @@
 )
 
 const (
-	// idsPerBlock is the number of ids asked for at once.
+	// idsPerBlock is the number of ids requested at once.
 	idsPerBlock = 256
-	// idMargin is kept from the end of a block's validity, for the way of the
-	// submission; never more than a tenth of the validity.
-	idMargin       = 5 * time.Second
-	idMarginDivide = 10
-	// downTime is how long an entry that failed is tried last.
-	downTime    = time.Second
-	dialTimeout = 2 * time.Second
-	// pingAfter and pingTimeout bound how long a silent connection goes
-	// unnoticed.
-	pingAfter   = time.Second
-	pingTimeout = time.Second
+	// idMargin is how long before its expiry a block is no longer used, to allow
+	// for the transmission of the submission. It is at most the validity divided
+	// by idMarginDivisor.
+	idMargin        = 5 * time.Second
+	idMarginDivisor = 10
+	// downDuration is how long an entry that failed is tried after the others.
+	downDuration = time.Second
+	dialTimeout  = 2 * time.Second
+	// pingIdleTime and pingTimeout bound how long a dead connection goes
+	// undetected.
+	pingIdleTime = time.Second
+	pingTimeout  = time.Second
 )
 
-// entry is one URL with the ids it gave.
+// entry is one URL with the current block of ids obtained from it.
 type entry struct {
 	rpc       sapphirepointv1connect.CallerServiceClient
 	token     string
 	stats     *counters
 	transport *http.Transport
-	// fetching is held by the one call that obtains a block.
-	fetching chan struct{}
+	// fetchSlot is held by the call that is obtaining a block.
+	fetchSlot chan struct{}
 
 	mu        sync.Mutex
 	block     *pb.IdBlock
@@ -49,7 +50,7 @@
 }
 
 func newEntry(url string, cfg Config, stats *counters) *entry {
-	e := &entry{token: cfg.Token, stats: stats, fetching: make(chan struct{}, 1)}
+	e := &entry{token: cfg.Token, stats: stats, fetchSlot: make(chan struct{}, 1)}
 	hc := cfg.HTTPClient
 	if hc == nil {
 		e.transport = e.newTransport(cfg)
@@ -67,29 +68,30 @@
 	return &http.Transport{
 		Protocols:       &p,
 		TLSClientConfig: cfg.TLS,
-		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
+		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingIdleTime, PingTimeout: pingTimeout},
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			return &watchedConn{Conn: conn, closed: e.dropBlock}, nil
+			return &notifyingConn{Conn: conn, onClose: e.dropBlock}, nil
 		},
 	}
 }
 
-// watchedConn drops the ids of a connection that ends. Behind a balancer the
-// next connection may lead to another process, and after a restart the ids'
-// holder is gone: a first submission under such an id would be answered
-// "failed, may have run", though it never ran.
-type watchedConn struct {
+// notifyingConn calls onClose when it is closed. It is used to drop the ids that
+// were obtained over the connection: behind a load balancer the next connection may
+// lead to another process, and after a restart the holder of the ids no longer
+// exists. A first submission under such an id would be answered "failed, may have
+// run", though it never ran.
+type notifyingConn struct {
 	net.Conn
-	closed func()
+	onClose func()
 }
 
 // Close implements net.Conn.
-func (c *watchedConn) Close() error {
-	c.closed()
+func (c *notifyingConn) Close() error {
+	c.onClose()
 	return c.Conn.Close()
 }
 
@@ -114,35 +116,35 @@
 func (e *entry) setDown(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.downUntil = now.Add(downTime)
+	e.downUntil = now.Add(downDuration)
 	e.block = nil
 }
 
-// gave says whether the entry's latest block came from the id's holder.
-func (e *entry) gave(id *pb.SubmissionId) bool {
+// issued reports whether the entry's latest block came from the id's holder.
+func (e *entry) issued(id *pb.SubmissionId) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return id.GetIssued() != nil && task.IncarnationOf(id.GetIssued().GetHolder()) == e.holder
 }
 
-// newID takes an id from the entry's block, with a new block if need be.
+// newID takes an id from the entry's block and requests a new block if necessary.
 func (e *entry) newID(ctx context.Context) (*pb.SubmissionId, error) {
 	if id := e.takeID(time.Now()); id != nil {
 		return id, nil
 	}
 	select {
-	case e.fetching <- struct{}{}:
+	case e.fetchSlot <- struct{}{}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	defer func() { <-e.fetching }()
+	defer func() { <-e.fetchSlot }()
 	if id := e.takeID(time.Now()); id != nil {
 		return id, nil
 	}
 	asked := time.Now()
-	block, err := e.issue(ctx)
+	block, err := e.requestBlock(ctx)
 	if err != nil {
-		if !final(err) && ctx.Err() == nil {
+		if !isPermanent(err) && ctx.Err() == nil {
 			e.setDown(asked)
 		}
 		return nil, err
@@ -151,13 +153,13 @@
 	if id := e.takeID(asked); id != nil {
 		return id, nil
 	}
-	return nil, errors.New("the connection ended as it gave ids")
+	return nil, errors.New("the connection closed while the ids were obtained")
 }
 
-func (e *entry) issue(ctx context.Context) (*pb.IdBlock, error) {
+func (e *entry) requestBlock(ctx context.Context) (*pb.IdBlock, error) {
 	e.stats.calls.Add(1)
-	e.stats.blocks.Add(1)
-	res, err := e.rpc.IssueIds(ctx, authorized(e, &pb.IssueIdsRequest{Count: idsPerBlock}))
+	e.stats.idBlocks.Add(1)
+	res, err := e.rpc.IssueIds(ctx, newRequest(e, &pb.IssueIdsRequest{Count: idsPerBlock}))
 	if err != nil {
 		return nil, err
 	}
@@ -174,7 +176,7 @@
 	valid := time.Duration(b.GetValidMs()) * time.Millisecond
 	e.block = b
 	e.next = 0
-	e.expires = asked.Add(valid - min(idMargin, valid/idMarginDivide))
+	e.expires = asked.Add(valid - min(idMargin, valid/idMarginDivisor))
 	e.holder = task.IncarnationOf(b.GetHolder())
 }
 
@@ -189,23 +191,23 @@
 	return &pb.SubmissionId{Kind: &pb.SubmissionId_Issued{Issued: id}}
 }
 
-func authorized[T any](e *entry, m *T) *connect.Request[T] {
+func newRequest[T any](e *entry, m *T) *connect.Request[T] {
 	r := connect.NewRequest(m)
 	if e.token != "" {
-		r.Header().Set("Authorization", bearer+e.token)
+		r.Header().Set("Authorization", bearerPrefix+e.token)
 	}
 	return r
 }
 
-// submit sends a submission once and checks the answer.
+// submit sends a submission once and verifies the answer.
 func (e *entry) submit(ctx context.Context, s *pb.Submission) (*pb.Answer, error) {
 	e.stats.calls.Add(1)
-	res, err := e.rpc.Submit(ctx, authorized(e, s))
+	res, err := e.rpc.Submit(ctx, newRequest(e, s))
 	if err != nil {
 		return nil, err
 	}
-	if err := check(s, res.Msg); err != nil {
-		e.stats.foreign.Add(1)
+	if err := verifyAnswer(s, res.Msg); err != nil {
+		e.stats.rejectedAnswers.Add(1)
 		return nil, err
 	}
 	return res.Msg, nil
@@ -213,14 +215,14 @@
 
 func (e *entry) cancel(ctx context.Context, id *pb.SubmissionId) (*pb.Answer, error) {
 	e.stats.calls.Add(1)
-	res, err := e.rpc.Cancel(ctx, authorized(e, &pb.CancelRequest{Id: id}))
+	res, err := e.rpc.Cancel(ctx, newRequest(e, &pb.CancelRequest{Id: id}))
 	if err != nil {
 		return nil, err
 	}
 	a := res.Msg.GetAnswer()
 	if !sameID(a.GetId(), id) {
-		e.stats.foreign.Add(1)
-		return nil, ErrForeignAnswer
+		e.stats.rejectedAnswers.Add(1)
+		return nil, ErrMismatchedAnswer
 	}
 	return a, nil
 }
--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -1,7 +1,7 @@
-// Package admission decides by the institutions' terms which jobs are taken
-// on: quotas and ceilings over all entry processes, what can never run, what
-// can't be done in its time and when to come back, and how long tasks really
-// take.
+// Package admission decides which jobs are accepted under the declared settings of the
+// institutions. It enforces quotas and ceilings across all entry processes, refuses jobs that can
+// never run or would miss their time limit, spreads the retry times of refused callers, and
+// corrects declared run times by observed ones.
 package admission
 
 import (
@@ -13,49 +13,49 @@
 )
 
 const (
-	// doubt is how far a job's expected times may be off before it is said
-	// that it can never run.
-	doubt = 4
-	// maxComeBack bounds the time after which a refused caller is asked back.
-	maxComeBack = 30 * time.Second
+	// estimateErrorFactor is the factor by which expected run times may be too long. A job is
+	// refused as too large or never runnable only if it still doesn't fit after division by it.
+	estimateErrorFactor = 4
+	// maxRetryAfter limits the retry time given to a refused caller.
+	maxRetryAfter = 30 * time.Second
 )
 
-// Job is what a decision needs to know of a job; times as expected.
+// Job describes a job to be decided on. Run times are expected ones.
 type Job struct {
-	// Work is the run time of all tasks, Longest that of the longest.
+	// Work is the total run time of all tasks, Longest the run time of the longest task.
 	Work, Longest time.Duration
-	// Allowed is the time that the job has.
-	Allowed time.Duration
-	// CPUMillis and MemoryMiB are what one task needs.
+	// TimeLimit is the time left until the job's deadline.
+	TimeLimit time.Duration
+	// CPUMillis and MemoryMiB are the CPU, in thousandths of a core, and the memory that one
+	// task needs.
 	CPUMillis, MemoryMiB uint32
 }
 
-// Capacity is what there is for an institution's jobs.
+// Capacity describes the resources and the backlog of an institution.
 type Capacity struct {
-	// Slots is how many this process can use at present.
+	// Slots is the number of slots that this process can use at present.
 	Slots int
-	// Most is how many the job could ever use at once; 0 if it isn't known.
-	Most int
-	// Queued is the expected run time of the waiting tasks.
+	// MaxSlots is the largest number of slots that the job could ever use at once, 0 if unknown.
+	MaxSlots int
+	// Queued is the total expected run time of the waiting tasks.
 	Queued time.Duration
-	// WaitPercent is the part of its time that a job may be expected to wait.
+	// WaitPercent is the percentage of its time limit that a job may be expected to wait.
 	WaitPercent int
-	// CPUMillis and MemoryMiB are the size of the largest worker; 0 if it
-	// isn't known.
+	// CPUMillis and MemoryMiB are the size of the largest worker, 0 if unknown.
 	CPUMillis, MemoryMiB uint32
 }
 
-// Refusal says why a job isn't taken on.
+// Refusal is the reason for which a job isn't accepted.
 type Refusal struct {
 	Reason pb.Reason
 	Detail string
-	// Excess is the time by which the job would miss its own; 0 if coming back
-	// can't help.
+	// Excess is the time by which the expected wait or run time exceeds what the time limit
+	// allows. It is 0 if a later attempt would be refused too.
 	Excess time.Duration
 }
 
-// Decide says whether a job is taken on; nil means yes. It depends on nothing
-// but its arguments.
+// Decide returns nil if the job is accepted, else the refusal. The result depends on the
+// arguments alone.
 func Decide(j Job, c Capacity) *Refusal {
 	if r := neverRunnable(j, c); r != nil {
 		return r
@@ -65,32 +65,33 @@
 		return tooLarge(j, slots)
 	}
 	wait := c.Queued / slots
-	most := min(j.Allowed*time.Duration(c.WaitPercent)/100, j.Allowed-max(j.Longest, j.Work/slots))
-	if wait <= most {
+	maxWait := min(j.TimeLimit*time.Duration(c.WaitPercent)/100, j.TimeLimit-max(j.Longest, j.Work/slots))
+	if wait <= maxWait {
 		return nil
 	}
 	return &Refusal{
 		Reason: pb.Reason_REASON_OVERLOADED,
-		Detail: fmt.Sprintf("the wait is about %d ms; with %d ms allowed it may be %d ms", wait.Milliseconds(), j.Allowed.Milliseconds(), max(most, 0).Milliseconds()),
-		Excess: wait - max(most, 0),
+		Detail: fmt.Sprintf("the wait is about %d ms; with %d ms allowed it may be %d ms", wait.Milliseconds(), j.TimeLimit.Milliseconds(), max(maxWait, 0).Milliseconds()),
+		Excess: wait - max(maxWait, 0),
 	}
 }
 
-// tooLarge finds a job that can't be done in its time on the slots there are
-// though nobody waits; others may be lent or come back.
+// tooLarge refuses a job whose work doesn't fit into its time limit on the present slots, even
+// though no task is waiting. A later attempt may succeed, when peers lend slots or return borrowed
+// ones.
 func tooLarge(j Job, slots time.Duration) *Refusal {
-	if j.Work/slots/doubt <= j.Allowed {
+	if j.Work/slots/estimateErrorFactor <= j.TimeLimit {
 		return nil
 	}
 	return &Refusal{
 		Reason: pb.Reason_REASON_OVERLOADED,
-		Detail: fmt.Sprintf("%d ms of work can't be done in %d ms on the %d slots there are at present", j.Work.Milliseconds(), j.Allowed.Milliseconds(), slots),
-		Excess: j.Work/slots - j.Allowed,
+		Detail: fmt.Sprintf("%d ms of work can't be done in %d ms on the %d slots there are at present", j.Work.Milliseconds(), j.TimeLimit.Milliseconds(), slots),
+		Excess: j.Work/slots - j.TimeLimit,
 	}
 }
 
-// neverRunnable finds what no waiting can mend. Run times are believed only
-// within doubt; sizes as declared.
+// neverRunnable refuses a job that can't run however long it waits. Run times are assumed to be up
+// to estimateErrorFactor times too long, CPU and memory are taken as declared.
 func neverRunnable(j Job, c Capacity) *Refusal {
 	never := func(format string, args ...any) *Refusal {
 		return &Refusal{Reason: pb.Reason_REASON_NEVER_RUNNABLE, Detail: fmt.Sprintf(format, args...)}
@@ -100,28 +101,27 @@
 		return never("a task needs %d thousandths of a core and the largest worker has %d", j.CPUMillis, c.CPUMillis)
 	case c.MemoryMiB > 0 && j.MemoryMiB > c.MemoryMiB:
 		return never("a task needs %d MiB and the largest worker has %d", j.MemoryMiB, c.MemoryMiB)
-	case j.Longest/doubt > j.Allowed:
-		return never("a task is expected to run %d ms and the job has %d ms", j.Longest.Milliseconds(), j.Allowed.Milliseconds())
-	case c.Most > 0 && j.Work/doubt/time.Duration(c.Most) > j.Allowed:
-		return never("%d ms of work can't be done in %d ms on %d slots, the most it may ever hold", j.Work.Milliseconds(), j.Allowed.Milliseconds(), c.Most)
+	case j.Longest/estimateErrorFactor > j.TimeLimit:
+		return never("a task is expected to run %d ms and the job has %d ms", j.Longest.Milliseconds(), j.TimeLimit.Milliseconds())
+	case c.MaxSlots > 0 && j.Work/estimateErrorFactor/time.Duration(c.MaxSlots) > j.TimeLimit:
+		return never("%d ms of work can't be done in %d ms on %d slots, the most it may ever hold", j.Work.Milliseconds(), j.TimeLimit.Milliseconds(), c.MaxSlots)
 	}
 	return nil
 }
 
-// ComeBack spreads refused callers over the time in which there will be room
-// for them. If all were told the same time, they would come back as one burst,
-// and most be refused again.
-type ComeBack struct {
-	// next is when the capacity promised to those refused so far is used up.
-	next task.Time
+// RetrySpreader assigns refused callers different retry times, at the rate at which capacity
+// becomes free. With equal times they would return in one burst, and most would be refused again.
+type RetrySpreader struct {
+	// promisedUntil is when the capacity assigned to the callers refused so far is used up.
+	promisedUntil task.Time
 }
 
-// After is when a refused job should come back, from now.
-func (b *ComeBack) After(now task.Time, r *Refusal, j Job, c Capacity) time.Duration {
+// RetryAfter returns the time from now after which the caller of a refused job should retry.
+func (b *RetrySpreader) RetryAfter(now task.Time, r *Refusal, j Job, c Capacity) time.Duration {
 	if r.Excess == 0 {
 		return 0
 	}
-	b.next = max(b.next, now+r.Excess) + j.Work/time.Duration(max(c.Slots, 1))
-	b.next = min(b.next, now+maxComeBack)
-	return b.next - now
+	b.promisedUntil = max(b.promisedUntil, now+r.Excess) + j.Work/time.Duration(max(c.Slots, 1))
+	b.promisedUntil = min(b.promisedUntil, now+maxRetryAfter)
+	return b.promisedUntil - now
 }
--- a/core/dispatch/borrowing.go
+++ b/core/dispatch/borrowing.go
@@ -21,11 +21,11 @@
 		return
 	}
 	limits := c.lendingLimits(inst)
-	need := c.queue.Late(c.now, name, queue.Demand{
-		Pace:      c.slotInterval(name),
-		Tolerance: limits.Tolerance,
-		Typical:   c.meanRunTime(name),
-		Slack:     limits.Slack,
+	need := c.queue.CountLate(c.now, name, queue.LatenessCriteria{
+		StartInterval:  c.slotInterval(name),
+		Tolerance:      limits.Tolerance,
+		TypicalRunTime: c.meanRunTime(name),
+		MaxSlack:       limits.Slack,
 	})
 	need -= c.pendingSlots(name)
 	if need > 0 {
@@ -156,7 +156,7 @@
 		name := inst.GetName()
 		spare := min(c.lending.spare[name], c.pool.SpareBorrowed(name, false))
 		if spare > 0 {
-			c.lending.spare[name] -= c.pool.GiveBackIdle(to, spare)
+			c.lending.spare[name] -= c.pool.ReturnIdle(to, spare)
 		}
 	}
 	for _, r := range c.pool.Returns(to) {
--- a/core/dispatch/capacity.go
+++ b/core/dispatch/capacity.go
@@ -86,7 +86,7 @@
 func (c *Core) usableUnits(key admission.Key, overloaded bool) (int, bool) {
 	units, binding := c.admission.quotas.Usable(c.now, key)
 	if binding && !overloaded {
-		units = max(units, c.admission.quotas.Most(key.Institution, key.Team))
+		units = max(units, c.admission.quotas.MaxSlots(key.Institution, key.Team))
 	}
 	return units, binding
 }
@@ -101,7 +101,7 @@
 	}
 	blocked := 0
 	for key, q := range c.admission.teams {
-		if key.Institution == institution && key.Team != "" && !c.admission.quotas.Room(c.now, key) {
+		if key.Institution == institution && key.Team != "" && !c.admission.quotas.HasCapacity(c.now, key) {
 			blocked += q.tasks
 		}
 	}
@@ -113,7 +113,7 @@
 	name := sub.id.Institution
 	s := c.admission.totals[name]
 	maxSlots := s.slots
-	if limit := c.admission.quotas.Most(name, sub.request.GetTeam()); limit > 0 && (maxSlots == 0 || limit < maxSlots) {
+	if limit := c.admission.quotas.MaxSlots(name, sub.request.GetTeam()); limit > 0 && (maxSlots == 0 || limit < maxSlots) {
 		maxSlots = limit
 	}
 	// Lent slots are returned as soon as their borrower does not need them. Without
@@ -130,7 +130,7 @@
 	}
 	return admission.Capacity{
 		Slots:       usable,
-		Most:        maxSlots,
+		MaxSlots:    maxSlots,
 		Queued:      c.queuedWork(name),
 		WaitPercent: c.maxWaitPercent(name),
 		CPUMillis:   s.cpuMillis,
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -1,14 +1,14 @@
 // Package queue orders the tasks that wait for a slot.
 //
-// Priority goes first. Within a priority each task has a rank, the time by
-// which it has to start: for the longest task of a job that is the arrival of
-// the job, for a shorter one as much later as it is shorter, because it can
-// wait without holding up the answer. Longer jobs are ranked later by a part of
-// their length, since the same wait is a smaller part of their response. A
-// rank never passes the last moment that leaves time before the deadline.
+// Tasks of higher priority come first. Within a priority, tasks are ordered by rank, the time by
+// which a task should start. The longest task of a job is ranked at the job's arrival. A shorter
+// task has slack: it can start later by the difference in length without delaying the job's result,
+// and is ranked later by it. All tasks of a job are ranked later by a fraction of the longest one's
+// run time, since the same wait is a smaller fraction of a long job's response time. A rank is at
+// most the deadline minus the run time of the longest task.
 //
-// Ranks are fixed when a job is added, so a job is overtaken only by jobs that
-// arrive within a span in proportion to its own length: none starves.
+// Ranks don't depend on the present time, so a job can be overtaken only by jobs that arrive within
+// a period proportional to its own length. No job starves.
 package queue
 
 import (
@@ -19,141 +19,140 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// DefaultWork is the expected run time of a task of which nothing is known.
-const DefaultWork = 200 * time.Millisecond
+// DefaultRunTime is the expected run time of a task without any other estimate.
+const DefaultRunTime = 200 * time.Millisecond
 
-// JobID numbers the jobs of one incarnation.
+// JobID identifies a job within one incarnation of a process.
 type JobID uint64
 
-// Job is what the order depends on.
+// Job holds the properties of a job on which the order depends.
 type Job struct {
 	ID          JobID
 	Institution string
 	Team        string
-	// Priority: higher is served first.
+	// Priority is the job's priority; a higher one is served first.
 	Priority uint32
 	Arrived  task.Time
 	Deadline task.Time
-	// Work is the expected run time of each task.
-	Work []task.Time
+	// RunTimes holds the expected run time of each task.
+	RunTimes []task.Time
 }
 
-// Ref names one task of a job.
+// Ref identifies a task of a job.
 type Ref struct {
 	Job   JobID
 	Index int
 }
 
-// Order sets how ranks are worked out.
+// Order configures the computation of ranks.
 type Order struct {
-	// LengthPercent is the part of a job's longest task by which its rank is
-	// put back, in percent.
+	// LengthPercent is the percentage of the longest task's run time by which the ranks of a job
+	// are later.
 	LengthPercent int
-	// SlackPercent is the part of a task's slack by which it is put back, in
-	// percent.
+	// SlackPercent is the percentage of a task's slack by which its rank is later.
 	SlackPercent int
-	// FirstCome ranks all tasks of a job by its arrival alone.
-	FirstCome bool
+	// FIFO ranks all tasks of a job by its arrival alone.
+	FIFO bool
 }
 
-// DefaultOrder is the order that measured best; see docs/design/placement.md.
+// DefaultOrder performed best in the comparison in docs/design/placement.md.
 var DefaultOrder = Order{LengthPercent: 100, SlackPercent: 100}
 
-// entry is a job that has waiting tasks, or may have some again.
-type entry struct {
+// queuedJob is a job with waiting tasks, or one whose tasks may be requeued.
+type queuedJob struct {
 	job     Job
 	longest task.Time
-	// waiting are the indexes of waiting tasks, the longest last.
+	// waiting holds the indexes of the waiting tasks, the longest last.
 	waiting []int32
 	held    bool
 	team    *team
-	// at is the position in the team's heap, -1 if it isn't there.
-	at int
-	// rank is that of the next waiting task.
+	// heapIndex is the position in the team's heap, heap.Absent if it isn't in there.
+	heapIndex int
+	// rank is the rank of the next waiting task.
 	rank task.Time
 }
 
 // team holds the jobs of one team of an institution.
 type team struct {
 	name string
-	// members counts the team's jobs, those without waiting tasks included.
-	members int
-	jobs    []*entry
-	// at is the position in the institution's heap, -1 if it isn't there.
-	at int
+	// jobCount is the number of the team's jobs, including those without waiting tasks.
+	jobCount int
+	jobHeap  []*queuedJob
+	// heapIndex is the position in the institution's heap, heap.Absent if it isn't in there.
+	heapIndex int
 }
 
 // institution holds the teams of one institution.
 type institution struct {
-	teams map[string]*team
-	heap  []*team
-	tasks int
-	work  task.Time
+	teamsByName map[string]*team
+	teamHeap    []*team
+	tasks       int
+	runTime     task.Time
 }
 
-// Queue holds waiting tasks for each institution. Adding, taking and dropping
-// cost the logarithm of the jobs and teams that wait.
+// Queue holds the waiting tasks of all institutions. Adding, taking and removing take time
+// logarithmic in the number of waiting jobs and teams.
 type Queue struct {
 	order        Order
-	jobs         map[JobID]*entry
+	jobs         map[JobID]*queuedJob
 	institutions map[string]*institution
 }
 
-// New returns an empty queue with the default order.
+// New returns an empty queue with DefaultOrder.
 func New() *Queue {
-	return NewOrdered(DefaultOrder)
+	return NewWithOrder(DefaultOrder)
 }
 
-// NewOrdered returns an empty queue with an order.
-func NewOrdered(o Order) *Queue {
+// NewWithOrder returns an empty queue with a given order.
+func NewWithOrder(o Order) *Queue {
 	return &Queue{
 		order:        o,
-		jobs:         make(map[JobID]*entry),
+		jobs:         make(map[JobID]*queuedJob),
 		institutions: make(map[string]*institution),
 	}
 }
 
 // Add queues all tasks of a job.
 func (q *Queue) Add(j Job) {
-	e := &entry{job: j, waiting: make([]int32, len(j.Work)), at: heap.Absent}
-	for i, w := range j.Work {
-		e.waiting[i] = int32(len(j.Work) - 1 - i)
+	e := &queuedJob{job: j, waiting: make([]int32, len(j.RunTimes)), heapIndex: heap.Absent}
+	for i, w := range j.RunTimes {
+		e.waiting[i] = int32(len(j.RunTimes) - 1 - i)
 		e.longest = max(e.longest, w)
 	}
-	if !q.order.FirstCome {
-		slices.SortStableFunc(e.waiting, e.byWork)
+	if !q.order.FIFO {
+		slices.SortStableFunc(e.waiting, e.compareRunTimes)
 	}
 	inst := q.institution(j.Institution)
 	e.team = inst.team(j.Team)
-	e.team.members++
+	e.team.jobCount++
 	q.jobs[j.ID] = e
-	inst.tasks += len(j.Work)
-	for _, w := range j.Work {
-		inst.work += w
+	inst.tasks += len(j.RunTimes)
+	for _, w := range j.RunTimes {
+		inst.runTime += w
 	}
-	q.file(inst, e)
+	q.update(inst, e)
 }
 
 func (q *Queue) institution(name string) *institution {
 	inst := q.institutions[name]
 	if inst == nil {
-		inst = &institution{teams: make(map[string]*team)}
+		inst = &institution{teamsByName: make(map[string]*team)}
 		q.institutions[name] = inst
 	}
 	return inst
 }
 
 func (inst *institution) team(name string) *team {
-	t := inst.teams[name]
+	t := inst.teamsByName[name]
 	if t == nil {
-		t = &team{name: name, at: heap.Absent}
-		inst.teams[name] = t
+		t = &team{name: name, heapIndex: heap.Absent}
+		inst.teamsByName[name] = t
 	}
 	return t
 }
 
-func (e *entry) byWork(a, b int32) int {
-	wa, wb := e.job.Work[a], e.job.Work[b]
+func (e *queuedJob) compareRunTimes(a, b int32) int {
+	wa, wb := e.job.RunTimes[a], e.job.RunTimes[b]
 	switch {
 	case wa < wb:
 		return -1
@@ -163,85 +162,85 @@
 	return int(b) - int(a)
 }
 
-// next is the waiting task to be served first.
-func (e *entry) next() int {
+// nextTask returns the index of the waiting task to be served first.
+func (e *queuedJob) nextTask() int {
 	return int(e.waiting[len(e.waiting)-1])
 }
 
-// due is the latest start of a task that doesn't hold up its job's answer.
-func (e *entry) due(index int) task.Time {
-	return e.job.Arrived + e.longest - e.job.Work[index]
+// latestStart returns the latest start of a task that doesn't delay its job's result.
+func (e *queuedJob) latestStart(index int) task.Time {
+	return e.job.Arrived + e.longest - e.job.RunTimes[index]
 }
 
-func (q *Queue) rankOf(e *entry) task.Time {
-	if q.order.FirstCome {
+func (q *Queue) rankOf(e *queuedJob) task.Time {
+	if q.order.FIFO {
 		return e.job.Arrived
 	}
-	slack := e.longest - e.job.Work[e.next()]
+	slack := e.longest - e.job.RunTimes[e.nextTask()]
 	r := e.job.Arrived + slack*time.Duration(q.order.SlackPercent)/100 + e.longest*time.Duration(q.order.LengthPercent)/100
 	return min(r, e.job.Deadline-e.longest)
 }
 
-// file puts a job where it belongs after a change.
-func (q *Queue) file(inst *institution, e *entry) {
+// update moves a job to its place in the heaps after a change.
+func (q *Queue) update(inst *institution, e *queuedJob) {
 	t := e.team
 	if e.held || len(e.waiting) == 0 {
-		t.jobs = heap.Drop(t.jobs, e)
+		t.jobHeap = heap.Drop(t.jobHeap, e)
 	} else {
 		e.rank = q.rankOf(e)
-		t.jobs = heap.Put(t.jobs, e)
+		t.jobHeap = heap.Put(t.jobHeap, e)
 	}
-	inst.place(t)
+	inst.updateTeam(t)
 }
 
-// Hold keeps a job's tasks from being served until it is released.
+// Hold stops or resumes the serving of a job's tasks.
 func (q *Queue) Hold(id JobID, held bool) {
 	e := q.jobs[id]
 	if e == nil || e.held == held {
 		return
 	}
 	e.held = held
-	q.file(q.institutions[e.job.Institution], e)
+	q.update(q.institutions[e.job.Institution], e)
 }
 
-// Next takes the task to be served next for an institution, from the teams
-// that allow accepts; nil accepts all.
+// Next takes the first waiting task of an institution, from the teams for which allow returns true;
+// nil allows all teams.
 func (q *Queue) Next(_ task.Time, institution string, allow func(team string) bool) (Ref, bool) {
 	inst := q.institutions[institution]
 	if inst == nil {
 		return Ref{}, false
 	}
-	t := inst.firstFrom(0, allow)
+	t := inst.firstAllowed(0, allow)
 	if t == nil {
 		return Ref{}, false
 	}
-	e := t.jobs[0]
-	index := e.next()
+	e := t.jobHeap[0]
+	index := e.nextTask()
 	e.waiting = e.waiting[:len(e.waiting)-1]
 	inst.tasks--
-	inst.work -= e.job.Work[index]
-	q.file(inst, e)
+	inst.runTime -= e.job.RunTimes[index]
+	q.update(inst, e)
 	return Ref{e.job.ID, index}, true
 }
 
-// Requeue puts back a task that never ran.
+// Requeue puts back a task that was taken but never ran.
 func (q *Queue) Requeue(r Ref) {
 	e := q.jobs[r.Job]
 	if e == nil {
 		return
 	}
-	i, _ := slices.BinarySearchFunc(e.waiting, int32(r.Index), e.byWork)
-	if q.order.FirstCome {
+	i, _ := slices.BinarySearchFunc(e.waiting, int32(r.Index), e.compareRunTimes)
+	if q.order.FIFO {
 		i = len(e.waiting)
 	}
 	e.waiting = slices.Insert(e.waiting, i, int32(r.Index))
 	inst := q.institutions[e.job.Institution]
 	inst.tasks++
-	inst.work += e.job.Work[r.Index]
-	q.file(inst, e)
+	inst.runTime += e.job.RunTimes[r.Index]
+	q.update(inst, e)
 }
 
-// Remove drops a job with all its waiting tasks.
+// Remove removes a job and its waiting tasks.
 func (q *Queue) Remove(id JobID) {
 	e := q.jobs[id]
 	if e == nil {
@@ -250,18 +249,18 @@
 	inst := q.institutions[e.job.Institution]
 	inst.tasks -= len(e.waiting)
 	for _, i := range e.waiting {
-		inst.work -= e.job.Work[i]
+		inst.runTime -= e.job.RunTimes[i]
 	}
 	e.waiting = nil
-	q.file(inst, e)
+	q.update(inst, e)
 	delete(q.jobs, id)
-	e.team.members--
-	if e.team.members == 0 {
-		delete(inst.teams, e.team.name)
+	e.team.jobCount--
+	if e.team.jobCount == 0 {
+		delete(inst.teamsByName, e.team.name)
 	}
 }
 
-// Tasks is the number of waiting tasks of an institution.
+// Tasks returns the number of waiting tasks of an institution.
 func (q *Queue) Tasks(institution string) int {
 	inst := q.institutions[institution]
 	if inst == nil {
@@ -270,16 +269,16 @@
 	return inst.tasks
 }
 
-// Work is the expected run time of all waiting tasks of an institution.
+// Work returns the total expected run time of an institution's waiting tasks.
 func (q *Queue) Work(institution string) task.Time {
 	inst := q.institutions[institution]
 	if inst == nil {
 		return 0
 	}
-	return inst.work
+	return inst.runTime
 }
 
-// Jobs is the number of jobs held.
+// Jobs returns the number of jobs in the queue.
 func (q *Queue) Jobs() int {
 	return len(q.jobs)
 }
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -22,8 +22,8 @@
 
 const hollowell = "hollowell"
 
-// members lists nodes a and b in melton and c in hinckley, each domain with
-// two upstreams of four slots.
+// members lists the nodes a and b in melton and c in hinckley, and in each domain two upstreams of
+// four slots.
 func members() task.Members {
 	m := task.Members{Nodes: []task.Node{
 		{Name: "a", FailureDomain: "melton"},
@@ -90,26 +90,25 @@
 	g.Expect(p.Idle(hollowell)).To(Equal(1), "half of four slots, one in use")
 }
 
-// A task's start was refused or its end isn't known, and the slot is handed to
-// the next task at once: users see a series of refused starts, or two tasks on
-// a worker that has room for one.
-func TestReleasedLaterStaysClosed(t *testing.T) {
+// A start on a slot was refused, or it isn't known whether its task has ended. If the slot were used
+// again at once, a series of starts would be refused, or two tasks would run on a worker that has
+// room for one.
+func TestSlotIsUnusableDuringCooldown(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool("c", "hinckley")
 	p.SetMembers(members())
 	list := acquireAll(p)
 	g.Expect(list).To(HaveLen(8))
-	p.ReleaseAt(list[0], time.Second)
-	p.Open(time.Second - 1)
+	p.ReleaseWithCooldown(list[0], time.Second)
+	p.EndCooldowns(time.Second - 1)
 	g.Expect(p.Idle(hollowell)).To(BeZero())
-	p.Open(time.Second)
+	p.EndCooldowns(time.Second)
 	g.Expect(p.Idle(hollowell)).To(Equal(1))
 }
 
-// A borrowed slot's task was lost on a silent connection when the loan ends. Given
-// back at once, the lender would start a second task beside the first, which
-// may still be running.
-func TestBorrowedSlotOfALostTaskGoesBackLate(t *testing.T) {
+// A task on a borrowed slot was lost on a silent connection when the loan ends, and may still be
+// running. If the slot were returned at once, the lender would start a second task beside it.
+func TestBorrowedSlotOfALostTaskIsReturnedAfterCooldown(t *testing.T) {
 	g := NewWithT(t)
 	lender, borrower := NewPool("a", "melton"), NewPool("c", "hinckley")
 	lender.SetMembers(members())
@@ -118,16 +117,15 @@
 	borrower.Borrow(run("a"), 7, lender.Lend(hollowell, 1, run("c"), 7))
 	s, ok := borrower.Acquire(hollowell)
 	g.Expect(ok).To(BeTrue())
-	borrower.ReleaseAt(s, time.Second)
+	borrower.ReleaseWithCooldown(s, time.Second)
 	borrower.EndLoan(run("a"), 7)
 	g.Expect(borrower.Returns(run("a"))).To(BeEmpty())
-	borrower.Open(time.Second)
+	borrower.EndCooldowns(time.Second)
 	g.Expect(borrower.Returns(run("a"))).To(Equal([]Return{{7, []task.Slot{s}}}))
 }
 
-// A loan runs out on the lender's clock, the slot is lent again, and then the
-// first borrower's return arrives. Taken for the second loan's, it would let
-// the lender start a task beside the second borrower's.
+// A loan expires by the lender's clock, the slot is lent again, and then the first borrower's return
+// arrives. If it ended the second loan, the lender would start a task beside the second borrower's.
 func TestReturnOfAnExpiredLoanIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	lender := NewPool("a", "melton")
@@ -141,15 +139,15 @@
 	g.Expect(lender.Idle(hollowell)).To(BeZero())
 }
 
-// The list reaches one node later than the others, and a slot that it has on
-// loan passes to a node that knows nothing of the loan. Callers see refused
-// starts until the borrower has the list as well.
+// One node gets the member list later than the others, and a slot that it has borrowed passes to a
+// node that doesn't know of the loan. Starts on the slot are refused until the borrower has the list
+// too.
 func TestLoanEndsWhenTheSlotPassesToAnotherNode(t *testing.T) {
 	g := NewWithT(t)
 	lender, borrower := NewPool("a", "melton"), NewPool("c", "hinckley")
 	lender.SetMembers(members())
 	borrower.SetMembers(members())
-	lent := lender.Lend(hollowell, slotsOf(lender), run("c"), 7)
+	lent := lender.Lend(hollowell, idleOwnSlots(lender), run("c"), 7)
 	borrower.Borrow(run("a"), 7, lent)
 	without := members()
 	without.Nodes = slices.DeleteFunc(without.Nodes, func(n task.Node) bool { return n.Name == "a" })
@@ -164,4 +162,4 @@
 	g.Expect(lender.IdleOwn(hollowell)).To(Equal(len(lent)))
 }
 
-func slotsOf(p *Pool) int { return p.IdleOwn(hollowell) }
+func idleOwnSlots(p *Pool) int { return p.IdleOwn(hollowell) }
--- a/entry/process.go
+++ b/entry/process.go
@@ -177,7 +177,7 @@
 		case fleet.Connect:
 			p.mesh.SetLinks(c.Links)
 		case fleet.Disconnect:
-			p.mesh.Drop(string(c.Peer))
+			p.mesh.Disconnect(string(c.Peer))
 		case fleet.Order:
 			p.executeOrder(ctx, c)
 		case fleet.ProbeStore:
--- a/node/outage.go
+++ b/node/outage.go
@@ -5,13 +5,11 @@
 	"time"
 )
 
-// maxPollWait bounds the wait between two polls of a platform that is out, so
-// that its return is noticed within the seconds in which accepted settings have
-// to be in force.
-const maxPollWait = 2 * time.Second
+// maxPollInterval bounds the interval between polls during an outage of the platform,
+// so that settings accepted after it come into force within the few seconds required.
+const maxPollInterval = 2 * time.Second
 
-// outageChange says whether a poll found the platform in another state than
-// the one before.
+// outageChange is the change of the platform's state that a poll found.
 type outageChange int
 
 const (
@@ -20,45 +18,45 @@
 	outageEnded
 )
 
-// outage follows the state of the platform over polls. Without it, each
-// process would log each failed poll for as long as an outage lasts, and all of
-// them would ask in step again when it ends.
+// outage records over consecutive polls whether the platform is available. It limits the
+// log to the begin and the end of an outage, and spreads the polls of the processes so
+// that they don't all reach the platform at the same time when the outage ends.
 type outage struct {
-	failures int
+	failedPolls int
 }
 
-// seen records the errors of one poll.
-func (o *outage) seen(errs ...error) outageChange {
+// record records the errors of one poll and returns the change of state.
+func (o *outage) record(errs ...error) outageChange {
 	failed := false
 	for _, err := range errs {
 		failed = failed || err != nil
 	}
-	before := o.failures
+	before := o.failedPolls
 	switch {
 	case failed && before == 0:
-		o.failures = 1
+		o.failedPolls = 1
 		return outageBegan
 	case failed:
-		o.failures++
+		o.failedPolls++
 		return outageUnchanged
 	case before > 0:
-		o.failures = 0
+		o.failedPolls = 0
 		return outageEnded
 	}
 	return outageUnchanged
 }
 
-// wait is the time to the next poll: the interval, doubled with each failure
-// up to the bound, less up to a half at random.
-func (o *outage) wait(interval time.Duration) time.Duration {
-	if o.failures == 0 {
+// pollDelay is the time until the next poll: the interval, doubled for each consecutive
+// failure up to the limit, minus a random part of up to a half.
+func (o *outage) pollDelay(interval time.Duration) time.Duration {
+	if o.failedPolls == 0 {
 		return interval
 	}
-	longest := max(interval, maxPollWait)
+	limit := max(interval, maxPollInterval)
 	d := interval
-	for i := 0; i < o.failures && d < longest; i++ {
+	for i := 0; i < o.failedPolls && d < limit; i++ {
 		d *= 2
 	}
-	d = min(d, longest)
+	d = min(d, limit)
 	return d - rand.N(d/2)
 }
--- a/node/platform.go
+++ b/node/platform.go
@@ -22,22 +22,22 @@
 )
 
 const (
-	// settingsKey is the row of the declared settings.
+	// settingsKey is the key of the settings row.
 	settingsKey = "settings"
 	claimPrefix = "claim/"
-	// platformTimeout bounds each call to the platform.
+	// platformTimeout is the timeout of each call to the platform.
 	platformTimeout = 2 * time.Second
-	// applyPause is the wait between two looks at the settings row.
-	applyPause = 100 * time.Millisecond
+	// applyRetryInterval is the interval between steps of a change of the settings.
+	applyRetryInterval = 100 * time.Millisecond
 )
 
-// platformClient reads and writes the platform's services.
+// platformClient calls the platform's services.
 type platformClient struct {
-	node    *Node
-	table   platformv1connect.TableServiceClient
-	members platformv1connect.MembershipServiceClient
-	// settingsRead is the version of the settings row read last by the poll.
-	settingsRead uint64
+	node              *Node
+	table             platformv1connect.TableServiceClient
+	membershipService platformv1connect.MembershipServiceClient
+	// settingsRowVersion is the version of the settings row that poll read last.
+	settingsRowVersion uint64
 }
 
 func newPlatformClient(n *Node) *platformClient {
@@ -48,30 +48,30 @@
 		HTTP2:     &http.HTTP2Config{SendPingTimeout: time.Second, PingTimeout: time.Second},
 	})}
 	return &platformClient{
-		node:    n,
-		table:   platformv1connect.NewTableServiceClient(client, n.cfg.PlatformURL),
-		members: platformv1connect.NewMembershipServiceClient(client, n.cfg.PlatformURL),
+		node:              n,
+		table:             platformv1connect.NewTableServiceClient(client, n.cfg.PlatformURL),
+		membershipService: platformv1connect.NewMembershipServiceClient(client, n.cfg.PlatformURL),
 	}
 }
 
-// poll reads members and settings at each interval, and less often while the
-// platform is out.
+// poll reads members and settings at each interval, and less often during an outage
+// of the platform.
 func (p *platformClient) poll(ctx context.Context) error {
-	var listed uint64
-	var out outage
+	var membersVersion uint64
+	var state outage
 	for {
 		var membersErr, settingsErr error
-		// Side by side: a platform that takes calls and answers none would
-		// otherwise cost two timeouts in a row, and settings would come late.
+		// Read in parallel: if the platform accepts calls and doesn't answer, the
+		// settings would otherwise be delayed by two consecutive timeouts.
 		var reads sync.WaitGroup
-		reads.Go(func() { listed, membersErr = p.readMembers(ctx, listed) })
+		reads.Go(func() { membersVersion, membersErr = p.readMembers(ctx, membersVersion) })
 		reads.Go(func() { settingsErr = p.readSettings(ctx) })
 		reads.Wait()
-		p.logOutage(out.seen(membersErr, settingsErr), membersErr, settingsErr)
+		p.logOutage(state.record(membersErr, settingsErr), membersErr, settingsErr)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(out.wait(p.node.cfg.PollInterval)):
+		case <-time.After(state.pollDelay(p.node.cfg.PollInterval)):
 		}
 	}
 }
@@ -85,11 +85,11 @@
 	}
 }
 
-// readMembers reads the list and returns the highest version read so far.
+// readMembers reads the members and returns the highest version read so far.
 func (p *platformClient) readMembers(ctx context.Context, known uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
-	res, err := p.members.List(ctx, connect.NewRequest(&platformv1.ListRequest{KnownVersion: known}))
+	res, err := p.membershipService.List(ctx, connect.NewRequest(&platformv1.ListRequest{KnownVersion: known}))
 	if err != nil {
 		return known, err
 	}
@@ -104,17 +104,17 @@
 	return res.Msg.GetVersion(), nil
 }
 
-// settingsRow reads the settings and the version of their row; both are zero
-// if nothing was ever applied.
-func (p *platformClient) settingsRow(ctx context.Context) (*pb.Settings, uint64, error) {
+// readCurrentSettings reads the settings and the version of their row. Both are zero if
+// no settings were ever applied.
+func (p *platformClient) readCurrentSettings(ctx context.Context) (*pb.Settings, uint64, error) {
 	rows, err := p.readSettingsRow(ctx, 0)
 	if err != nil {
 		return nil, 0, err
 	}
-	return settingsOf(rows)
+	return decodeSettingsRow(rows)
 }
 
-// readSettingsRow reads the row; without its value if its version is known.
+// readSettingsRow reads the settings row, without its value if its version is known.
 func (p *platformClient) readSettingsRow(ctx context.Context, known uint64) ([]*platformv1.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
@@ -128,7 +128,7 @@
 	return res.Msg.GetRows(), nil
 }
 
-func settingsOf(rows []*platformv1.Row) (*pb.Settings, uint64, error) {
+func decodeSettingsRow(rows []*platformv1.Row) (*pb.Settings, uint64, error) {
 	s := &pb.Settings{}
 	if len(rows) == 0 {
 		return s, 0, nil
@@ -141,28 +141,28 @@
 }
 
 func (p *platformClient) readSettings(ctx context.Context) error {
-	rows, err := p.readSettingsRow(ctx, p.settingsRead)
+	rows, err := p.readSettingsRow(ctx, p.settingsRowVersion)
 	if err != nil {
 		return err
 	}
-	if len(rows) > 0 && rows[0].GetVersion() == p.settingsRead {
+	if len(rows) > 0 && rows[0].GetVersion() == p.settingsRowVersion {
 		return nil
 	}
-	s, version, err := settingsOf(rows)
+	s, version, err := decodeSettingsRow(rows)
 	if err != nil {
 		return err
 	}
-	p.settingsRead = version
+	p.settingsRowVersion = version
 	p.node.post(dispatch.SettingsRead{Settings: s})
 	return nil
 }
 
-// applySettings carries out an operator's change of the settings.
+// applySettings writes new settings for an operator.
 func (p *platformClient) applySettings(ctx context.Context, expected uint64, s *pb.Settings) (*pb.Settings, error) {
 	change := settings.NewApply(expected, s, rand.Uint64()|1)
 	for first := true; change.Step() != settings.ApplyEnded; first = false {
 		if !first {
-			pause(ctx, applyPause)
+			pause(ctx, applyRetryInterval)
 		}
 		p.applyStep(ctx, change)
 	}
@@ -177,9 +177,9 @@
 	return nil, connect.NewError(connect.CodeUnavailable, errors.New("the write isn't settled; ask for the version in force before applying again"))
 }
 
-// applyStep reads the row and, if that leads to a write, writes it.
+// applyStep reads the settings row and writes it if the change then requires that.
 func (p *platformClient) applyStep(ctx context.Context, change *settings.Apply) {
-	present, row, err := p.settingsRow(ctx)
+	present, row, err := p.readCurrentSettings(ctx)
 	change.Read(present, row, err == nil)
 	if change.Step() != settings.ApplyWrite {
 		return
@@ -209,7 +209,7 @@
 	return res.Msg.GetCommitted(), nil
 }
 
-// writeClaims inserts claim rows in one transaction.
+// writeClaims inserts claim rows in one transaction, in the background.
 func (p *platformClient) writeClaims(ctx context.Context, cmd dispatch.ClaimWrite) {
 	go func() {
 		p.node.post(p.insertClaims(ctx, cmd))
@@ -237,7 +237,7 @@
 		return result
 	}
 	for _, row := range res.Msg.GetConflicts() {
-		cf, err := conflictOf(ids, row)
+		cf, err := decodeConflict(ids, row)
 		if err != nil {
 			p.node.log.Error().Err(err).Str("key", row.GetKey()).Msg("claim-row-unreadable")
 			return result
@@ -248,10 +248,10 @@
 	return result
 }
 
-func conflictOf(ids map[string]task.ID, row *platformv1.Row) (dispatch.ClaimConflict, error) {
+func decodeConflict(ids map[string]task.ID, row *platformv1.Row) (dispatch.ClaimConflict, error) {
 	id, ok := ids[row.GetKey()]
 	if !ok || !strings.HasPrefix(row.GetKey(), claimPrefix) {
-		return dispatch.ClaimConflict{}, errors.New("a row that wasn't asked for")
+		return dispatch.ClaimConflict{}, errors.New("the row's key doesn't belong to a claim of this batch")
 	}
 	claimed := &pb.ClaimRow{}
 	if err := proto.Unmarshal(row.GetValue(), claimed); err != nil {
@@ -259,7 +259,7 @@
 	}
 	cf := dispatch.ClaimConflict{ID: id, Holder: task.IncarnationOf(claimed.GetHolder()), Number: claimed.GetClaim()}
 	if cf.Holder.Node == "" || len(claimed.GetDigest()) != len(cf.Digest) {
-		return dispatch.ClaimConflict{}, errors.New("a claim row without holder or digest")
+		return dispatch.ClaimConflict{}, errors.New("the claim row has no holder or no valid digest")
 	}
 	copy(cf.Digest[:], claimed.GetDigest())
 	return cf, nil
