--- a/bench/cmd/live/main.go
+++ b/bench/cmd/live/main.go
@@ -1,6 +1,6 @@
-// Command live measures goodput under overload over real sockets: two entry
-// processes' nodes and four runners with the platform's stand-in, all in this
-// process, and callers that come back when they are told to.
+// Command live measures goodput under overload over real sockets. Two entry nodes, four runners and
+// the platform's stand-in run in this process. Callers that are refused submit their jobs again when
+// the answer tells them to.
 package main
 
 import (
@@ -19,13 +19,13 @@
 )
 
 const (
-	slots    = 4 * 8
-	tasks    = 5
-	runMs    = 100
-	limitMs  = 2000
-	patience = 8 * time.Second
-	// capacity is the jobs a second that all slots can do.
-	capacity = slots * 1000.0 / (tasks * runMs)
+	slots           = 4 * 8
+	tasks           = 5
+	runMs           = 100
+	responseLimitMs = 2000
+	callerTimeout   = 8 * time.Second
+	// capacityJobsPerSecond is the number of jobs per second that all slots can run.
+	capacityJobsPerSecond = slots * 1000.0 / (tasks * runMs)
 )
 
 func main() {
@@ -40,7 +40,7 @@
 		},
 	}
 	cmd.Flags().DurationVar(&length, "length", 10*time.Second, "time in which jobs arrive, for each load")
-	cmd.Flags().Float64SliceVar(&loads, "load", []float64{0.8, 1, 1.3, 3}, "offered load, as parts of capacity")
+	cmd.Flags().Float64SliceVar(&loads, "load", []float64{0.8, 1, 1.3, 3}, "offered load, as shares of capacity")
 	if err := cmd.ExecuteContext(context.Background()); err != nil {
 		os.Exit(1)
 	}
@@ -61,29 +61,29 @@
 	for _, e := range cluster.Entries {
 		clients = append(clients, client.New(client.Config{URL: "http://" + e.CallerAddress(), Token: standin.Token}))
 	}
-	fmt.Print("| load | jobs | goodput | whole answers | refused for good | other ends | refusals a job |\n|---|---|---|---|---|---|---|\n")
+	fmt.Print("| load | jobs | goodput | complete answers | given up after refusals | other outcomes | refusals per job |\n|---|---|---|---|---|---|---|\n")
 	for _, load := range loads {
 		r := &run{begin: time.Now(), length: length}
 		r.offer(ctx, clients, load)
 		fmt.Printf("| %.0f%% | %d | %.1f%% | %d | %d | %d | %.2f |\n", load*100, r.jobs,
-			100*float64(r.inTime)/length.Seconds()/capacity, r.complete, r.gone, r.other, float64(r.refusals)/float64(r.jobs))
+			100*float64(r.inTime)/length.Seconds()/capacityJobsPerSecond, r.complete, r.gaveUp, r.other, float64(r.refusals)/float64(r.jobs))
 	}
 	return nil
 }
 
-// run is one load with what became of its jobs.
+// run is the measurement of one load, with the outcomes of its jobs.
 type run struct {
 	begin  time.Time
 	length time.Duration
 	jobs   int
 
 	mu sync.Mutex
-	// inTime are the whole answers that came while jobs still arrived.
-	complete, inTime, gone, other, refusals int
+	// inTime counts the complete answers that came while jobs still arrived.
+	complete, inTime, gaveUp, other, refusals int
 }
 
 func (r *run) offer(ctx context.Context, clients []*client.Client, load float64) {
-	ticker := time.NewTicker(time.Duration(float64(time.Second) / capacity / load))
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / capacityJobsPerSecond / load))
 	defer ticker.Stop()
 	var all sync.WaitGroup
 	for time.Since(r.begin) < r.length {
@@ -95,14 +95,14 @@
 	all.Wait()
 }
 
-// call submits a job and comes back with it, under a new id, while it is told
-// when.
+// call submits a job. While the job is refused and the answer tells when to retry, it submits the job
+// again under a new id.
 func (r *run) call(ctx context.Context, c *client.Client) {
 	arrived := time.Now()
 	for {
 		a, err := submit(ctx, c)
 		wait := time.Duration(a.GetRetryAfterMs()) * time.Millisecond
-		again := a.GetOutcome() == pb.Outcome_OUTCOME_NOT_RUN && wait > 0 && time.Since(arrived)+wait < patience
+		again := a.GetOutcome() == pb.Outcome_OUTCOME_NOT_RUN && wait > 0 && time.Since(arrived)+wait < callerTimeout
 		r.count(a, err, again)
 		if !again {
 			return
@@ -123,7 +123,7 @@
 			r.inTime++
 		}
 	case a.GetOutcome() == pb.Outcome_OUTCOME_NOT_RUN:
-		r.gone++
+		r.gaveUp++
 	default:
 		r.other++
 	}
@@ -134,7 +134,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &pb.Submission{Id: id, Service: "labels", TimeoutMs: limitMs}
+	s := &pb.Submission{Id: id, Service: "labels", TimeoutMs: responseLimitMs}
 	for range tasks {
 		s.Tasks = append(s.Tasks, &pb.Task{Payload: fmt.Appendf(nil, `{"run_ms": %d}`, runMs), RunTimeMs: runMs})
 	}
--- a/bench/overload.go
+++ b/bench/overload.go
@@ -11,141 +11,141 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// Fault is what an upstream does instead of running its tasks.
+// Fault is a fault of an upstream.
 type Fault uint8
 
-// The faults.
+// The faults of upstreams.
 const (
-	Sound Fault = iota
-	// FailsAll fails every task within failTime.
+	Healthy Fault = iota
+	// FailsAll: every task fails within taskFailureTime.
 	FailsAll
-	// Slow takes slowFactor times as long.
+	// Slow: every task takes slowFactor times as long.
 	Slow
-	// Gone can't be reached.
-	Gone
-	// Refuses turns every start away.
+	// Unreachable: every start fails before it reaches the upstream.
+	Unreachable
+	// Refuses: every start is refused.
 	Refuses
 )
 
 const (
-	failTime   = time.Millisecond
-	slowFactor = 5
-	// patience is how long a caller goes on coming back.
-	patience = 30 * time.Second
+	taskFailureTime = time.Millisecond
+	slowFactor      = 5
+	// callerTimeout is how long after its arrival a refused job may be submitted again.
+	callerTimeout = 30 * time.Second
 )
 
-// Stress is a run of the real decision code under load and faults, with
-// callers that come back when they are told to.
-type Stress struct {
-	Policy string
-	Site   Site
-	Shape  Shape
-	// LoadAt is the offered load at a time, at most Shape.Load; nil means that.
+// Scenario is a run of the real decision code under load and faults. Callers that are refused submit
+// their jobs again when the answer tells them to.
+type Scenario struct {
+	Policy   string
+	Site     Site
+	Workload Workload
+	// LoadAt returns the offered load at a time, at most Workload.Load; nil means Workload.Load.
 	LoadAt func(at time.Duration) float64
 	// Limit is the contracted response time.
 	Limit time.Duration
-	// OneEntry sends all jobs to one entry process.
+	// OneEntry: all jobs are submitted to one entry process.
 	OneEntry bool
-	// Leave makes refused callers go away instead of coming back.
-	Leave  bool
-	Change func(*dispatch.Config)
-	// Terms alters the declared settings.
-	Terms func(*pb.Settings)
-	// Events happen at their times.
+	// CallersLeave: refused callers don't submit their jobs again.
+	CallersLeave bool
+	ChangeConfig func(*dispatch.Config)
+	// ChangeSettings changes the declared settings.
+	ChangeSettings func(*pb.Settings)
+	// Events are actions by the time at which they happen.
 	Events map[time.Duration]func(*Run)
 }
 
-// Run is the state and result of one stress run.
+// Run is the state and result of a Scenario.
 type Run struct {
 	clock
-	Stress
-	rng     *rand.Rand
-	entries []*stressEntry
-	runners map[string]*stressRunner
-	calls   map[uint64]*call
-	jobs    []*call
-	last    uint64
-
-	// Total counts from Shape.Warm to the end of arrivals; Seconds the jobs
-	// that arrived in each second.
-	Total   Count
-	Seconds []Count
-	// Stops, Forwards and Control count messages since the start.
+	Scenario
+	rng         *rand.Rand
+	entries     []*scenarioEntry
+	runners     map[string]*scenarioRunner
+	calls       map[uint64]*callerJob
+	jobs        []*callerJob
+	lastRequest uint64
+
+	// Total counts jobs that arrived between Workload.Warmup and Workload.Length; PerSecond those that
+	// arrived in each second.
+	Total     JobCounts
+	PerSecond []JobCounts
+	// Stops, Forwards and Control count messages since the start of the run.
 	Stops, Forwards, Control, Refusals, Starts int
 	ratios                                     *Result
-	// held is the slots of running tasks, most the most there were, and area
-	// its integral over time since Shape.Warm.
-	held, most int
-	area       time.Duration
-	changed    time.Duration
-	// doubled counts tasks that an upstream began twice.
-	doubled int
-	began   map[string]bool
+	// heldSlots is the number of slots of running tasks, maxHeldSlots its maximum, and heldSlotTime
+	// its integral over time since Workload.Warmup.
+	heldSlots, maxHeldSlots int
+	heldSlotTime            time.Duration
+	heldChangedAt           time.Duration
+	// startedTwice counts starts of tasks that had been started before.
+	startedTwice int
+	startedTasks map[string]bool
 }
 
-// Count is what became of jobs.
-type Count struct {
-	Jobs, Complete, Failed, Gone int
-	// Broken are those of the failed jobs that a failing task ended.
-	Broken int
-	// Tries is the requests that were refused.
-	Tries int
-	// Work and Done are the slot time of all and of completed jobs, Spent that
-	// of all tasks run.
-	Work, Done, Spent time.Duration
+// JobCounts are the outcomes of jobs.
+type JobCounts struct {
+	Jobs, Complete, Failed, GaveUp int
+	// TaskFailures are those of the Failed jobs that failed because a task did.
+	TaskFailures int
+	// RefusedRequests is the number of refused requests; a job may be submitted several times.
+	RefusedRequests int
+	// OfferedTime is the slot time of all jobs, CompletedTime that of completed jobs, and UsedTime
+	// that of all tasks that were run.
+	OfferedTime, CompletedTime, UsedTime time.Duration
 }
 
-// call is one job of a caller with its requests.
-type call struct {
+// callerJob is a job of a caller with its requests.
+type callerJob struct {
 	job   Job
 	index int
 	id    *pb.SubmissionId
 	ended bool
 }
 
-type stressEntry struct {
-	run    *Run
-	core   *dispatch.Core
-	self   task.Incarnation
-	domain string
-	wakeUp wakeUp
-	ids    idSource
+type scenarioEntry struct {
+	run        *Run
+	core       *dispatch.Core
+	self       task.Incarnation
+	domain     string
+	coreTicker coreTicker
+	ids        idSource
 }
 
-type stressRunner struct {
+type scenarioRunner struct {
 	domain  string
 	slots   int
 	busy    int
 	fault   Fault
-	running map[string]*stressTask
+	running map[string]*runningTask
 }
 
-type stressTask struct{ stop func() }
+type runningTask struct{ stop func() }
 
-// NewRun prepares a run.
-func NewRun(s Stress) *Run {
+// NewRun prepares a run of a scenario.
+func NewRun(s Scenario) *Run {
 	r := &Run{
-		Stress: s, rng: rand.New(rand.NewPCG(s.Shape.Seed, 3)), runners: make(map[string]*stressRunner),
-		calls: make(map[uint64]*call), began: make(map[string]bool), ratios: newResult(s.Policy),
-		Seconds: make([]Count, int(s.Shape.Length/time.Second)+1),
+		Scenario: s, rng: rand.New(rand.NewPCG(s.Workload.Seed, 3)), runners: make(map[string]*scenarioRunner),
+		calls: make(map[uint64]*callerJob), startedTasks: make(map[string]bool), ratios: newResult(s.Policy),
+		PerSecond: make([]JobCounts, int(s.Workload.Length/time.Second)+1),
 	}
 	for _, u := range r.members().Upstreams {
-		r.runners[u.Name] = &stressRunner{domain: u.FailureDomain, slots: int(u.Slots), running: make(map[string]*stressTask)}
+		r.runners[u.Name] = &scenarioRunner{domain: u.FailureDomain, slots: int(u.Slots), running: make(map[string]*runningTask)}
 	}
 	for i := range s.Site.Entries {
-		e := &stressEntry{run: r, self: task.Incarnation{Node: entryName(i), Run: 1}, domain: s.Site.entryDomain(i)}
+		e := &scenarioEntry{run: r, self: task.Incarnation{Node: entryName(i), Run: 1}, domain: s.Site.entryDomain(i)}
 		cfg := dispatch.DefaultConfig(e.self, e.domain)
-		cfg.Seed = s.Shape.Seed
-		if s.Change != nil {
-			s.Change(&cfg)
+		cfg.Seed = s.Workload.Seed
+		if s.ChangeConfig != nil {
+			s.ChangeConfig(&cfg)
 		}
 		e.core = dispatch.New(cfg)
 		r.entries = append(r.entries, e)
 	}
 	for _, e := range r.entries {
 		declared := settingsOf(s.Site, Policy{}, s.Limit)
-		if s.Terms != nil {
-			s.Terms(declared)
+		if s.ChangeSettings != nil {
+			s.ChangeSettings(declared)
 		}
 		e.step(dispatch.SettingsRead{Settings: declared})
 		e.step(dispatch.MembersChanged{Members: r.members()})
@@ -158,7 +158,8 @@
 	return r
 }
 
-// members puts each rack's eight upstreams into one failure domain.
+// members returns the site's members with eight upstreams in each rack and each rack in one failure
+// domain.
 func (r *Run) members() task.Members {
 	m := r.Site.members()
 	for i := range m.Upstreams {
@@ -168,39 +169,39 @@
 	return m
 }
 
-// Do runs to the end.
+// Do runs the scenario to the end.
 func (r *Run) Do() *Run {
 	for at, event := range r.Events {
 		r.at(at, func() { event(r) })
 	}
-	for i, j := range r.Shape.Stream(r.Site) {
-		if r.LoadAt != nil && r.rng.Float64()*r.Shape.Load > r.LoadAt(j.At) {
+	for i, j := range r.Workload.Stream(r.Site) {
+		if r.LoadAt != nil && r.rng.Float64()*r.Workload.Load > r.LoadAt(j.At) {
 			continue
 		}
 		if r.OneEntry {
 			j.Entry = 0
 		}
-		c := &call{job: j, index: i}
+		c := &callerJob{job: j, index: i}
 		r.jobs = append(r.jobs, c)
 		r.at(j.At, func() { r.arrive(c) })
 	}
-	r.run(r.Shape.Length + drainTime)
+	r.run(r.Workload.Length + drainTime)
 	return r
 }
 
-// counts are those that a job or a moment belongs to.
-func (r *Run) counts(at time.Duration) []*Count {
-	list := []*Count{}
-	if s := int(at / time.Second); s < len(r.Seconds) {
-		list = append(list, &r.Seconds[s])
+// counts returns the counters for a time: those of its second, and the total if the time is measured.
+func (r *Run) counts(at time.Duration) []*JobCounts {
+	list := []*JobCounts{}
+	if s := int(at / time.Second); s < len(r.PerSecond) {
+		list = append(list, &r.PerSecond[s])
 	}
-	if at >= r.Shape.Warm && at < r.Shape.Length {
+	if at >= r.Workload.Warmup && at < r.Workload.Length {
 		list = append(list, &r.Total)
 	}
 	return list
 }
 
-func (j Job) work() time.Duration {
+func (j Job) totalRunTime() time.Duration {
 	var d time.Duration
 	for _, t := range j.Tasks {
 		d += t.Run
@@ -208,24 +209,24 @@
 	return d
 }
 
-func (r *Run) arrive(c *call) {
+func (r *Run) arrive(c *callerJob) {
 	for _, n := range r.counts(c.job.At) {
 		n.Jobs++
-		n.Work += c.job.work()
+		n.OfferedTime += c.job.totalRunTime()
 	}
-	r.try(c, c.job.Entry)
+	r.submitNew(c, c.job.Entry)
 }
 
-// try submits a job under a new id.
-func (r *Run) try(c *call, entry int) {
+// submitNew submits a job under a new id.
+func (r *Run) submitNew(c *callerJob, entry int) {
 	e := r.entries[entry]
 	c.id = e.nextID()
 	r.request(c, e)
 }
 
-func (r *Run) request(c *call, e *stressEntry) {
-	r.last++
-	n := r.last
+func (r *Run) request(c *callerJob, e *scenarioEntry) {
+	r.lastRequest++
+	n := r.lastRequest
 	r.calls[n] = c
 	s := &pb.Submission{Id: c.id, Service: "labels"}
 	for i, t := range c.job.Tasks {
@@ -234,12 +235,12 @@
 			RunTimeMs: uint32(max(1, t.Declared.Milliseconds())),
 		})
 	}
-	r.after(r.Site.ToClients, func() {
+	r.after(r.Site.ClientDelay, func() {
 		e.step(dispatch.Submit{Request: n, Institution: r.Site.Name, Submission: s})
 	})
 }
 
-// Resubmit sends every open job again, through a random entry process.
+// Resubmit resubmits every unfinished job through a random entry process and returns their number.
 func (r *Run) Resubmit() int {
 	n := 0
 	for _, c := range r.jobs {
@@ -251,7 +252,8 @@
 	return n
 }
 
-// CancelAll cancels every open job where it was submitted.
+// CancelAll cancels every unfinished job through the entry where it was submitted and returns their
+// number.
 func (r *Run) CancelAll() int {
 	n := 0
 	for _, c := range r.jobs {
@@ -260,17 +262,17 @@
 		}
 		n++
 		c.ended = true
-		r.last++
-		request := r.last
+		r.lastRequest++
+		request := r.lastRequest
 		e := r.entries[c.job.Entry]
-		r.after(r.Site.ToClients, func() {
+		r.after(r.Site.ClientDelay, func() {
 			e.step(dispatch.Cancel{Request: request, Institution: r.Site.Name, ID: c.id})
 		})
 	}
 	return n
 }
 
-// Running is the number of tasks that run at present.
+// Running returns the number of tasks that run at present.
 func (r *Run) Running() int {
 	n := 0
 	for _, u := range r.runners {
@@ -279,8 +281,8 @@
 	return n
 }
 
-// Break gives upstreams a fault, picked by their place on the list.
-func (r *Run) Break(f Fault, pick func(i int, u task.Upstream) bool) {
+// SetFault sets a fault for the upstreams that pick selects.
+func (r *Run) SetFault(f Fault, pick func(i int, u task.Upstream) bool) {
 	for i, u := range r.members().Upstreams {
 		if pick(i, u) {
 			r.runners[u.Name].fault = f
@@ -295,15 +297,15 @@
 		return
 	}
 	again := time.Duration(a.GetRetryAfterMs()) * time.Millisecond
-	gaveUp := r.Leave || again == 0 || r.now+again > c.job.At+patience
+	gaveUp := r.CallersLeave || again == 0 || r.now+again > c.job.At+callerTimeout
 	refused := a.GetOutcome() == pb.Outcome_OUTCOME_NOT_RUN
 	if refused {
 		for _, n := range r.counts(r.now) {
-			n.Tries++
+			n.RefusedRequests++
 		}
 	}
 	if refused && !gaveUp {
-		r.after(r.Site.ToClients+again, func() { r.try(c, c.job.Entry) })
+		r.after(r.Site.ClientDelay+again, func() { r.submitNew(c, c.job.Entry) })
 		return
 	}
 	c.ended = true
@@ -312,39 +314,39 @@
 		case a.GetOutcome() == pb.Outcome_OUTCOME_COMPLETE:
 			n.Complete++
 		case refused:
-			n.Gone++
+			n.GaveUp++
 		default:
 			n.Failed++
 			if a.GetReason() == pb.Reason_REASON_TASK_FAILED {
-				n.Broken++
+				n.TaskFailures++
 			}
 		}
 	}
 	if a.GetOutcome() != pb.Outcome_OUTCOME_COMPLETE {
 		return
 	}
-	// Work done counts when it is done, for goodput.
+	// For goodput, the work of a job counts at the time of its completion.
 	for _, n := range r.counts(r.now) {
-		n.Done += c.job.work()
+		n.CompletedTime += c.job.totalRunTime()
 	}
-	if c.job.At >= r.Shape.Warm {
-		r.ratios.complete(r.now+r.Site.ToClients-c.job.At, r.Site.ideal(c.job))
+	if c.job.At >= r.Workload.Warmup {
+		r.ratios.complete(r.now+r.Site.ClientDelay-c.job.At, r.Site.ideal(c.job))
 	}
 }
 
-func (e *stressEntry) nextID() *pb.SubmissionId {
+func (e *scenarioEntry) nextID() *pb.SubmissionId {
 	if e.run.now%(5*time.Minute) == 0 {
 		e.ids = idSource{}
 	}
 	return e.ids.next(e.core, e.run.now)
 }
 
-func (e *stressEntry) step(ev dispatch.Event) {
+func (e *scenarioEntry) step(ev dispatch.Event) {
 	e.core.Step(e.run.now, ev)
-	e.carryOut()
+	e.executeCommands()
 }
 
-func (e *stressEntry) carryOut() {
+func (e *scenarioEntry) executeCommands() {
 	r := e.run
 	for _, cmd := range e.core.TakeCommands() {
 		switch cmd := cmd.(type) {
@@ -360,10 +362,10 @@
 			r.answered(cmd.Request, cmd.Answer)
 		}
 	}
-	e.wakeUp.schedule(&e.run.clock, e.core, e.carryOut)
+	e.coreTicker.schedule(&e.run.clock, e.core, e.executeCommands)
 }
 
-func (e *stressEntry) send(cmd dispatch.Send) {
+func (e *scenarioEntry) send(cmd dispatch.Send) {
 	r := e.run
 	switch cmd.Message.GetBody().(type) {
 	case *pb.PeerMessage_Forward, *pb.PeerMessage_ForwardAnswer:
@@ -380,25 +382,25 @@
 	}
 }
 
-func (e *stressEntry) start(cmd dispatch.StartTask) {
+func (e *scenarioEntry) start(cmd dispatch.StartTask) {
 	r := e.run
 	u := r.runners[cmd.Upstream]
 	delay := r.Site.delay(e.domain, u.domain)
-	back := func(res task.Result) {
+	respond := func(res task.Result) {
 		r.after(delay, func() { e.step(dispatch.StartResult{Start: cmd.Start, Result: res}) })
 	}
-	r.after(delay, func() { u.begin(r, cmd, back) })
+	r.after(delay, func() { u.begin(r, cmd, respond) })
 }
 
-func (u *stressRunner) begin(r *Run, cmd dispatch.StartTask, back func(task.Result)) {
+func (u *scenarioRunner) begin(r *Run, cmd dispatch.StartTask, respond func(task.Result)) {
 	switch {
-	case u.fault == Gone:
+	case u.fault == Unreachable:
 		r.Refusals++
-		back(task.Result{Verdict: task.NotStarted})
+		respond(task.Result{Verdict: task.NotStarted})
 		return
 	case u.fault == Refuses || u.busy >= u.slots:
 		r.Refusals++
-		back(task.Result{Verdict: task.NotStarted, Refused: true})
+		respond(task.Result{Verdict: task.NotStarted, Refused: true})
 		return
 	}
 	field, _, _ := strings.Cut(string(cmd.Payload), " ")
@@ -406,51 +408,51 @@
 	took, verdict := time.Duration(ns), task.Finished
 	switch u.fault {
 	case FailsAll:
-		took, verdict = failTime, task.Failed
+		took, verdict = taskFailureTime, task.Failed
 	case Slow:
 		took *= slowFactor
 	}
 	u.busy++
-	r.hold(1)
-	if r.began[cmd.Name] {
-		r.doubled++
+	r.addHeldSlots(1)
+	if r.startedTasks[cmd.Name] {
+		r.startedTwice++
 	}
-	r.began[cmd.Name] = true
+	r.startedTasks[cmd.Name] = true
 	began := r.now
-	t := &stressTask{}
+	t := &runningTask{}
 	end := func(v task.Verdict) {
 		if u.running[cmd.Name] != t {
 			return
 		}
 		delete(u.running, cmd.Name)
 		u.busy--
-		r.hold(-1)
+		r.addHeldSlots(-1)
 		for _, n := range r.counts(r.now) {
-			n.Spent += r.now - began
+			n.UsedTime += r.now - began
 		}
-		back(task.Result{Verdict: v})
+		respond(task.Result{Verdict: v})
 	}
 	t.stop = func() { end(task.Failed) }
 	u.running[cmd.Name] = t
 	r.after(took, func() { end(verdict) })
 }
 
-// hold counts a slot taken or given back.
-func (r *Run) hold(n int) {
-	if r.now > r.Shape.Warm && r.now <= r.Shape.Length {
-		r.area += time.Duration(r.held) * (r.now - max(r.changed, r.Shape.Warm))
+// addHeldSlots records that slots are taken (n > 0) or released (n < 0).
+func (r *Run) addHeldSlots(n int) {
+	if r.now > r.Workload.Warmup && r.now <= r.Workload.Length {
+		r.heldSlotTime += time.Duration(r.heldSlots) * (r.now - max(r.heldChangedAt, r.Workload.Warmup))
 	}
-	r.changed = r.now
-	r.held += n
-	r.most = max(r.most, r.held)
+	r.heldChangedAt = r.now
+	r.heldSlots += n
+	r.maxHeldSlots = max(r.maxHeldSlots, r.heldSlots)
 }
 
-// MeanHeld is the mean number of slots held from Shape.Warm on.
+// MeanHeld returns the mean number of held slots since Workload.Warmup.
 func (r *Run) MeanHeld() float64 {
-	return r.area.Seconds() / (r.Shape.Length - r.Shape.Warm).Seconds()
+	return r.heldSlotTime.Seconds() / (r.Workload.Length - r.Workload.Warmup).Seconds()
 }
 
-func (e *stressEntry) stop(cmd dispatch.StopTask) {
+func (e *scenarioEntry) stop(cmd dispatch.StopTask) {
 	r := e.run
 	u := r.runners[cmd.Upstream]
 	r.after(r.Site.delay(e.domain, u.domain), func() {
@@ -460,8 +462,8 @@
 	})
 }
 
-// Goodput is the slot time of completed jobs over that of all slots.
+// Goodput returns the slot time of completed jobs divided by that of all slots.
 func (r *Run) Goodput() float64 {
-	span := (r.Shape.Length - r.Shape.Warm).Seconds()
-	return r.Total.Done.Seconds() / span / float64(r.Site.totalSlots())
+	span := (r.Workload.Length - r.Workload.Warmup).Seconds()
+	return r.Total.CompletedTime.Seconds() / span / float64(r.Site.totalSlots())
 }
--- a/bench/scenarios.go
+++ b/bench/scenarios.go
@@ -12,21 +12,21 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// Stresses prints the tables of overload and upstream faults.
-type Stresses struct {
+// Scenarios runs scenarios of overload and upstream faults and prints their results as tables.
+type Scenarios struct {
 	Site   Site
 	Seed   uint64
 	Length time.Duration
 	Out    io.Writer
 }
 
-// stressLimit is the contracted response time in these runs.
-const stressLimit = 5 * time.Second
+// responseLimit is the contracted response time in these runs.
+const responseLimit = 5 * time.Second
 
-func (s Stresses) stress(policy string, load float64, change func(*dispatch.Config)) Stress {
-	return Stress{
-		Policy: policy, Site: s.Site, Limit: stressLimit, Change: change,
-		Shape: Shape{Load: load, Stragglers: Stragglers, Length: s.Length, Warm: s.Length / 6, Seed: s.Seed},
+func (s Scenarios) scenario(policy string, load float64, change func(*dispatch.Config)) Scenario {
+	return Scenario{
+		Policy: policy, Site: s.Site, Limit: responseLimit, ChangeConfig: change,
+		Workload: Workload{Load: load, Stragglers: DefaultStragglers, Length: s.Length, Warmup: s.Length / 6, Seed: s.Seed},
 	}
 }
 
@@ -35,19 +35,19 @@
 	c.AdmissionPolicy.StartInfeasible = true
 }
 
-func longWaits(c *dispatch.Config) {
+func longQueueing(c *dispatch.Config) {
 	c.AdmissionPolicy.OverloadWaitPercent = c.AdmissionPolicy.WaitPercent
 }
 
-func alone(c *dispatch.Config) { c.Health.IgnorePeers = true }
+func ownHealthOnly(c *dispatch.Config) { c.Health.IgnorePeers = true }
 
-func noHealth(c *dispatch.Config) { c.Health.Disabled = true }
+func withoutHealth(c *dispatch.Config) { c.Health.Disabled = true }
 
-// all runs stresses side by side.
-func all(list []Stress) []*Run {
+// runAll runs scenarios concurrently.
+func runAll(list []Scenario) []*Run {
 	runs := make([]*Run, len(list))
 	var group errgroup.Group
-	group.SetLimit(parallel)
+	group.SetLimit(maxParallel)
 	for i, s := range list {
 		group.Go(func() error {
 			runs[i] = NewRun(s).Do()
@@ -58,27 +58,27 @@
 	return runs
 }
 
-func share(n, of int) float64 { return 100 * float64(n) / float64(max(of, 1)) }
+func percent(n, of int) float64 { return 100 * float64(n) / float64(max(of, 1)) }
 
-// Overload is goodput by load, with admission and without.
-func (s Stresses) Overload() {
-	var list []Stress
+// Overload prints the goodput by load, with and without admission control.
+func (s Scenarios) Overload() {
+	var list []Scenario
 	for _, load := range []float64{0.8, 0.95, 1.0, 1.3, 3.0} {
-		list = append(list, s.stress("short waits when they stand", load, nil))
-		list = append(list, s.stress("waits up to half of the time", load, longWaits))
-		list = append(list, s.stress("every job taken on", load, admitAll))
+		list = append(list, s.scenario("lower wait limit while overload lasts", load, nil))
+		list = append(list, s.scenario("one wait limit, half of the time", load, longQueueing))
+		list = append(list, s.scenario("every job admitted", load, admitAll))
 	}
-	fmt.Fprint(s.Out, "| load | policy | goodput | whole answers | failed | refused for good | refusals a job | slot time spent for nothing | mean | p99 | wasted starts a task |\n|---|---|---|---|---|---|---|---|---|---|---|\n")
-	for _, r := range all(list) {
+	fmt.Fprint(s.Out, "| load | policy | goodput | complete answers | failed | given up after refusals | refusals per job | slot time wasted | mean | p99 | wasted starts per task |\n|---|---|---|---|---|---|---|---|---|---|---|\n")
+	for _, r := range runAll(list) {
 		t := r.Total
 		fmt.Fprintf(s.Out, "| %.0f%% | %s | %.1f%% | %.1f%% | %.2f%% | %.1f%% | %.2f | %.1f%% | %.2f | %.1f | %.4f |\n",
-			100*r.Shape.Load, r.Policy, 100*r.Goodput(), share(t.Complete, t.Jobs), share(t.Failed, t.Jobs), share(t.Gone, t.Jobs),
-			float64(t.Tries)/float64(max(1, t.Jobs)), 100*(1-t.Done.Seconds()/t.Spent.Seconds()), r.ratios.Mean(), r.ratios.Quantile(99), float64(r.Refusals)/float64(r.Starts))
+			100*r.Workload.Load, r.Policy, 100*r.Goodput(), percent(t.Complete, t.Jobs), percent(t.Failed, t.Jobs), percent(t.GaveUp, t.Jobs),
+			float64(t.RefusedRequests)/float64(max(1, t.Jobs)), 100*(1-t.CompletedTime.Seconds()/t.UsedTime.Seconds()), r.ratios.Mean(), r.ratios.Quantile(99), float64(r.Refusals)/float64(r.Starts))
 	}
 }
 
-// Burst is what jobs meet that arrive in the seconds after a burst of 300%.
-func (s Stresses) Burst() {
+// Burst prints the outcomes of jobs that arrive in the seconds after a burst of 300%.
+func (s Scenarios) Burst() {
 	const before, length = 20 * time.Second, 10 * time.Second
 	load := func(at time.Duration) float64 {
 		if at >= before && at < before+length {
@@ -86,80 +86,80 @@
 		}
 		return 0.7
 	}
-	var list []Stress
+	var list []Scenario
 	for _, leave := range []bool{true, false} {
-		for _, p := range []Stress{s.stress("short waits when they stand", 3, nil), s.stress("every job taken on", 3, admitAll)} {
-			p.LoadAt, p.Leave = load, leave
+		for _, p := range []Scenario{s.scenario("lower wait limit while overload lasts", 3, nil), s.scenario("every job admitted", 3, admitAll)} {
+			p.LoadAt, p.CallersLeave = load, leave
 			list = append(list, p)
 		}
 	}
-	fmt.Fprint(s.Out, "| policy | refused callers | whole answers of jobs arriving in the burst | in the 1st second after it | 2nd | 3rd | 5th | 10th | 20th |\n|---|---|---|---|---|---|---|---|---|\n")
-	for _, r := range all(list) {
-		callers := "come back when told"
-		if r.Leave {
+	fmt.Fprint(s.Out, "| policy | refused callers | complete answers of jobs arriving in the burst | in the 1st second after it | 2nd | 3rd | 5th | 10th | 20th |\n|---|---|---|---|---|---|---|---|---|\n")
+	for _, r := range runAll(list) {
+		callers := "retry when told"
+		if r.CallersLeave {
 			callers = "leave"
 		}
 		fmt.Fprintf(s.Out, "| %s | %s |", r.Policy, callers)
 		first := int((before + length) / time.Second)
-		var burst Count
-		for _, n := range r.Seconds[first-10 : first] {
+		var burst JobCounts
+		for _, n := range r.PerSecond[first-10 : first] {
 			burst.Jobs += n.Jobs
 			burst.Complete += n.Complete
 		}
-		fmt.Fprintf(s.Out, " %.1f%% |", share(burst.Complete, burst.Jobs))
+		fmt.Fprintf(s.Out, " %.1f%% |", percent(burst.Complete, burst.Jobs))
 		for _, after := range []int{0, 1, 2, 4, 9, 19} {
-			n := r.Seconds[first+after]
-			fmt.Fprintf(s.Out, " %.1f%% |", share(n.Complete, n.Jobs))
+			n := r.PerSecond[first+after]
+			fmt.Fprintf(s.Out, " %.1f%% |", percent(n.Complete, n.Jobs))
 		}
 		fmt.Fprintln(s.Out)
 	}
 }
 
-// Faults is what upstreams that go wrong cost, with health and without.
-func (s Stresses) Faults() {
+// Faults prints the cost of faulty upstreams, with and without health checks.
+func (s Scenarios) Faults() {
 	at := s.Length / 4
 	faults := []struct {
 		name string
 		f    Fault
 		pick func(i int, u task.Upstream) bool
 	}{
-		{"none", Sound, func(int, task.Upstream) bool { return false }},
+		{"none", Healthy, func(int, task.Upstream) bool { return false }},
 		{"one fails everything", FailsAll, func(i int, _ task.Upstream) bool { return i == 5 }},
 		{"a rack fails everything", FailsAll, func(_ int, u task.Upstream) bool { return u.Rack == s.Site.Domains[1]+"0" }},
 		{"one takes five times as long", Slow, func(i int, _ task.Upstream) bool { return i == 5 }},
-		{"one can't be reached", Gone, func(i int, _ task.Upstream) bool { return i == 5 }},
+		{"one can't be reached", Unreachable, func(i int, _ task.Upstream) bool { return i == 5 }},
 		{"one refuses everything", Refuses, func(i int, _ task.Upstream) bool { return i == 5 }},
 	}
-	var list []Stress
+	var list []Scenario
 	for _, f := range faults {
-		for _, p := range []Stress{s.stress("health, shared", 0.8, nil), s.stress("health, each alone", 0.8, alone), s.stress("no health", 0.8, noHealth)} {
+		for _, p := range []Scenario{s.scenario("health checks, shared", 0.8, nil), s.scenario("health checks, each process alone", 0.8, ownHealthOnly), s.scenario("no health checks", 0.8, withoutHealth)} {
 			p.Policy = f.name + " | " + p.Policy
-			p.Events = map[time.Duration]func(*Run){at: func(r *Run) { r.Break(f.f, f.pick) }}
+			p.Events = map[time.Duration]func(*Run){at: func(r *Run) { r.SetFault(f.f, f.pick) }}
 			list = append(list, p)
 		}
 	}
-	fmt.Fprint(s.Out, "| fault | policy | jobs since | failed by a task | share | failed otherwise | refused for good | mean | p99 | wasted starts a task |\n|---|---|---|---|---|---|---|---|---|---|\n")
-	for _, r := range all(list) {
-		var n Count
-		for _, c := range r.Seconds[int(at/time.Second):] {
+	fmt.Fprint(s.Out, "| fault | policy | jobs since | failed by a task | share | failed otherwise | given up after refusals | mean | p99 | wasted starts per task |\n|---|---|---|---|---|---|---|---|---|---|\n")
+	for _, r := range runAll(list) {
+		var n JobCounts
+		for _, c := range r.PerSecond[int(at/time.Second):] {
 			n.Jobs += c.Jobs
 			n.Failed += c.Failed
-			n.Broken += c.Broken
-			n.Gone += c.Gone
+			n.TaskFailures += c.TaskFailures
+			n.GaveUp += c.GaveUp
 		}
 		fmt.Fprintf(s.Out, "| %s | %d | %d | %.2f%% | %d | %d | %.3f | %.2f | %.4f |\n",
-			r.Policy, n.Jobs, n.Broken, share(n.Broken, n.Jobs), n.Failed-n.Broken, n.Gone, r.ratios.Mean(), r.ratios.Quantile(99), float64(r.Refusals)/float64(r.Starts))
+			r.Policy, n.Jobs, n.TaskFailures, percent(n.TaskFailures, n.Jobs), n.Failed-n.TaskFailures, n.GaveUp, r.ratios.Mean(), r.ratios.Quantile(99), float64(r.Refusals)/float64(r.Starts))
 	}
 }
 
-// Ceiling is what a ceiling of half of the slots lets run, with the callers at
-// all entry processes alike and at one of them.
-func (s Stresses) Ceiling() {
+// Ceiling prints the use of a ceiling of half of the slots, with the callers spread over all entry
+// processes and with all of them at one.
+func (s Scenarios) Ceiling() {
 	ceiling := s.Site.totalSlots() / 2
-	var list []Stress
+	var list []Scenario
 	for _, skewed := range []bool{false, true} {
-		p := s.stress("jobs at all entry processes alike", 1, nil)
-		p.Terms = func(d *pb.Settings) {
+		p := s.scenario("jobs spread over all entry processes", 1, nil)
+		p.ChangeSettings = func(d *pb.Settings) {
 			d.EntryVms = uint32(s.Site.Entries)
 			d.Institutions[0].CeilingSlots = uint32(ceiling)
 		}
@@ -168,18 +168,18 @@
 		}
 		list = append(list, p)
 	}
-	fmt.Fprint(s.Out, "| jobs | ceiling | most slots held at once | mean | of the ceiling | control messages a second a process |\n|---|---|---|---|---|---|\n")
-	for _, r := range all(list) {
-		fmt.Fprintf(s.Out, "| %s | %d | %d | %.1f | %.1f%% | %.1f |\n", r.Policy, ceiling, r.most, r.MeanHeld(),
+	fmt.Fprint(s.Out, "| jobs | ceiling | most slots held at once | mean | of the ceiling | control messages per second and process |\n|---|---|---|---|---|---|\n")
+	for _, r := range runAll(list) {
+		fmt.Fprintf(s.Out, "| %s | %d | %d | %.1f | %.1f%% | %.1f |\n", r.Policy, ceiling, r.maxHeldSlots, r.MeanHeld(),
 			100*r.MeanHeld()/float64(ceiling), float64(r.Control)/(s.Length+drainTime).Seconds()/float64(s.Site.Entries))
 	}
 }
 
-// Waves is the messages that mass cancellations and resubmissions cost.
-func (s Stresses) Waves() {
+// Waves prints the messages that mass cancellations and resubmissions cost.
+func (s Scenarios) Waves() {
 	at := s.Length / 2
 	type wave struct{ jobs, running, stops, forwards, starts int }
-	fmt.Fprint(s.Out, "| wave, at 130% | jobs | tasks running | messages to upstreams | messages between entry processes | starts of a task twice |\n|---|---|---|---|---|---|\n")
+	fmt.Fprint(s.Out, "| wave, at 130% | jobs | tasks running | messages to upstreams | messages between entry processes | tasks started twice |\n|---|---|---|---|---|---|\n")
 	cancel := func(r *Run) int { return r.CancelAll() }
 	resubmit := func(r *Run) (n int) {
 		for range 5 {
@@ -190,11 +190,11 @@
 	waves := []struct {
 		name string
 		send func(*Run) int
-	}{{"every open job cancelled", cancel}, {"every open job sent again, five times", resubmit}}
+	}{{"every open job cancelled", cancel}, {"every open job resubmitted five times", resubmit}}
 	for _, w := range waves {
 		var before, after wave
-		p := s.stress(w.name, 1.3, nil)
-		p.Shape.Length = at + 5*time.Second
+		p := s.scenario(w.name, 1.3, nil)
+		p.Workload.Length = at + 5*time.Second
 		p.Events = map[time.Duration]func(*Run){
 			at: func(r *Run) {
 				before = wave{0, r.Running(), r.Stops, r.Forwards, r.Starts}
@@ -203,6 +203,6 @@
 			at + 20*time.Millisecond: func(r *Run) { after = wave{0, 0, r.Stops, r.Forwards, r.Starts} },
 		}
 		r := NewRun(p).Do()
-		fmt.Fprintf(s.Out, "| %s | %d | %d | %d | %d | %d |\n", w.name, before.jobs, before.running, after.stops-before.stops, after.forwards-before.forwards, r.doubled)
+		fmt.Fprintf(s.Out, "| %s | %d | %d | %d | %d | %d |\n", w.name, before.jobs, before.running, after.stops-before.stops, after.forwards-before.forwards, r.startedTwice)
 	}
 }
--- a/bench/cores.go
+++ b/bench/simulate.go
@@ -10,16 +10,16 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// drainTime is how long a run goes on after the last arrival.
+// drainTime is how long a run continues after the last arrival.
 const drainTime = 60 * time.Second
 
-// Policy is a setting of the real decision code.
+// Policy is a configuration of the real decision code.
 type Policy struct {
 	Name string
-	// Tolerance is borrow_tolerance_ms of the institution's terms.
+	// Tolerance is borrow_tolerance_ms in the institution's terms.
 	Tolerance time.Duration
-	// Change alters the configuration of each process.
-	Change func(*dispatch.Config)
+	// ChangeConfig changes the configuration of each process.
+	ChangeConfig func(*dispatch.Config)
 }
 
 // fleet is the entry processes and upstreams of one site in virtual time.
@@ -29,22 +29,22 @@
 	limit   time.Duration
 	jobs    []Job
 	result  *Result
-	warm    time.Duration
+	warmup  time.Duration
 	entries []*entry
 	byName  map[string]*entry
 	runners map[string]*runner
-	// apart says that the first domain is cut off from the others.
-	apart bool
+	// partitioned: the first domain can't reach the others.
+	partitioned bool
 }
 
 // entry is one entry process.
 type entry struct {
-	fleet  *fleet
-	core   *dispatch.Core
-	self   task.Incarnation
-	domain string
-	ids    idSource
-	wakeUp wakeUp
+	fleet      *fleet
+	core       *dispatch.Core
+	self       task.Incarnation
+	domain     string
+	ids        idSource
+	coreTicker coreTicker
 }
 
 // runner is one upstream.
@@ -54,32 +54,32 @@
 	busy   int
 }
 
-// Cores runs a stream through the real decision code.
-func Cores(p Policy, site Site, shape Shape, limit time.Duration, jobs []Job) *Result {
-	f := newFleet(p, site, shape, limit, jobs)
+// SimulateDispatch runs a stream of jobs through the real decision code.
+func SimulateDispatch(p Policy, site Site, workload Workload, limit time.Duration, jobs []Job) *Result {
+	f := newFleet(p, site, workload, limit, jobs)
 	for i, j := range jobs {
-		if j.At >= f.warm {
+		if j.At >= f.warmup {
 			f.result.Jobs++
 			f.result.Tasks += len(j.Tasks)
 		}
-		f.at(j.At+site.ToClients, func() { f.submit(i) })
+		f.at(j.At+site.ClientDelay, func() { f.submit(i) })
 	}
-	if shape.CutUntil > shape.CutFrom {
-		f.at(shape.CutFrom, func() { f.cut(true) })
-		f.at(shape.CutUntil, func() { f.cut(false) })
+	if workload.PartitionUntil > workload.PartitionFrom {
+		f.at(workload.PartitionFrom, func() { f.setPartitioned(true) })
+		f.at(workload.PartitionUntil, func() { f.setPartitioned(false) })
 	}
-	f.run(shape.Length + drainTime)
+	f.run(workload.Length + drainTime)
 	return f.result
 }
 
-// cut parts the first domain from the others, or joins them again.
-func (f *fleet) cut(apart bool) {
-	f.apart = apart
+// setPartitioned begins or ends a network partition between the first domain and the others.
+func (f *fleet) setPartitioned(partitioned bool) {
+	f.partitioned = partitioned
 	for _, e := range f.entries {
 		for _, o := range f.entries {
 			switch {
-			case !f.across(e, o):
-			case apart:
+			case !f.crossesPartition(e, o):
+			case partitioned:
 				e.step(dispatch.PeerDown{Peer: o.self})
 			default:
 				e.step(dispatch.PeerUp{Peer: o.self, FailureDomain: o.domain})
@@ -88,14 +88,14 @@
 	}
 }
 
-func (f *fleet) across(a, b *entry) bool {
+func (f *fleet) crossesPartition(a, b *entry) bool {
 	first := f.site.Domains[0]
 	return (a.domain == first) != (b.domain == first)
 }
 
-func newFleet(p Policy, site Site, shape Shape, limit time.Duration, jobs []Job) *fleet {
+func newFleet(p Policy, site Site, workload Workload, limit time.Duration, jobs []Job) *fleet {
 	f := &fleet{
-		site: site, limit: limit, jobs: jobs, warm: shape.Warm, result: newResult(p.Name),
+		site: site, limit: limit, jobs: jobs, warmup: workload.Warmup, result: newResult(p.Name),
 		byName: make(map[string]*entry), runners: make(map[string]*runner),
 	}
 	for i := range site.Upstreams {
@@ -104,9 +104,9 @@
 	for i := range site.Entries {
 		e := &entry{fleet: f, self: task.Incarnation{Node: entryName(i), Run: 1}, domain: site.entryDomain(i)}
 		cfg := dispatch.DefaultConfig(e.self, e.domain)
-		cfg.Seed = shape.Seed
-		if p.Change != nil {
-			p.Change(&cfg)
+		cfg.Seed = workload.Seed
+		if p.ChangeConfig != nil {
+			p.ChangeConfig(&cfg)
 		}
 		e.core = dispatch.New(cfg)
 		f.entries = append(f.entries, e)
@@ -123,7 +123,7 @@
 	}
 	for _, e := range f.entries {
 		if !e.core.Ready() {
-			panic("bench: an entry process doesn't take the settings")
+			panic("bench: an entry process did not accept the settings")
 		}
 	}
 	return f
@@ -146,7 +146,7 @@
 	}}}
 }
 
-// payload names a task to the fake upstreams.
+// payload encodes the job and index of a task for the fake upstreams.
 func payload(job, index int) []byte {
 	return binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(nil, uint32(job)), uint32(index))
 }
@@ -166,10 +166,10 @@
 
 func (e *entry) step(ev dispatch.Event) {
 	e.core.Step(e.fleet.now, ev)
-	e.carryOut()
+	e.executeCommands()
 }
 
-func (e *entry) carryOut() {
+func (e *entry) executeCommands() {
 	for _, cmd := range e.core.TakeCommands() {
 		switch cmd := cmd.(type) {
 		case dispatch.StartTask:
@@ -179,31 +179,31 @@
 		case dispatch.Reply:
 			e.fleet.reply(int(cmd.Request)-1, cmd.Answer)
 		case dispatch.Settle:
-			e.fleet.waste().Other += 2
+			e.fleet.currentWaste().Other += 2
 		case dispatch.StopTask:
-			e.fleet.waste().Other++
+			e.fleet.currentWaste().Other++
 		}
 	}
-	e.wakeUp.schedule(&e.fleet.clock, e.core, e.carryOut)
+	e.coreTicker.schedule(&e.fleet.clock, e.core, e.executeCommands)
 }
 
 func (e *entry) start(cmd dispatch.StartTask) {
 	f := e.fleet
 	r := f.runners[cmd.Upstream]
 	delay := f.site.delay(e.domain, r.domain)
-	back := func(res task.Result) {
+	respond := func(res task.Result) {
 		f.after(delay, func() { e.step(dispatch.StartResult{Start: cmd.Start, Result: res}) })
 	}
 	f.after(delay, func() {
 		if r.busy >= r.slots {
-			f.waste().Refusals += 2
-			back(task.Result{Verdict: task.NotStarted, Refused: true})
+			f.currentWaste().Refusals += 2
+			respond(task.Result{Verdict: task.NotStarted, Refused: true})
 			return
 		}
 		r.busy++
 		f.after(f.taskOf(cmd.Payload).Run, func() {
 			r.busy--
-			back(task.Result{Verdict: task.Finished})
+			respond(task.Result{Verdict: task.Finished})
 		})
 	})
 }
@@ -212,29 +212,29 @@
 	f := e.fleet
 	switch cmd.Message.GetBody().(type) {
 	case nil:
-		f.waste().Control++
+		f.currentWaste().Control++
 	case *pb.PeerMessage_BorrowRequest:
-		f.waste().Requests++
+		f.currentWaste().Requests++
 	case *pb.PeerMessage_LendGrant:
-		f.waste().Grants++
+		f.currentWaste().Grants++
 	case *pb.PeerMessage_LendReturn:
-		f.waste().Returns++
+		f.currentWaste().Returns++
 	default:
-		f.waste().Other++
+		f.currentWaste().Other++
 	}
 	to := f.byName[cmd.Peer.Node]
 	f.after(f.site.delay(e.domain, to.domain), func() {
-		if f.apart && f.across(e, to) {
+		if f.partitioned && f.crossesPartition(e, to) {
 			return
 		}
 		to.step(dispatch.PeerMessage{Peer: e.self, Message: cmd.Message})
 	})
 }
 
-// waste is where a message is counted: nowhere while the run warms up or when
-// no more jobs arrive.
-func (f *fleet) waste() *Waste {
-	if f.now < f.warm || f.now > f.jobs[len(f.jobs)-1].At {
+// currentWaste returns where a message is counted at present. Messages during the warm-up and after
+// the last arrival aren't counted.
+func (f *fleet) currentWaste() *Waste {
+	if f.now < f.warmup || f.now > f.jobs[len(f.jobs)-1].At {
 		return &Waste{}
 	}
 	return &f.result.Waste
@@ -242,12 +242,12 @@
 
 func (f *fleet) reply(job int, a *pb.Answer) {
 	j := f.jobs[job]
-	if j.At < f.warm {
+	if j.At < f.warmup {
 		return
 	}
 	switch a.GetOutcome() {
 	case pb.Outcome_OUTCOME_COMPLETE:
-		f.result.complete(f.now+f.site.ToClients-j.At, f.site.ideal(j))
+		f.result.complete(f.now+f.site.ClientDelay-j.At, f.site.ideal(j))
 	case pb.Outcome_OUTCOME_NOT_RUN:
 		f.result.NotRun++
 	default:
--- a/bench/slopes/control.go
+++ b/bench/slopes/control.go
@@ -17,30 +17,29 @@
 )
 
 const (
-	// controlSpan is how long each idle deployment is watched.
-	controlSpan = 8 * time.Second
-	// controlSettle lets the handshakes and QUIC's search for the path's
-	// packet size end first.
-	controlSettle = 5 * time.Second
-	udpIPHeader   = 28
-	changes       = 20
+	// measureDuration is how long each idle deployment is measured.
+	measureDuration = 8 * time.Second
+	// settleDuration lets the handshakes and QUIC's path MTU discovery end before the measurement.
+	settleDuration  = 5 * time.Second
+	udpIPHeader     = 28
+	settingsChanges = 20
 )
 
-// control is the cost of one idle node among others.
+// control is the control cost of one idle node in a deployment.
 type control struct {
 	nodes int
-	// core is the share of a processor core, bytes the UDP and IP bytes sent
-	// and received a second.
+	// core is the share of a CPU core; bytes is the number of UDP and IP bytes sent and received per
+	// second.
 	core, bytes float64
-	// platform is the TCP payload exchanged with the platform a second.
+	// platform is the TCP payload exchanged with the platform, in bytes per second.
 	platform float64
-	// inForce is the longest of several times from an operator's accepted call
-	// until the change was in force at every node.
+	// inForce is the longest time from an operator's accepted call until the change was in force at
+	// every node, of several changes.
 	inForce time.Duration
 }
 
-// measureControl watches an idle deployment of the given size in this process:
-// two failure domains, two runners each. The platform's stand-in is included.
+// measureControl measures an idle deployment of the given size in this process, with two failure
+// domains and two runners in each. The CPU time includes that of the platform's stand-in.
 func measureControl(nodes int) (control, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -51,26 +50,26 @@
 		return control{}, errors.Wrapf(err, "start %d nodes", nodes)
 	}
 	defer cluster.Close()
-	time.Sleep(controlSettle)
-	processor, bytes, platform := processorTime(), traffic(cluster), cluster.PlatformBytes()
-	time.Sleep(controlSpan)
-	seconds := controlSpan.Seconds() * float64(nodes)
+	time.Sleep(settleDuration)
+	processor, bytes, platform := processCPUTime(), peerTraffic(cluster), cluster.PlatformBytes()
+	time.Sleep(measureDuration)
+	seconds := measureDuration.Seconds() * float64(nodes)
 	c := control{
 		nodes: nodes,
-		core:  (processorTime() - processor).Seconds() / seconds,
-		bytes: (traffic(cluster) - bytes) / seconds,
+		core:  (processCPUTime() - processor).Seconds() / seconds,
+		bytes: (peerTraffic(cluster) - bytes) / seconds,
 
 		platform: float64(cluster.PlatformBytes()-platform) / seconds,
 	}
-	c.inForce, err = slowestChange(ctx, cluster)
+	c.inForce, err = slowestSettingsChange(ctx, cluster)
 	return c, err
 }
 
-// slowestChange applies settings at one node after another and watches the
-// others.
-func slowestChange(ctx context.Context, cluster *standin.Cluster) (time.Duration, error) {
+// slowestSettingsChange applies settings at one node after another, and returns the longest time until
+// all nodes had a change in force.
+func slowestSettingsChange(ctx context.Context, cluster *standin.Cluster) (time.Duration, error) {
 	var slowest time.Duration
-	for i := range changes {
+	for i := range settingsChanges {
 		entry := cluster.Entries[i%len(cluster.Entries)]
 		expected := entry.SettingsVersion()
 		rpc := sapphirepointv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+entry.OperatorAddress())
@@ -90,7 +89,7 @@
 	return slowest, nil
 }
 
-func processorTime() time.Duration {
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -98,8 +97,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// traffic is the bytes of all nodes, sent and received, with headers.
-func traffic(c *standin.Cluster) float64 {
+// peerTraffic returns the bytes that all nodes have sent and received, with headers.
+func peerTraffic(c *standin.Cluster) float64 {
 	total := 0.0
 	for _, e := range c.Entries {
 		t := e.PeerTraffic()
@@ -108,12 +107,12 @@
 	return total
 }
 
-// controlSlopes measures idle deployments of growing size.
+// controlSlopes measures idle deployments of increasing size.
 func controlSlopes() ([]series, error) {
-	inForce := series{what: "slowest of 20 settings changes, in force everywhere", per: "peer", unit: "ms"}
-	core := series{what: "idle node among peers, real sockets", per: "peer", unit: "% of a core"}
-	platform := series{what: "reading list and settings once a second, TCP payload both ways", per: "peer", unit: "B/s"}
-	bytes := series{what: "idle peer links, UDP and IP bytes both ways", per: "peer", unit: "B/s"}
+	inForce := series{name: "slowest of 20 settings changes, in force everywhere", per: "peer", unit: "ms"}
+	core := series{name: "idle node among peers, real sockets", per: "peer", unit: "% of a core"}
+	platform := series{name: "reading list and settings once a second, TCP payload both ways", per: "peer", unit: "B/s"}
+	bytes := series{name: "idle peer links, UDP and IP bytes both ways", per: "peer", unit: "B/s"}
 	for _, nodes := range []int{2, 4, 8, 16, 24} {
 		c, err := measureControl(nodes)
 		if err != nil {
--- a/bench/slopes/main.go
+++ b/bench/slopes/main.go
@@ -1,6 +1,5 @@
-// Command slopes measures how the cost of an entry process grows with what it
-// handles, and prints the fitted lines as a Markdown table. The lines carry
-// docs/CAPACITY.md.
+// Command slopes measures how the cost of an entry process grows with its load and the size of the
+// deployment, and prints fitted lines as a Markdown table. docs/CAPACITY.md is based on them.
 package main
 
 import (
@@ -21,26 +20,26 @@
 
 // series is a measurement over several sizes.
 type series struct {
-	what, per, unit string
+	name, per, unit string
 	points          []point
 }
 
-// line is a fitted straight line with its error.
-type line struct {
+// fittedLine is a straight line fitted to measurements, with its error.
+type fittedLine struct {
 	intercept, slope, r2 float64
-	// worst is the largest deviation from the line over the measured value.
-	worst float64
+	// maxDeviation is the largest deviation from the line, relative to the measured value.
+	maxDeviation float64
 }
 
-func (s series) fit() line {
+func (s series) fit() fittedLine {
 	xs := make([]float64, len(s.points))
 	ys := make([]float64, len(s.points))
 	for i, p := range s.points {
 		xs[i], ys[i] = p.x, p.y
 	}
-	l := line{}
-	// Weighting by the inverse square makes the relative errors comparable, so
-	// that the small sizes count as much as the large ones.
+	l := fittedLine{}
+	// Weighting by the inverse square of the value makes the fit minimize relative errors, so that
+	// small sizes count as much as large ones.
 	weights := make([]float64, len(ys))
 	for i, y := range ys {
 		weights[i] = 1 / (y * y)
@@ -48,8 +47,8 @@
 	l.intercept, l.slope = stat.LinearRegression(xs, ys, weights, false)
 	l.r2 = stat.RSquared(xs, ys, weights, l.intercept, l.slope)
 	for _, p := range s.points {
-		off := math.Abs(l.intercept+l.slope*p.x-p.y) / p.y
-		l.worst = math.Max(l.worst, off)
+		deviation := math.Abs(l.intercept+l.slope*p.x-p.y) / p.y
+		l.maxDeviation = math.Max(l.maxDeviation, deviation)
 	}
 	return l
 }
@@ -65,21 +64,21 @@
 		r2 = fmt.Sprintf("%.4f", l.r2)
 	}
 	fmt.Printf("| %s | %s | %.4g %s | %.4g %s | %s | %.0f%% | %s |\n",
-		s.what, s.per, l.slope, s.unit, l.intercept, s.unit, r2, 100*l.worst, points)
+		s.name, s.per, l.slope, s.unit, l.intercept, s.unit, r2, 100*l.maxDeviation, points)
 }
 
-// best is the least of several runs: noise on a shared machine only adds.
-func best(runs int, f func() time.Duration) time.Duration {
-	least := time.Duration(math.MaxInt64)
+// fastest returns the shortest of several runs, since noise on a shared machine only adds time.
+func fastest(runs int, f func() time.Duration) time.Duration {
+	shortest := time.Duration(math.MaxInt64)
 	for range runs {
 		runtime.GC()
-		least = min(least, f())
+		shortest = min(shortest, f())
 	}
-	return least
+	return shortest
 }
 
-// heap is the live heap in bytes.
-func heap() float64 {
+// liveHeapBytes returns the size of the live heap after garbage collection.
+func liveHeapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -102,10 +101,10 @@
 	}
 }
 
-// printCore measures the decision code alone.
+// printCore measures the decision code without sockets.
 func printCore() {
 	for _, measure := range []func() series{
-		taskTime, keptAnswers, membersTime, membersMemory, membersBytes, placementTime,
+		taskTime, retainedResults, membersTime, membersMemory, membersBytes, placementTime,
 		statusTime, peersTime, peersBytes, quotasTime, quotasBytes, teamsTime, teamsBytes, institutionsTime, claimBytes,
 	} {
 		measure().print()
--- a/bench/stream.go
+++ b/bench/stream.go
@@ -6,26 +6,25 @@
 	"time"
 )
 
-// Shape is what a stream of jobs looks like.
-type Shape struct {
-	// Load is the offered part of all slots' time; 1 is capacity.
+// Workload describes a stream of jobs.
+type Workload struct {
+	// Load is the offered load as a share of all slots' time; 1 is capacity.
 	Load float64
-	// Bursts makes jobs arrive at three times the mean rate for a second in
-	// every ten, and less in between.
+	// Bursts: for one second in every ten, jobs arrive at three times the mean rate, and at a lower
+	// rate in between.
 	Bursts bool
-	// Stragglers is the part of tasks that take several seconds.
+	// Stragglers is the share of tasks that take several seconds.
 	Stragglers float64
-	// Length is the span in which jobs arrive; the first Warm of it isn't
-	// measured.
-	Length, Warm time.Duration
-	// CutFrom and CutUntil bound a time in which the first domain's entry
-	// processes reach no others. Jobs go on arriving everywhere.
-	CutFrom, CutUntil time.Duration
-	// Seed gives the stream.
+	// Length is the time in which jobs arrive. Its first part, Warmup, isn't measured.
+	Length, Warmup time.Duration
+	// Between PartitionFrom and PartitionUntil the entry processes of the first domain can't reach the
+	// others. Jobs still arrive everywhere.
+	PartitionFrom, PartitionUntil time.Duration
+	// Seed determines the stream.
 	Seed uint64
 }
 
-// Task is one task with its real and its declared run time.
+// Task is a task with its actual and its declared run time.
 type Task struct {
 	Run, Declared time.Duration
 }
@@ -38,47 +37,47 @@
 }
 
 const (
-	maxTasks    = 19
-	medianRun   = 170 * time.Millisecond
-	runSigma    = 0.6
-	minRun      = 20 * time.Millisecond
-	minLong     = 2 * time.Second
-	maxLong     = 5 * time.Second
-	declSigma   = 0.7
-	burstFactor = 3
-	burstEvery  = 10 * time.Second
-	burstLength = time.Second
-	// Stragglers is the usual part of tasks that take several seconds.
-	Stragglers = 0.03
+	maxTasks      = 19
+	medianRun     = 170 * time.Millisecond
+	runSigma      = 0.6
+	minRun        = 20 * time.Millisecond
+	minStraggler  = 2 * time.Second
+	maxStraggler  = 5 * time.Second
+	declaredSigma = 0.7
+	burstFactor   = 3
+	burstInterval = 10 * time.Second
+	burstLength   = time.Second
+	// DefaultStragglers is the usual share of tasks that take several seconds.
+	DefaultStragglers = 0.03
 )
 
 // meanRun is the mean run time of a task.
-func (s Shape) meanRun() float64 {
+func (s Workload) meanRun() float64 {
 	usual := medianRun.Seconds() * math.Exp(runSigma*runSigma/2)
-	long := (minLong + maxLong).Seconds() / 2
+	long := (minStraggler + maxStraggler).Seconds() / 2
 	return (1-s.Stragglers)*usual + s.Stragglers*long
 }
 
-// rate is the mean number of jobs a second.
-func (s Shape) rate(slots int) float64 {
+// rate is the mean number of jobs per second.
+func (s Workload) rate(slots int) float64 {
 	meanTasks := float64(1+maxTasks) / 2
 	return s.Load * float64(slots) / (meanTasks * s.meanRun())
 }
 
-// rateAt is the rate relative to the mean at a time.
-func (s Shape) rateAt(at time.Duration) float64 {
+// rateAt is the arrival rate at a time, relative to the mean.
+func (s Workload) rateAt(at time.Duration) float64 {
 	if !s.Bursts {
 		return 1
 	}
-	part := burstLength.Seconds() / burstEvery.Seconds()
-	if at%burstEvery < burstLength {
+	part := burstLength.Seconds() / burstInterval.Seconds()
+	if at%burstInterval < burstLength {
 		return burstFactor
 	}
 	return (1 - burstFactor*part) / (1 - part)
 }
 
-// Stream draws the jobs that arrive at a site.
-func (s Shape) Stream(site Site) []Job {
+// Stream returns the jobs that arrive at a site, at random times.
+func (s Workload) Stream(site Site) []Job {
 	rng := rand.New(rand.NewPCG(s.Seed, 1))
 	peak := s.rate(site.totalSlots())
 	if s.Bursts {
@@ -98,7 +97,7 @@
 	}
 }
 
-func (s Shape) draw(rng *rand.Rand, at time.Duration, site Site) Job {
+func (s Workload) draw(rng *rand.Rand, at time.Duration, site Site) Job {
 	j := Job{At: at, Entry: site.drawEntry(rng), Tasks: make([]Task, 1+rng.IntN(maxTasks))}
 	for i := range j.Tasks {
 		j.Tasks[i] = s.drawTask(rng)
@@ -106,25 +105,25 @@
 	return j
 }
 
-// drawTask draws a task. Half of the long ones are declared as if they were
-// usual ones, and all declarations are off by a factor of two and more.
-func (s Shape) drawTask(rng *rand.Rand) Task {
+// drawTask draws a task. Half of the long tasks are declared with a usual run time, and all declared
+// run times are off by a random factor, often of two or more.
+func (s Workload) drawTask(rng *rand.Rand) Task {
 	usual := max(minRun, lognormal(rng, medianRun, runSigma))
 	run, declared := usual, usual
 	if rng.Float64() < s.Stragglers {
-		run = minLong + time.Duration(rng.Int64N(int64(maxLong-minLong)))
+		run = minStraggler + time.Duration(rng.Int64N(int64(maxStraggler-minStraggler)))
 		if rng.IntN(2) == 0 {
 			declared = run
 		}
 	}
-	return Task{run, max(time.Millisecond, lognormal(rng, declared, declSigma))}
+	return Task{run, max(time.Millisecond, lognormal(rng, declared, declaredSigma))}
 }
 
 func lognormal(rng *rand.Rand, median time.Duration, sigma float64) time.Duration {
 	return time.Duration(float64(median) * math.Exp(sigma*rng.NormFloat64()))
 }
 
-// longest is the run time of the slowest task.
+// longest is the run time of the longest task.
 func (j Job) longest() time.Duration {
 	var d time.Duration
 	for _, t := range j.Tasks {
--- a/standin/cluster.go
+++ b/standin/cluster.go
@@ -1,5 +1,5 @@
-// Package standin starts the stand-ins and entry nodes of a whole deployment
-// within one process, for examples and tests.
+// Package standin runs a whole deployment (stand-ins for the platform and the runners, and entry
+// nodes) in one process, for examples and tests.
 package standin
 
 import (
@@ -23,24 +23,25 @@
 	"sapphirepoint.example/sapphirepoint/standin/runner"
 )
 
-// Token is the caller token, and OperatorToken the operators', of a Cluster.
+// Token and OperatorToken are the bearer tokens that a Cluster accepts from callers and operators.
 const (
-	Token         = "quickstart-caller"
-	OperatorToken = "quickstart-operator"
-	loopback      = "127.0.0.1:0"
-	readyTimeout  = 20 * time.Second
-	readyPoll     = 20 * time.Millisecond
-	// fastPoll lets a deployment in one process come up quickly.
-	fastPoll = 100 * time.Millisecond
+	Token             = "quickstart-caller"
+	OperatorToken     = "quickstart-operator"
+	loopback          = "127.0.0.1:0"
+	readyTimeout      = 20 * time.Second
+	readyPollInterval = 20 * time.Millisecond
+	// defaultPollInterval is short, so that a deployment in one process is ready quickly.
+	defaultPollInterval = 100 * time.Millisecond
 )
 
-// Layout is the shape of a deployment.
+// Layout sets the size of a deployment.
 type Layout struct {
 	FailureDomains []string
-	// NodesPerDomain and RunnersPerDomain are counts.
+	// NodesPerDomain and RunnersPerDomain are the numbers of entry nodes and runners in each
+	// failure domain.
 	NodesPerDomain   int
 	RunnersPerDomain int
-	// PollInterval is how often nodes read the platform; 0 means 100 ms.
+	// PollInterval is how often nodes poll the platform; 0 means 100 ms.
 	PollInterval time.Duration
 	Log          zerolog.Logger
 }
@@ -48,7 +49,7 @@
 // Entry is a running entry node.
 type Entry struct {
 	*node.Node
-	// Kill ends the node without any farewell.
+	// Kill ends the node at once, without a planned stop.
 	Kill context.CancelFunc
 	Done chan struct{}
 }
@@ -59,21 +60,21 @@
 	Runners  []*runner.Runner
 	Entries  []*Entry
 
-	layout       Layout
-	ca           keys.Pair
-	platformURL  string
-	platformLink *faults.Listener
-	members      []*platformv1.Member
-	listeners    []net.Listener
+	layout           Layout
+	ca               keys.Pair
+	platformURL      string
+	platformListener *faults.Listener
+	members          []*platformv1.Member
+	listeners        []net.Listener
 }
 
-// Settings is a small declaration for the examples: one institution with a
-// label service and a settlement service that isn't idempotent.
+// Settings returns the settings that a Cluster starts with: one institution with a label service,
+// and a settlement service that isn't idempotent.
 func Settings() *pb.Settings {
-	sum := sha256.Sum256([]byte(Token))
+	digest := sha256.Sum256([]byte(Token))
 	return &pb.Settings{Institutions: []*pb.Institution{{
 		Name:              "hollowell",
-		TokenSha256:       []string{hex.EncodeToString(sum[:])},
+		TokenSha256:       []string{hex.EncodeToString(digest[:])},
 		CapacityPercent:   100,
 		Priority:          1,
 		ResponseTimeMs:    30_000,
@@ -88,7 +89,7 @@
 	}}}
 }
 
-// Start brings a deployment up and waits until every node is ready.
+// Start starts a deployment and waits until every node is ready.
 func Start(ctx context.Context, layout Layout) (*Cluster, error) {
 	c := &Cluster{layout: layout, Platform: platform.New()}
 	var err error
@@ -117,13 +118,13 @@
 	}
 	c.listeners = append(c.listeners, l)
 	c.platformURL = "http://" + l.Addr().String()
-	c.platformLink = faults.NewListener(l)
-	go func() { _ = c.Platform.Serve(c.platformLink) }()
+	c.platformListener = faults.NewListener(l)
+	go func() { _ = c.Platform.Serve(c.platformListener) }()
 	return nil
 }
 
-// PlatformBytes is what all nodes have exchanged with the platform.
-func (c *Cluster) PlatformBytes() int64 { return c.platformLink.Bytes() }
+// PlatformBytes returns the number of bytes that all nodes have exchanged with the platform.
+func (c *Cluster) PlatformBytes() int64 { return c.platformListener.Bytes() }
 
 func (c *Cluster) addDomain(ctx context.Context, domain string) error {
 	for i := range c.layout.NodesPerDomain {
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// StartEntry starts an entry node with the given peer address.
+// StartEntry starts an entry node that listens for peers on the given address.
 func (c *Cluster) StartEntry(ctx context.Context, name, domain, peerAddress string) (*Entry, error) {
 	pair, err := keys.NewProcessCertificate(c.ca, name)
 	if err != nil {
@@ -174,7 +175,7 @@
 	n, err := node.New(node.Config{
 		Name: name, FailureDomain: domain, CallerAddress: loopback, OperatorAddress: loopback, PeerAddress: peerAddress,
 		PlatformURL: c.platformURL, OperatorToken: OperatorToken, PeerTLS: tlsConfig,
-		PollInterval: cmp.Or(c.layout.PollInterval, fastPoll), Log: c.layout.Log,
+		PollInterval: cmp.Or(c.layout.PollInterval, defaultPollInterval), Log: c.layout.Log,
 	})
 	if err != nil {
 		return nil, err
@@ -188,7 +189,7 @@
 	return e, nil
 }
 
-// WaitReady waits until every entry is ready and has the given number of peers.
+// WaitReady waits until every entry node is ready and has the given number of peers.
 func (c *Cluster) WaitReady(ctx context.Context, peers int) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -197,19 +198,19 @@
 			select {
 			case <-ctx.Done():
 				return errors.Errorf("%s isn't ready", e.Incarnation())
-			case <-time.After(readyPoll):
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
 	return nil
 }
 
-// Members is the list given to the platform.
+// Members returns the list of VMs that the platform publishes.
 func (c *Cluster) Members() []*platformv1.Member {
 	return c.members
 }
 
-// Close ends every node and stand-in.
+// Close ends all nodes and stand-ins.
 func (c *Cluster) Close() {
 	for _, e := range c.Entries {
 		e.Kill()
--- a/standin/deployment/settings.go
+++ b/standin/deployment/settings.go
@@ -7,22 +7,22 @@
 	"github.com/pkg/errors"
 )
 
-// Node is an entry VM as its settings file describes it.
+// Node is the configuration of an entry VM.
 type Node struct {
-	Name    string
-	Domain  string
-	Callers string
-	Health  string
-	PeerUDP int
+	Name          string
+	Domain        string
+	CallerAddress string
+	HealthAddress string
+	PeerPort      int
 }
 
-// NewNode picks free ports on the loopback address.
+// NewNode returns a node with free ports on the loopback address.
 func NewNode(name, domain string) (Node, error) {
-	callers, err := freeTCP()
+	callers, err := freeTCPAddress()
 	if err != nil {
 		return Node{}, err
 	}
-	health, err := freeTCP()
+	health, err := freeTCPAddress()
 	if err != nil {
 		return Node{}, err
 	}
@@ -31,10 +31,10 @@
 		return Node{}, errors.Wrap(err, "free port")
 	}
 	defer c.Close()
-	return Node{Name: name, Domain: domain, Callers: callers, Health: health, PeerUDP: c.LocalAddr().(*net.UDPAddr).Port}, nil
+	return Node{Name: name, Domain: domain, CallerAddress: callers, HealthAddress: health, PeerPort: c.LocalAddr().(*net.UDPAddr).Port}, nil
 }
 
-func freeTCP() (string, error) {
+func freeTCPAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", errors.Wrap(err, "free port")
@@ -43,7 +43,7 @@
 	return l.Addr().String(), nil
 }
 
-// Settings is the text of the node's settings file.
+// Settings returns the node's settings file.
 func (n Node) Settings(store string, graceS float64) string {
 	return fmt.Sprintf(`nodeName = %q
 role = "entry"
@@ -65,11 +65,11 @@
 
 [platform]
 address = %q
-`, n.Name, n.Domain, n.PeerUDP, n.PeerUDP, n.Callers, n.Health, graceS, store)
+`, n.Name, n.Domain, n.PeerPort, n.PeerPort, n.CallerAddress, n.HealthAddress, graceS, store)
 }
 
-// Declaration is an operator's configuration with one queue, whose latency
-// objective is 1.6 times the run time and targetMs.
+// Declaration returns an operator's configuration with one queue. The queue's latency objective is
+// 1.6 times the run time plus targetMs.
 func Declaration(version int, host, prefix, queue, service string, targetMs int) map[string]any {
 	return map[string]any{
 		"version": version,
--- a/standin/deployment/store.go
+++ b/standin/deployment/store.go
@@ -1,6 +1,6 @@
-// Package deployment is a small stand-in for the users' platform, which speaks
-// its published protocol: a store of rows with a feed of changes, and runners
-// that register there. Tests and examples run the whole program against it.
+// Package deployment is a small stand-in for the platform. It implements the platform's published
+// protocol: a store of rows with a feed of changes, and runners that register in the store. Tests
+// and examples run the entry program against it.
 package deployment
 
 import (
@@ -27,14 +27,14 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// StoreFaults are the failures switched on at present.
+// StoreFaults are the faults injected at present.
 type StoreFaults struct {
-	// Busy answers 503 to every call.
+	// Busy: every call is answered with status 503.
 	Busy bool
-	// Silent answers no call.
+	// Silent: no call is answered.
 	Silent bool
-	// LoseWrites does the coming writes and answers none of them.
-	LoseWrites int
+	// LoseReplies is the number of next transactions that are applied and not answered.
+	LoseReplies int
 }
 
 // Store is the stand-in for the platform's store.
@@ -45,13 +45,12 @@
 	mu      sync.Mutex
 	version uint64
 	rows    map[rowKey]Row
-	// history are the changes that the feed can tell, from the version after
-	// forgotten on.
-	history   []Row
-	forgotten uint64
-	changed   chan struct{}
-	faults    StoreFaults
-	writes    int
+	// history holds the changes that the feed can return: all those after droppedVersion.
+	history        []Row
+	droppedVersion uint64
+	changed        chan struct{}
+	faults         StoreFaults
+	writes         int
 }
 
 type rowKey struct{ table, part, key string }
@@ -68,40 +67,41 @@
 	mux.HandleFunc("GET /rows-get", s.get)
 	mux.HandleFunc("GET /rows-feed", s.feed)
 	mux.HandleFunc("GET /rows-parts", s.parts)
-	s.server = &http.Server{Handler: s.faulty(mux), ReadHeaderTimeout: time.Second}
+	s.server = &http.Server{Handler: s.applyFaults(mux), ReadHeaderTimeout: time.Second}
 	go func() { _ = s.server.Serve(l) }()
 	return s, nil
 }
 
-// Address is where the store listens.
+// Address returns the address on which the store listens.
 func (s *Store) Address() string { return s.listener.Addr().String() }
 
-// Close ends the store at once.
+// Close closes the store with all its connections.
 func (s *Store) Close() { _ = s.server.Close() }
 
-// SetFaults changes the failures.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Forget drops the history of changes.
-func (s *Store) Forget() {
+// DropHistory drops the history of changes, so that feeds that depend on it have to read all rows
+// again.
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.forgotten = s.version
+	s.droppedVersion = s.version
 }
 
-// Writes is the number of transactions applied.
+// Writes returns the number of transactions applied.
 func (s *Store) Writes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writes
 }
 
-// Put writes a row as the platform or its operator does.
+// Put writes a row as the platform or its operators do.
 func (s *Store) Put(table, key string, value any) error {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -111,22 +111,22 @@
 	return nil
 }
 
-// PutRaw writes bytes, which need not make sense.
+// PutRaw writes a row with the given bytes, which need not be valid.
 func (s *Store) PutRaw(table, key string, raw []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
 	s.apply(Row{Table: table, Key: key, Value: raw})
-	s.wake()
+	s.notifyReaders()
 }
 
-// Remove drops a row.
+// Remove deletes a row.
 func (s *Store) Remove(table, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
 	s.apply(Row{Table: table, Key: key, Deleted: true})
-	s.wake()
+	s.notifyReaders()
 }
 
 func (s *Store) apply(r Row) {
@@ -140,12 +140,12 @@
 	s.history = append(s.history, r)
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *Store) faulty(next http.Handler) http.Handler {
+func (s *Store) applyFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		f := s.faults
@@ -188,17 +188,17 @@
 		row.Deleted = true
 		s.apply(row)
 	}
-	s.wake()
-	version, lose := s.version, s.faults.LoseWrites > 0
+	s.notifyReaders()
+	version, lose := s.version, s.faults.LoseReplies > 0
 	if lose {
-		s.faults.LoseWrites--
+		s.faults.LoseReplies--
 	}
 	s.mu.Unlock()
 	if lose {
 		<-r.Context().Done()
 		return
 	}
-	answer(w, http.StatusOK, map[string]any{"tableVersion": version, "nowMs": time.Now().UnixMilli()})
+	writeJSON(w, http.StatusOK, map[string]any{"tableVersion": version, "nowMs": time.Now().UnixMilli()})
 }
 
 func (s *Store) get(w http.ResponseWriter, r *http.Request) {
@@ -218,7 +218,7 @@
 	sort.Slice(rows, func(i, j int) bool { return rows[i].Key < rows[j].Key })
 	more := len(rows) > limit
 	rows = rows[:min(len(rows), limit)]
-	answer(w, http.StatusOK, map[string]any{"rows": rows, "hasMore": more, "tableVersion": s.version, "nowMs": time.Now().UnixMilli()})
+	writeJSON(w, http.StatusOK, map[string]any{"rows": rows, "hasMore": more, "tableVersion": s.version, "nowMs": time.Now().UnixMilli()})
 }
 
 func (s *Store) parts(w http.ResponseWriter, r *http.Request) {
@@ -231,11 +231,11 @@
 		}
 	}
 	slices.Sort(parts)
-	answer(w, http.StatusOK, map[string]any{"parts": parts})
+	writeJSON(w, http.StatusOK, map[string]any{"parts": parts})
 }
 
-// feedRows is the most changes in one answer.
-const feedRows = 500
+// maxFeedRows bounds the changes in one answer of the feed.
+const maxFeedRows = 500
 
 func (s *Store) feed(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
@@ -245,19 +245,19 @@
 	defer cancel()
 	for {
 		s.mu.Lock()
-		if since < s.forgotten {
+		if since < s.droppedVersion {
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		rows, version, changed := s.since(q.Get("table"), since), s.version, s.changed
-		if len(rows) > feedRows {
-			rows = rows[:feedRows]
-			version = rows[feedRows-1].Version
+		rows, version, changed := s.changesSince(q.Get("table"), since), s.version, s.changed
+		if len(rows) > maxFeedRows {
+			rows = rows[:maxFeedRows]
+			version = rows[maxFeedRows-1].Version
 		}
 		s.mu.Unlock()
 		if len(rows) > 0 || ctx.Err() != nil {
-			answer(w, http.StatusOK, map[string]any{"rows": rows, "tableVersion": version, "nowMs": time.Now().UnixMilli()})
+			writeJSON(w, http.StatusOK, map[string]any{"rows": rows, "tableVersion": version, "nowMs": time.Now().UnixMilli()})
 			return
 		}
 		select {
@@ -267,7 +267,7 @@
 	}
 }
 
-func (s *Store) since(table string, version uint64) []Row {
+func (s *Store) changesSince(table string, version uint64) []Row {
 	var rows []Row
 	for _, r := range s.history {
 		if r.Table == table && r.Version > version {
@@ -277,7 +277,7 @@
 	return rows
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
--- a/standin/faults/proxy.go
+++ b/standin/faults/proxy.go
@@ -9,23 +9,23 @@
 	"github.com/pkg/errors"
 )
 
-// Proxy passes TCP connections on the loopback address on to a target, and
-// harms them as it is told.
+// Proxy forwards TCP connections from the loopback address to a target and injects faults into
+// them.
 type Proxy struct {
 	listener net.Listener
 	target   string
 
 	mu    sync.Mutex
-	conns map[*proxied]bool
-	// delay holds up each piece of data; dropTo and dropFrom lose what goes to
-	// the target and what comes from it, on all connections.
-	delay            time.Duration
-	dropTo, dropFrom bool
+	conns map[*proxyConn]bool
+	// delay is added to each piece of data. dropToTarget and dropFromTarget drop the data of all
+	// connections in one direction.
+	delay                        time.Duration
+	dropToTarget, dropFromTarget bool
 }
 
-type proxied struct {
-	a, b net.Conn
-	// silent connections carry nothing any more, for good.
+type proxyConn struct {
+	inbound, outbound net.Conn
+	// silent connections drop all data, for good.
 	silent bool
 }
 
@@ -35,36 +35,35 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
-	p := &Proxy{listener: l, target: target, conns: make(map[*proxied]bool)}
+	p := &Proxy{listener: l, target: target, conns: make(map[*proxyConn]bool)}
 	go p.accept()
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Close ends the proxy with all connections.
+// Close closes the proxy and all its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.Reset()
 }
 
-// Delay holds up each piece of data from now on.
+// Delay sets the delay of each piece of data.
 func (p *Proxy) Delay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = d
 }
 
-// Cut loses what goes to the target, and what comes from it, until it is told
-// otherwise.
-func (p *Proxy) Cut(to, from bool) {
+// Drop sets whether data to the target, and from it, is dropped.
+func (p *Proxy) Drop(to, from bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dropTo, p.dropFrom = to, from
+	p.dropToTarget, p.dropFromTarget = to, from
 }
 
-// Silence makes the open connections carry nothing any more. New ones work.
+// Silence makes all open connections silent for good. New ones work.
 func (p *Proxy) Silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,7 +72,7 @@
 	}
 }
 
-// Reset closes the open connections.
+// Reset closes all open connections.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,42 +81,42 @@
 	}
 }
 
-func (c *proxied) close() {
-	_ = c.a.Close()
-	_ = c.b.Close()
+func (c *proxyConn) close() {
+	_ = c.inbound.Close()
+	_ = c.outbound.Close()
 }
 
 func (p *Proxy) accept() {
 	for {
-		a, err := p.listener.Accept()
+		inbound, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.serve(a)
+		go p.serve(inbound)
 	}
 }
 
-func (p *Proxy) serve(a net.Conn) {
-	b, err := net.Dial("tcp", p.target)
+func (p *Proxy) serve(inbound net.Conn) {
+	outbound, err := net.Dial("tcp", p.target)
 	if err != nil {
-		_ = a.Close()
+		_ = inbound.Close()
 		return
 	}
-	c := &proxied{a: a, b: b}
+	c := &proxyConn{inbound: inbound, outbound: outbound}
 	p.mu.Lock()
 	p.conns[c] = true
 	p.mu.Unlock()
 	var done sync.WaitGroup
 	done.Add(2)
-	go func() { defer done.Done(); p.copy(c, b, a, true) }()
-	go func() { defer done.Done(); p.copy(c, a, b, false) }()
+	go func() { defer done.Done(); p.copy(c, outbound, inbound, true) }()
+	go func() { defer done.Done(); p.copy(c, inbound, outbound, false) }()
 	done.Wait()
 	p.mu.Lock()
 	delete(p.conns, c)
 	p.mu.Unlock()
 }
 
-func (p *Proxy) copy(c *proxied, to io.Writer, from io.Reader, toTarget bool) {
+func (p *Proxy) copy(c *proxyConn, to io.Writer, from io.Reader, toTarget bool) {
 	defer c.close()
 	buf := make([]byte, 32<<10)
 	for {
@@ -126,7 +125,7 @@
 			return
 		}
 		p.mu.Lock()
-		delay, lost := p.delay, c.silent || toTarget && p.dropTo || !toTarget && p.dropFrom
+		delay, lost := p.delay, c.silent || toTarget && p.dropToTarget || !toTarget && p.dropFromTarget
 		p.mu.Unlock()
 		if lost {
 			continue
--- a/standin/runner/runner.go
+++ b/standin/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner is a small stand-in for an upstream: it runs tasks in slots,
-// keeps a ledger of what it started, and fails on request.
+// Package runner is a small stand-in for an upstream. It runs tasks in slots, counts in a ledger how
+// often it started each task, and injects faults on request.
 package runner
 
 import (
@@ -20,14 +20,14 @@
 )
 
 const (
-	// DefaultSlots and DefaultConnections are the sizes of today's runners.
+	// DefaultSlots and DefaultConnections are the limits of the runners in use today.
 	DefaultSlots       = 8
 	DefaultConnections = 64
-	defaultRun         = 20 * time.Millisecond
-	settleWait         = 500 * time.Millisecond
+	defaultRunTime     = 20 * time.Millisecond
+	maxSettleWait      = 500 * time.Millisecond
 )
 
-// Mode is the way in which a runner behaves.
+// Mode is how a runner behaves.
 type Mode string
 
 // The modes of a runner.
@@ -36,21 +36,21 @@
 	Hang    Mode = "hang"
 	FailAll Mode = "fail"
 	Refuse  Mode = "refuse"
-	// Leave refuses new tasks and says that the runner is about to leave.
+	// Leave refuses new tasks and announces in each answer that the runner is leaving.
 	Leave Mode = "leave"
 )
 
-// Payload tells the runner what to do; any other payload is echoed.
+// Payload is a task's instructions to the runner. Any other payload is returned as the output.
 type Payload struct {
 	RunMs  int    `json:"run_ms"`
 	Output string `json:"output"`
 	Fail   string `json:"fail"`
 }
 
-// connKey finds the connection of a request in its context.
-type connKey struct{}
+// connContextKey is the context key of a request's connection.
+type connContextKey struct{}
 
-type record struct {
+type taskRecord struct {
 	started  bool
 	starts   int
 	done     chan struct{}
@@ -60,9 +60,9 @@
 	finished bool
 }
 
-// Runner is one upstream.
+// Runner is the stand-in for one upstream.
 type Runner struct {
-	run      string
+	runID    string
 	slots    int
 	listener *faults.Listener
 
@@ -70,16 +70,16 @@
 	mode    Mode
 	busy    int
 	refused int
-	tasks   map[string]*record
+	tasks   map[string]*taskRecord
 }
 
-// New returns a runner with the given slots.
+// New returns a runner with the given number of slots.
 func New(slots int) *Runner {
 	return &Runner{
-		run:   strconv.FormatUint(rand.Uint64(), 16),
+		runID: strconv.FormatUint(rand.Uint64(), 16),
 		slots: slots,
 		mode:  Normal,
-		tasks: make(map[string]*record),
+		tasks: make(map[string]*taskRecord),
 	}
 }
 
@@ -94,13 +94,13 @@
 		Protocols:         &p,
 		ReadHeaderTimeout: 5 * time.Second,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, connKey{}, c)
+			return context.WithValue(ctx, connContextKey{}, c)
 		},
 	}
 	return s.Serve(r.listener)
 }
 
-// Handler serves the upstream calls and the controls.
+// Handler serves the upstream's calls and the control endpoints.
 func (r *Runner) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+upstream.PathStart, r.start)
@@ -108,14 +108,14 @@
 	mux.HandleFunc("POST "+upstream.PathStop, func(w http.ResponseWriter, q *http.Request) { r.settle(w, q, true) })
 	mux.HandleFunc("POST /control/mode", func(w http.ResponseWriter, q *http.Request) { r.SetMode(Mode(q.FormValue("mode"))) })
 	mux.HandleFunc("POST /control/silence", func(_ http.ResponseWriter, q *http.Request) {
-		asker, _ := q.Context().Value(connKey{}).(net.Conn)
-		r.listener.SilenceBut(asker)
+		caller, _ := q.Context().Value(connContextKey{}).(net.Conn)
+		r.listener.SilenceExcept(caller)
 	})
 	mux.HandleFunc("GET /ledger", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(r.Ledger()) })
 	return mux
 }
 
-// SetMode changes the behaviour from now on.
+// SetMode sets the runner's behaviour from now on.
 func (r *Runner) SetMode(m Mode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,14 +127,14 @@
 	return r.listener.Silence()
 }
 
-// Ledger is what a runner did.
+// Ledger is what a runner has started and refused.
 type Ledger struct {
-	// Starts counts for each task name how often it was started.
+	// Starts is how often each task was started, by the task's name.
 	Starts  map[string]int `json:"starts"`
 	Refused int            `json:"refused"`
 }
 
-// Ledger returns what the runner did.
+// Ledger returns the runner's ledger.
 func (r *Runner) Ledger() Ledger {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,7 +148,7 @@
 }
 
 func (r *Runner) answer(w http.ResponseWriter, verdict string, body []byte) {
-	w.Header().Set(upstream.HeaderRun, r.run)
+	w.Header().Set(upstream.HeaderRun, r.runID)
 	w.Header().Set(upstream.HeaderVerdict, verdict)
 	if r.leaving() {
 		w.Header().Set(upstream.HeaderLeaving, "yes")
@@ -169,7 +169,7 @@
 		return
 	}
 	name := q.URL.Query().Get(upstream.ParamTask)
-	t, ctx, mode, refusal := r.begin(name)
+	t, ctx, mode, refusal := r.admit(name)
 	if refusal != "" {
 		r.answer(w, upstream.VerdictNotStarted, []byte(refusal))
 		return
@@ -179,8 +179,8 @@
 	r.answer(w, verdict, out)
 }
 
-// begin takes a slot for a task, or says why it isn't started.
-func (r *Runner) begin(name string) (*record, context.Context, Mode, string) {
+// admit takes a slot for a task, or returns the reason for which the task isn't started.
+func (r *Runner) admit(name string) (*taskRecord, context.Context, Mode, string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.tasks[name]
@@ -193,10 +193,10 @@
 		return nil, nil, "", "no slot"
 	}
 	if t == nil {
-		t = &record{}
+		t = &taskRecord{}
 		r.tasks[name] = t
 	}
-	// A second start is counted, not refused: the ledger is there to show it.
+	// A second start of a task is run and counted, so that tests find it in the ledger.
 	ctx, stop := context.WithCancel(context.Background())
 	t.started = true
 	t.starts++
@@ -206,7 +206,7 @@
 	return t, ctx, r.mode, ""
 }
 
-func (r *Runner) finish(t *record, verdict string, out []byte) {
+func (r *Runner) finish(t *taskRecord, verdict string, out []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.busy--
@@ -220,7 +220,7 @@
 func execute(ctx context.Context, mode Mode, body []byte) (string, []byte) {
 	var p Payload
 	if json.Unmarshal(body, &p) != nil {
-		p = Payload{RunMs: int(defaultRun.Milliseconds()), Output: string(body)}
+		p = Payload{RunMs: int(defaultRunTime.Milliseconds()), Output: string(body)}
 	}
 	switch mode {
 	case FailAll:
@@ -245,7 +245,7 @@
 	r.mu.Lock()
 	t := r.tasks[name]
 	if t == nil {
-		t = &record{}
+		t = &taskRecord{}
 		r.tasks[name] = t
 	}
 	started, done := t.started, t.done
@@ -260,7 +260,7 @@
 	select {
 	case <-done:
 		r.answer(w, t.verdict, t.body)
-	case <-time.After(settleWait):
+	case <-time.After(maxSettleWait):
 		r.answer(w, upstream.VerdictRunning, nil)
 	}
 }
