--- a/cmd/sapphirepoint-entry/main.go
+++ b/cmd/sapphirepoint-entry/main.go
@@ -40,11 +40,11 @@
 	if err != nil {
 		return err
 	}
-	out := logging.NewQueue(os.Stdout)
+	out := logging.NewAsyncWriter(os.Stdout)
 	defer out.Close()
 	log := logging.New(out, zerolog.InfoLevel).With().Str("node", settings.Node).Logger()
 	stdlog.SetFlags(0)
-	stdlog.SetOutput(logging.Libraries(log))
+	stdlog.SetOutput(logging.LibraryWriter(log))
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reload, syscall.SIGHUP)
--- a/explain/attribution.go
+++ b/explain/attribution.go
@@ -17,21 +17,21 @@
 // The causes. Those of the system come with a time during which they hold;
 // those of a runner or of the order of service are seen on the job itself.
 const (
-	PowerLost     Cause = "most processes ended at once"
-	CutBegan      Cause = "processes fell silent"
-	CutHealed     Cause = "connections came back"
-	ProcessLost   Cause = "one process ended"
-	PlannedStop   Cause = "a planned stop"
-	StoreBack     Cause = "the store came back"
-	LeaderChanged Cause = "the leader changed, for none of these"
-	Admission     Cause = "refused or given up for its expected wait"
-	Unanswered    Cause = "a runner left an order unanswered"
-	Stuck         Cause = "a run took far too long"
-	RunFailed     Cause = "a run failed, or its runner fell silent"
-	Queued        Cause = "waited for room"
-	SlowRun       Cause = "the runs took far longer than estimated"
-	Unexplained   Cause = "nothing in the logs explains it"
-	CallerLeft    Cause = "its caller left"
+	MostProcessesLost Cause = "most processes ended at once"
+	Partition         Cause = "processes fell silent"
+	PartitionHealed   Cause = "connections came back"
+	ProcessLost       Cause = "one process ended"
+	PlannedStop       Cause = "a planned stop"
+	StoreRecovered    Cause = "the store came back"
+	LeaderChanged     Cause = "the leader changed, for none of these"
+	AdmissionRefusal  Cause = "refused or given up for its expected wait"
+	StartUnanswered   Cause = "a runner left an order unanswered"
+	RunOverdue        Cause = "a run took far too long"
+	RunFailed         Cause = "a run failed, or its runner fell silent"
+	QueueWait         Cause = "waited for room"
+	SlowRun           Cause = "the runs took far longer than estimated"
+	Unexplained       Cause = "nothing in the logs explains it"
+	CallerLeft        Cause = "its caller left"
 )
 
 // Loss is a job whose answer was late or not "completed".
@@ -149,14 +149,14 @@
 	case answer.number("handed") > 0 || !loss.Late && system != "":
 		return cmp.Or(system, LeaderChanged)
 	case !loss.Late && saysWait(answer.Fields["reason"]):
-		return Admission
+		return AdmissionRefusal
 	}
 	if c := cmp.Or(seenOnRuns(own), system); c != "" {
 		return c
 	}
 	switch ended := ending(own); {
 	case ended.number("waited") > waitedShare*answer.number("objective"):
-		return Queued
+		return QueueWait
 	case tookLong(ended):
 		return SlowRun
 	}
@@ -177,7 +177,7 @@
 }
 
 func seenOnRuns(own []Line) Cause {
-	events := map[string]Cause{"run-overdue": Stuck, "run-lapsed": RunFailed, "run-ended": RunFailed, "start-unanswered": Unanswered}
+	events := map[string]Cause{"run-overdue": RunOverdue, "run-lapsed": RunFailed, "run-ended": RunFailed, "start-unanswered": StartUnanswered}
 	for _, l := range own {
 		if c := events[l.Event]; c != "" {
 			return c
@@ -201,16 +201,16 @@
 		first = lines[0].Time
 	}
 	starts = slices.DeleteFunc(starts, func(l Line) bool { return l.Time.Sub(first) < together })
-	episodes := group(starts, PowerLost, func(g []Line) bool { return 2*len(g) > len(nodes) })
+	episodes := group(starts, MostProcessesLost, func(g []Line) bool { return 2*len(g) > len(nodes) })
 	silent := slices.DeleteFunc(signs(lines, "peer-lost"), func(l Line) bool { return l.Fields["ended"] == "true" })
-	episodes = append(episodes, group(silent, CutBegan, func(g []Line) bool { return lostPeers(g) > 1 })...)
+	episodes = append(episodes, group(silent, Partition, func(g []Line) bool { return lostPeers(g) > 1 })...)
 	back := slices.DeleteFunc(signs(lines, "peer-connected"), func(l Line) bool { return startedNear(starts, l) })
-	episodes = append(episodes, group(back, CutHealed, func(g []Line) bool { return len(g) >= several && g[0].Time.Sub(first) > after })...)
+	episodes = append(episodes, group(back, PartitionHealed, func(g []Line) bool { return len(g) >= several && g[0].Time.Sub(first) > after })...)
 	episodes = append(episodes, group(silent, ProcessLost, func([]Line) bool { return true })...)
 	episodes = append(episodes, group(starts, ProcessLost, func([]Line) bool { return true })...)
 	episodes = append(episodes, group(signs(lines, "process-stopping"), PlannedStop, func([]Line) bool { return true })...)
 	store := slices.DeleteFunc(signs(lines, "dependency-regained"), func(l Line) bool { return l.Fields["call"] != "runners" })
-	for _, e := range group(store, StoreBack, func([]Line) bool { return true }) {
+	for _, e := range group(store, StoreRecovered, func([]Line) bool { return true }) {
 		e.to = e.to.Add(storeAfter - after)
 		episodes = append(episodes, e)
 	}
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -28,9 +28,9 @@
 	return zerolog.New(out).Level(level).With().Timestamp().Logger()
 }
 
-// Libraries is a writer for what libraries log by themselves: their text becomes a
+// LibraryWriter is a writer for what libraries log by themselves: their text becomes a
 // pair of an event of its own, so that all lines can be searched alike.
-func Libraries(log zerolog.Logger) io.Writer { return libraryLog{log} }
+func LibraryWriter(log zerolog.Logger) io.Writer { return libraryLog{log} }
 
 type libraryLog struct{ log zerolog.Logger }
 
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -27,7 +27,7 @@
 func TestLibrariesLogLinesOfPairs(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var out bytes.Buffer
-	n, err := Libraries(New(&out, zerolog.InfoLevel)).Write([]byte("buffer is small\n"))
+	n, err := LibraryWriter(New(&out, zerolog.InfoLevel)).Write([]byte("buffer is small\n"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(n).To(gomega.Equal(16))
 	g.Expect(out.String()).To(gomega.MatchRegexp(`^time=\S+ level=warn event=library-log text="buffer is small"\n$`))
--- a/logging/queue.go
+++ b/logging/queue.go
@@ -16,9 +16,9 @@
 	dropReport = time.Second
 )
 
-// Queue writes lines in the background. If the reader of the output doesn't
+// AsyncWriter writes lines in the background. If the reader of the output doesn't
 // keep up, lines are dropped and counted: requests must not wait for the log.
-type Queue struct {
+type AsyncWriter struct {
 	out     io.Writer
 	lines   chan []byte
 	quit    chan struct{}
@@ -26,16 +26,16 @@
 	done    sync.WaitGroup
 }
 
-// NewQueue returns a queue that writes to out until it is closed.
-func NewQueue(out io.Writer) *Queue {
-	q := &Queue{out: out, lines: make(chan []byte, queueLines), quit: make(chan struct{})}
+// NewAsyncWriter returns a queue that writes to out until it is closed.
+func NewAsyncWriter(out io.Writer) *AsyncWriter {
+	q := &AsyncWriter{out: out, lines: make(chan []byte, queueLines), quit: make(chan struct{})}
 	q.done.Add(1)
 	go q.run()
 	return q
 }
 
 // Write implements io.Writer. It never waits and never fails.
-func (q *Queue) Write(line []byte) (int, error) {
+func (q *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
 	default:
@@ -45,15 +45,15 @@
 }
 
 // Dropped is the number of lines dropped so far.
-func (q *Queue) Dropped() uint64 { return q.dropped.Load() }
+func (q *AsyncWriter) Dropped() uint64 { return q.dropped.Load() }
 
 // Close writes what waits. Lines that come later are dropped.
-func (q *Queue) Close() {
+func (q *AsyncWriter) Close() {
 	close(q.quit)
 	q.done.Wait()
 }
 
-func (q *Queue) run() {
+func (q *AsyncWriter) run() {
 	defer q.done.Done()
 	reported := uint64(0)
 	last := time.Now()
@@ -78,7 +78,7 @@
 }
 
 // gather adds the lines that wait, so that many are written at once.
-func (q *Queue) gather(buf []byte) []byte {
+func (q *AsyncWriter) gather(buf []byte) []byte {
 	for len(buf) < 32<<10 {
 		select {
 		case line := <-q.lines:
--- a/logging/queue_test.go
+++ b/logging/queue_test.go
@@ -21,7 +21,7 @@
 func TestNobodyReads(t *testing.T) {
 	g := NewWithT(t)
 	out := stuck{release: make(chan struct{})}
-	q := NewQueue(out)
+	q := NewAsyncWriter(out)
 	for i := range 3 * queueLines {
 		n, err := fmt.Fprintf(q, "line %d\n", i)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -35,7 +35,7 @@
 func TestLinesInOrder(t *testing.T) {
 	g := NewWithT(t)
 	var out bytes.Buffer
-	q := NewQueue(&out)
+	q := NewAsyncWriter(&out)
 	for i := range 100 {
 		_, err := fmt.Fprintf(q, "%d\n", i)
 		g.Expect(err).NotTo(HaveOccurred())
