--- a/explain/attribution.go
+++ b/explain/attribution.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// Cause is why a job's answer was late, or not what its caller wanted.
+// Cause is why a job's answer was late or not "completed".
 type Cause string
 
-// The causes. Those of the system come with a time during which they hold;
-// those of a runner or of the order of service are seen on the job itself.
+// The causes of losses. Those of the system as a whole apply to all jobs of an interval of
+// time; those of a runner or of queueing are read from the lines of the job itself.
 const (
 	MostProcessesLost Cause = "most processes ended at once"
 	Partition         Cause = "processes fell silent"
@@ -34,73 +34,75 @@
 	CallerLeft        Cause = "its caller left"
 )
 
-// Loss is a job whose answer was late or not "completed".
+// Loss is a job that completed late or whose outcome was not "completed".
 type Loss struct {
 	Job   string
 	Queue string
-	// Arrived is when the entry process got the job, as far as its log tells.
+	// Arrived is when the entry process received the job, according to its log.
 	Arrived time.Time
-	// Late: it was completed, after its latency objective.
+	// Late: the job completed, but after its latency objective.
 	Late  bool
 	Cause Cause
 }
 
-// episode is a time during which something of the system explains losses.
-type episode struct {
+// systemEvent is an interval during which an event of the whole system can cause losses.
+type systemEvent struct {
 	from, to time.Time
 	cause    Cause
 }
 
 const (
-	// together is how close in time the signs of one event are: processes that
-	// lose power or a connection at the same moment notice within this.
-	together = 500 * time.Millisecond
-	// before is how long before its first sign an event may have begun to harm:
-	// a silent process is missed after 450 ms.
-	before = 500 * time.Millisecond
-	// after is how long it goes on: a job that another scheduler had waits up
-	// to 1.3 s, and callers of the shortest jobs don't wait longer than that.
-	after = 1500 * time.Millisecond
-	// storeAfter is how long the list of runners may be short once the store is
-	// back.
-	storeAfter = 2500 * time.Millisecond
-	// several signs make a cut or its heal; one is a process that was lost.
-	several = 3
-	// slowFactor times its estimate is more than a sound run takes but once in
-	// a hundred.
-	slowFactor = 3
-	// waitedShare is the share of its objective that a job may wait for room.
-	waitedShare = 0.15
+	// clusterGap is the largest gap between two log lines of the same event: processes
+	// that lose power or a connection at the same moment notice it within this time.
+	clusterGap = 500 * time.Millisecond
+	// effectBefore is how long before its first log line an event may already cause
+	// losses: an unresponsive process is noticed after 450 ms.
+	effectBefore = 500 * time.Millisecond
+	// effectAfter is how long after its last log line an event may still cause losses: a
+	// job that another scheduler had waits up to 1.3 s, and callers of the shortest jobs
+	// don't wait longer than that.
+	effectAfter = 1500 * time.Millisecond
+	// storeEffectAfter replaces effectAfter once the store is reachable again: the list of
+	// runners may stay incomplete for this long.
+	storeEffectAfter = 2500 * time.Millisecond
+	// minReconnects is how many connections must come back together to count as a healed
+	// partition.
+	minReconnects = 3
+	// slowRunFactor times the estimate is exceeded by at most one healthy run in a hundred.
+	slowRunFactor = 3
+	// maxWaitShare is the share of its objective that a job may wait in the queue; a late
+	// job that waited longer is attributed to the wait.
+	maxWaitShare = 0.15
 )
 
-// Attribute finds the one cause of each loss, from the lines of all entry
-// processes of a deployment. A job whose entry process ended before it answered
-// isn't in the logs, and so isn't here.
+// Attribute finds the cause of each loss from the log lines of all entry processes of a
+// deployment. A job whose entry process ended before it answered has no line with its
+// outcome and is not reported.
 func Attribute(lines []Line) []Loss {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	episodes := findEpisodes(lines)
-	own := make(map[string][]Line)
+	events := findSystemEvents(lines)
+	byJob := make(map[string][]Line)
 	for _, l := range lines {
 		if job := l.Fields["job"]; job != "" {
-			own[job] = append(own[job], l)
+			byJob[job] = append(byJob[job], l)
 		}
 	}
 	var losses []Loss
 	for _, l := range lines {
-		loss, ok := lossOf(l, ending(own[l.Fields["job"]]))
+		loss, ok := lossOf(l, endedLine(byJob[l.Fields["job"]]))
 		if !ok {
 			continue
 		}
-		loss.Cause = causeOf(loss, l, own[loss.Job], episodes)
+		loss.Cause = causeOf(loss, l, byJob[loss.Job], events)
 		losses = append(losses, loss)
 	}
 	return losses
 }
 
-// ending is the last word of a scheduler on a job; an empty line if there is none.
-func ending(own []Line) Line {
-	for _, l := range slices.Backward(own) {
+// endedLine returns a job's last job-ended line, or an empty line if there is none.
+func endedLine(jobLines []Line) Line {
+	for _, l := range slices.Backward(jobLines) {
 		if l.Event == "job-ended" {
 			return l
 		}
@@ -108,12 +110,13 @@
 	return Line{}
 }
 
-// lossOf reads the answer that a line tells of; false if all was well.
+// lossOf reads a loss from the line of an answer; it returns false if the job completed in
+// time.
 //
-// The objective follows from an estimate, but its caller counts from what the
-// work really takes: a job is late if it took longer, its runs left out, than
-// the objective leaves beside the estimate.
-func lossOf(l, ended Line) (Loss, bool) {
+// The objective is derived from the estimated run time, but callers count from the actual
+// one: a job is late if its time outside of its runs exceeds the objective less the
+// estimate. A job whose runs took far longer than estimated is late past the objective itself.
+func lossOf(l, jobEnded Line) (Loss, bool) {
 	loss := Loss{Job: l.Fields["job"], Queue: l.Fields["queue"], Arrived: l.Time}
 	switch l.Event {
 	case "request-refused", "caller-left":
@@ -122,49 +125,52 @@
 		took := l.number("took")
 		loss.Arrived = l.Time.Add(-time.Duration(took * float64(time.Millisecond)))
 		completed := l.Fields["outcome"] == "completed"
-		overhead := took-ended.number("work") > l.number("objective")-ended.number("estimate")
-		slow := took > l.number("objective") && tookLong(ended)
+		overhead := took-jobEnded.number("work") > l.number("objective")-jobEnded.number("estimate")
+		slow := took > l.number("objective") && ranOverEstimate(jobEnded)
 		loss.Late = completed && (overhead || slow)
 		return loss, !completed || loss.Late
 	}
 	return loss, false
 }
 
+// number reads a field as a number.
 func (l Line) number(key string) float64 {
 	n, err := strconv.ParseFloat(l.Fields[key], 64)
 	if err != nil {
-		// A line without the number tells of no delay.
+		// A missing field means no delay.
 		return 0
 	}
 	return n
 }
 
-// causeOf weighs what is seen on the job itself before what happened round it,
-// unless another scheduler had the job: then that change explains what followed.
-func causeOf(loss Loss, answer Line, own []Line, episodes []episode) Cause {
-	system := during(episodes, loss.Arrived, answer.Time)
+// causeOf prefers causes seen in the lines of the job to system events at the same time,
+// unless the job moved to another scheduler or did not complete: then a system event
+// explains what followed.
+func causeOf(loss Loss, answer Line, jobLines []Line, events []systemEvent) Cause {
+	system := causeDuring(events, loss.Arrived, answer.Time)
 	switch {
 	case answer.Event == "caller-left":
 		return CallerLeft
 	case answer.number("handed") > 0 || !loss.Late && system != "":
 		return cmp.Or(system, LeaderChanged)
-	case !loss.Late && saysWait(answer.Fields["reason"]):
+	case !loss.Late && refusedForWait(answer.Fields["reason"]):
 		return AdmissionRefusal
 	}
-	if c := cmp.Or(seenOnRuns(own), system); c != "" {
+	if c := cmp.Or(runCause(jobLines), system); c != "" {
 		return c
 	}
-	switch ended := ending(own); {
-	case ended.number("waited") > waitedShare*answer.number("objective"):
+	switch ended := endedLine(jobLines); {
+	case ended.number("waited") > maxWaitShare*answer.number("objective"):
 		return QueueWait
-	case tookLong(ended):
+	case ranOverEstimate(ended):
 		return SlowRun
 	}
 	return Unexplained
 }
 
-func during(episodes []episode, from, to time.Time) Cause {
-	for _, e := range episodes {
+// causeDuring returns the cause of the first event that overlaps an interval; empty if none does.
+func causeDuring(events []systemEvent, from, to time.Time) Cause {
+	for _, e := range events {
 		if !to.Before(e.from) && !from.After(e.to) {
 			return e.cause
 		}
@@ -172,52 +178,58 @@
 	return ""
 }
 
-func saysWait(reason string) bool {
+// refusedForWait reports whether a reason is that of a job refused, or given up, because of
+// its expected wait.
+func refusedForWait(reason string) bool {
 	return strings.Contains(reason, "wait of") || strings.Contains(reason, "too little time") || strings.Contains(reason, "no runner")
 }
 
-func seenOnRuns(own []Line) Cause {
-	events := map[string]Cause{"run-overdue": RunOverdue, "run-lapsed": RunFailed, "run-ended": RunFailed, "start-unanswered": StartUnanswered}
-	for _, l := range own {
-		if c := events[l.Event]; c != "" {
+// runCause returns the first cause seen in the run events of a job; empty if there is none.
+func runCause(jobLines []Line) Cause {
+	causes := map[string]Cause{"run-overdue": RunOverdue, "run-lapsed": RunFailed, "run-ended": RunFailed, "start-unanswered": StartUnanswered}
+	for _, l := range jobLines {
+		if c := causes[l.Event]; c != "" {
 			return c
 		}
 	}
 	return ""
 }
 
-// tookLong reports whether a job's runs took far longer than estimated, by the
-// scheduler's last word on it.
-func tookLong(ended Line) bool { return ended.number("work") > slowFactor*ended.number("estimate") }
+// ranOverEstimate reports whether a job's runs took far longer than estimated, according to
+// its job-ended line.
+func ranOverEstimate(jobEnded Line) bool {
+	return jobEnded.number("work") > slowRunFactor*jobEnded.number("estimate")
+}
 
-// findEpisodes reads the events of the system off the lines, the gravest first.
-func findEpisodes(lines []Line) []episode {
+// findSystemEvents finds the events of the whole system in sorted lines; those that explain
+// the most come first.
+func findSystemEvents(lines []Line) []systemEvent {
 	nodes := make(map[string]bool)
 	for _, l := range lines {
 		nodes[l.Fields["node"]] = true
 	}
-	starts, first := signs(lines, "process-started"), time.Time{}
+	starts, first := withEvent(lines, "process-started"), time.Time{}
 	if len(lines) > 0 {
 		first = lines[0].Time
 	}
-	starts = slices.DeleteFunc(starts, func(l Line) bool { return l.Time.Sub(first) < together })
-	episodes := group(starts, MostProcessesLost, func(g []Line) bool { return 2*len(g) > len(nodes) })
-	silent := slices.DeleteFunc(signs(lines, "peer-lost"), func(l Line) bool { return l.Fields["ended"] == "true" })
-	episodes = append(episodes, group(silent, Partition, func(g []Line) bool { return lostPeers(g) > 1 })...)
-	back := slices.DeleteFunc(signs(lines, "peer-connected"), func(l Line) bool { return startedNear(starts, l) })
-	episodes = append(episodes, group(back, PartitionHealed, func(g []Line) bool { return len(g) >= several && g[0].Time.Sub(first) > after })...)
-	episodes = append(episodes, group(silent, ProcessLost, func([]Line) bool { return true })...)
-	episodes = append(episodes, group(starts, ProcessLost, func([]Line) bool { return true })...)
-	episodes = append(episodes, group(signs(lines, "process-stopping"), PlannedStop, func([]Line) bool { return true })...)
-	store := slices.DeleteFunc(signs(lines, "dependency-regained"), func(l Line) bool { return l.Fields["call"] != "runners" })
-	for _, e := range group(store, StoreRecovered, func([]Line) bool { return true }) {
-		e.to = e.to.Add(storeAfter - after)
-		episodes = append(episodes, e)
+	starts = slices.DeleteFunc(starts, func(l Line) bool { return l.Time.Sub(first) < clusterGap })
+	events := clusterEvents(starts, MostProcessesLost, func(g []Line) bool { return 2*len(g) > len(nodes) })
+	lost := slices.DeleteFunc(withEvent(lines, "peer-lost"), func(l Line) bool { return l.Fields["ended"] == "true" })
+	events = append(events, clusterEvents(lost, Partition, func(g []Line) bool { return countPeers(g) > 1 })...)
+	connected := slices.DeleteFunc(withEvent(lines, "peer-connected"), func(l Line) bool { return nearStart(starts, l) })
+	events = append(events, clusterEvents(connected, PartitionHealed, func(g []Line) bool { return len(g) >= minReconnects && g[0].Time.Sub(first) > effectAfter })...)
+	events = append(events, clusterEvents(lost, ProcessLost, func([]Line) bool { return true })...)
+	events = append(events, clusterEvents(starts, ProcessLost, func([]Line) bool { return true })...)
+	events = append(events, clusterEvents(withEvent(lines, "process-stopping"), PlannedStop, func([]Line) bool { return true })...)
+	store := slices.DeleteFunc(withEvent(lines, "dependency-regained"), func(l Line) bool { return l.Fields["call"] != "runners" })
+	for _, e := range clusterEvents(store, StoreRecovered, func([]Line) bool { return true }) {
+		e.to = e.to.Add(storeEffectAfter - effectAfter)
+		events = append(events, e)
 	}
-	return episodes
+	return events
 }
 
-func signs(lines []Line, event string) []Line {
+func withEvent(lines []Line, event string) []Line {
 	var list []Line
 	for _, l := range lines {
 		if l.Event == event {
@@ -227,50 +239,50 @@
 	return list
 }
 
-// group makes an episode of each run of signs that are close together and that
-// suffice for the cause.
-func group(signs []Line, cause Cause, suffice func([]Line) bool) []episode {
-	var list []episode
-	for len(signs) > 0 {
+// clusterEvents returns an event with the given cause for each group of lines that follow each
+// other closely and that accept accepts.
+func clusterEvents(lines []Line, cause Cause, accept func([]Line) bool) []systemEvent {
+	var list []systemEvent
+	for len(lines) > 0 {
 		n := 1
-		for n < len(signs) && signs[n].Time.Sub(signs[n-1].Time) < together {
+		for n < len(lines) && lines[n].Time.Sub(lines[n-1].Time) < clusterGap {
 			n++
 		}
-		if suffice(signs[:n]) {
-			list = append(list, episode{from: signs[0].Time.Add(-before), to: signs[n-1].Time.Add(after), cause: cause})
+		if accept(lines[:n]) {
+			list = append(list, systemEvent{from: lines[0].Time.Add(-effectBefore), to: lines[n-1].Time.Add(effectAfter), cause: cause})
 		}
-		signs = signs[n:]
+		lines = lines[n:]
 	}
 	return list
 }
 
-func lostPeers(signs []Line) int {
+func countPeers(lines []Line) int {
 	peers := make(map[string]bool)
-	for _, l := range signs {
+	for _, l := range lines {
 		peers[l.Fields["peer"]] = true
 	}
 	return len(peers)
 }
 
-// startedNear reports whether a connection is that of a process that has just
-// started, on either side.
-func startedNear(starts []Line, connected Line) bool {
+// nearStart reports whether one end of a new connection is a process that started at about
+// the same time.
+func nearStart(starts []Line, connected Line) bool {
 	vm, _, _ := strings.Cut(connected.Fields["peer"], "#")
 	return slices.ContainsFunc(starts, func(s Line) bool {
 		node := s.Fields["node"]
-		return (node == vm || node == connected.Fields["node"]) && connected.Time.Sub(s.Time).Abs() < after
+		return (node == vm || node == connected.Fields["node"]) && connected.Time.Sub(s.Time).Abs() < effectAfter
 	})
 }
 
-// LossTable counts losses by cause, queue and second.
+// LossTable counts losses by cause, queue and second of arrival.
 type LossTable struct {
 	Losses []Loss
 	// Begin is the time from which seconds are counted.
 	Begin time.Time
 }
 
-// String is the table as text: by cause and queue, lost and late; and for each
-// cause the seconds in which most arrived.
+// String formats the table: for each cause and queue the jobs lost and late, and the seconds
+// in which most of them arrived.
 func (t LossTable) String() string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
@@ -294,16 +306,16 @@
 				late++
 			}
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", k.cause, cmp.Or(k.queue, "-"), len(by[k])-late, late, t.seconds(by[k]))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", k.cause, cmp.Or(k.queue, "-"), len(by[k])-late, late, t.topSeconds(by[k]))
 	}
-	_ = w.Flush() // a strings.Builder takes all writes
+	_ = w.Flush() // writes to a strings.Builder don't fail
 	return b.String()
 }
 
-// mostSeconds is how many seconds a row names.
-const mostSeconds = 3
+// maxSeconds is the number of seconds that a row lists.
+const maxSeconds = 3
 
-func (t LossTable) seconds(losses []Loss) string {
+func (t LossTable) topSeconds(losses []Loss) string {
 	counts := make(map[int]int)
 	for _, l := range losses {
 		counts[int(l.Arrived.Sub(t.Begin).Seconds())]++
@@ -312,7 +324,7 @@
 		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(a, b))
 	})
 	var words []string
-	for _, s := range order[:min(len(order), mostSeconds)] {
+	for _, s := range order[:min(len(order), maxSeconds)] {
 		words = append(words, fmt.Sprintf("%d: %d", s, counts[s]))
 	}
 	return strings.Join(words, ", ")
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain finds out from the logs of entry processes what became of a
-// job.
+// Package explain finds out from the logs of entry processes what happened to a job, and why
+// answers were late or lost.
 package explain
 
 import (
@@ -13,24 +13,24 @@
 	"github.com/pkg/errors"
 )
 
-// Line is a line of a log: pairs of keys and values.
+// Line is one line of a log, split into keys and values.
 type Line struct {
 	Time   time.Time         `json:"time"`
 	Event  string            `json:"event"`
 	Fields map[string]string `json:"fields"`
-	// Text is the line as it was written.
+	// Text is the line as written.
 	Text string `json:"text"`
 }
 
-// maxLine bounds a line of a log.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
-// Read reads the lines of a log. What isn't a line of pairs with a time is left
-// out: libraries write a few of those at start.
+// Read reads the lines of a log. Lines that aren't key=value pairs with a time are skipped:
+// libraries write a few of those at start.
 func Read(r io.Reader) ([]Line, error) {
 	var lines []Line
 	scan := bufio.NewScanner(r)
-	scan.Buffer(nil, maxLine)
+	scan.Buffer(nil, maxLineBytes)
 	for scan.Scan() {
 		if l, ok := parse(scan.Text()); ok {
 			lines = append(lines, l)
@@ -39,6 +39,7 @@
 	return lines, errors.Wrap(scan.Err(), "read log")
 }
 
+// parse splits a line into its pairs; it returns false if the line has no valid time.
 func parse(text string) (Line, bool) {
 	l := Line{Fields: make(map[string]string), Text: text}
 	for rest := text; rest != ""; {
@@ -56,7 +57,7 @@
 	return l, true
 }
 
-// nextPair takes a key=value or key="value" off the front of a text.
+// nextPair cuts a key=value or key="value" pair off the front of a text.
 func nextPair(s string) (key, value, rest string) {
 	s = strings.TrimLeft(s, " ")
 	word, after, _ := strings.Cut(s, " ")
@@ -72,63 +73,64 @@
 	return key, value, rest
 }
 
-// Report is what became of a job.
+// Report describes what happened to a job.
 type Report struct {
 	Job     string   `json:"job"`
 	Lines   []Line   `json:"lines"`
 	Summary []string `json:"summary"`
 }
 
-// around is how long before a job's first line changes of the system may have
-// to do with it: callers send a job again up to 2.7 s after they sent it first.
-const around = 3 * time.Second
+// systemEventsBefore is how long before a job's first line system events are included:
+// callers submit a job again up to 2.7 s after its first submission.
+const systemEventsBefore = 3 * time.Second
 
-// systemEvents are those that touch all jobs of the time.
-var systemEvents = map[string]bool{
+// jobIndependentEvents are the events that affect all jobs in progress.
+var jobIndependentEvents = map[string]bool{
 	"leader-changed": true, "peer-lost": true, "process-started": true, "process-stopping": true, "process-ended": true,
 	"process-stalled": true, "configuration-in-force": true, "dependency-lost": true, "dependency-regained": true,
 }
 
-// Job collects the lines that touched a job, and sums them up.
+// Job collects the lines that concern a job and summarizes them.
 func Job(id string, lines []Line) Report {
 	r := Report{Job: id}
-	own, runners := ownLines(id, lines)
-	if len(own) == 0 {
+	jobLines, runners := linesOfJob(id, lines)
+	if len(jobLines) == 0 {
 		r.Summary = []string{"no line names the job: it never reached an entry process whose log is here"}
 		return r
 	}
-	first, last := own[0].Time, own[len(own)-1].Time
-	r.Lines = own
+	first, last := jobLines[0].Time, jobLines[len(jobLines)-1].Time
+	r.Lines = jobLines
 	for _, l := range lines {
-		if l.Fields["job"] == id || l.Time.Before(first.Add(-around)) || l.Time.After(last) {
+		if l.Fields["job"] == id || l.Time.Before(first.Add(-systemEventsBefore)) || l.Time.After(last) {
 			continue
 		}
-		if systemEvents[l.Event] || l.Event == "runner-lost" && runners[l.Fields["runner"]] {
+		if jobIndependentEvents[l.Event] || l.Event == "runner-lost" && runners[l.Fields["runner"]] {
 			r.Lines = append(r.Lines, l)
 		}
 	}
 	sort.SliceStable(r.Lines, func(i, j int) bool { return r.Lines[i].Time.Before(r.Lines[j].Time) })
-	r.Summary = summary(r.Lines)
+	r.Summary = summarize(r.Lines)
 	return r
 }
 
-func ownLines(id string, lines []Line) (own []Line, runners map[string]bool) {
+// linesOfJob returns a job's lines in order of time, and the runners that they name.
+func linesOfJob(id string, lines []Line) (jobLines []Line, runners map[string]bool) {
 	runners = make(map[string]bool)
 	for _, l := range lines {
 		if l.Fields["job"] != id {
 			continue
 		}
-		own = append(own, l)
+		jobLines = append(jobLines, l)
 		if runner := l.Fields["runner"]; runner != "" {
 			runners[runner] = true
 		}
 	}
-	sort.SliceStable(own, func(i, j int) bool { return own[i].Time.Before(own[j].Time) })
-	return own, runners
+	sort.SliceStable(jobLines, func(i, j int) bool { return jobLines[i].Time.Before(jobLines[j].Time) })
+	return jobLines, runners
 }
 
-// meanings say what an event means for the job.
-var meanings = map[string]string{
+// eventMeanings describes events in the summary; other events are left out of it.
+var eventMeanings = map[string]string{
 	"start-unanswered": "a runner left a start unanswered",
 	"start-rejected":   "a runner rejected a start",
 	"run-ended":        "a run ended without success",
@@ -145,15 +147,16 @@
 	"process-stalled":  "an entry process stood still",
 }
 
-func summary(lines []Line) []string {
+// summarize counts the events of each kind, in order of first occurrence, and adds the answers.
+func summarize(lines []Line) []string {
 	counts := make(map[string]int)
 	var order, answers []string
 	for _, l := range lines {
 		if l.Event == "request-answered" {
-			answers = append(answers, answerOf(l))
+			answers = append(answers, describeAnswer(l))
 			continue
 		}
-		if meanings[l.Event] == "" {
+		if eventMeanings[l.Event] == "" {
 			continue
 		}
 		if counts[l.Event] == 0 {
@@ -163,7 +166,7 @@
 	}
 	var out []string
 	for _, event := range order {
-		out = append(out, fmt.Sprintf("%s (%d times)", meanings[event], counts[event]))
+		out = append(out, fmt.Sprintf("%s (%d times)", eventMeanings[event], counts[event]))
 	}
 	if len(answers) == 0 {
 		answers = []string{"no answer is on record: the entry process ended, or its caller left"}
@@ -171,7 +174,7 @@
 	return append(out, answers...)
 }
 
-func answerOf(l Line) string {
+func describeAnswer(l Line) string {
 	s := fmt.Sprintf("answered %s by %s after %s ms (objective %s ms)", l.Fields["outcome"], l.Fields["node"], l.Fields["took"], l.Fields["objective"])
 	if reason := l.Fields["reason"]; reason != "" {
 		s += ": " + reason
@@ -179,7 +182,7 @@
 	return s
 }
 
-// String is the report as text.
+// String formats the report as text: the lines, then the summary.
 func (r Report) String() string {
 	var b strings.Builder
 	for _, l := range r.Lines {
