--- a/config/document.go
+++ b/config/document.go
@@ -10,10 +10,10 @@
 	"github.com/pkg/errors"
 )
 
-// MaxFileBytes bounds a settings file, in bytes.
+// MaxFileBytes is the maximum size of a settings file.
 const MaxFileBytes = 4 << 20
 
-// document is a parsed file with the place of each of its fields.
+// document is a parsed file with the line of each of its fields.
 type document struct {
 	file     string
 	root     *ast.MappingNode
@@ -21,8 +21,8 @@
 	problems Problems
 }
 
-// parse reads a file's text as one YAML mapping.
-func parse(file string, raw []byte) (*document, error) {
+// parseDocument parses a file's text as a single YAML document that is a mapping.
+func parseDocument(file string, raw []byte) (*document, error) {
 	d := &document{file: file, lines: make(map[string]int)}
 	if len(raw) > MaxFileBytes {
 		return nil, Problems{{File: file, Problem: fmt.Sprintf("%d bytes; at most %d are taken", len(raw), MaxFileBytes)}}
@@ -36,12 +36,13 @@
 	}
 	root, ok := tree.Docs[0].Body.(*ast.MappingNode)
 	if !ok {
-		return nil, Problems{{File: file, Line: line(tree.Docs[0].Body), Problem: "must be a mapping of fields"}}
+		return nil, Problems{{File: file, Line: lineOfNode(tree.Docs[0].Body), Problem: "must be a mapping of fields"}}
 	}
 	d.root = root
 	return d, nil
 }
 
+// syntaxProblem converts an error of the YAML parser to a problem with its line.
 func syntaxProblem(file string, err error) Problem {
 	var syntax yaml.Error
 	if errors.As(err, &syntax) && syntax.GetToken() != nil {
@@ -50,16 +51,17 @@
 	return Problem{File: file, Problem: err.Error()}
 }
 
-func line(n ast.Node) int {
+// lineOfNode returns the line of a node; 0 if it is unknown.
+func lineOfNode(n ast.Node) int {
 	if n == nil || n.GetToken() == nil || n.GetToken().Position == nil {
 		return 0
 	}
 	return n.GetToken().Position.Line
 }
 
-// reject notes a problem with a field. A field that the file leaves out has no
-// line of its own and takes that of what encloses it.
-func (d *document) reject(field, format string, args ...any) {
+// addProblem records a problem with a field. A field that the file leaves out is reported at
+// the line of the innermost section or item that contains it.
+func (d *document) addProblem(field, format string, args ...any) {
 	d.problems = append(d.problems, Problem{
 		File:    d.file,
 		Line:    d.lineOf(field),
@@ -68,6 +70,7 @@
 	})
 }
 
+// lineOf returns the line of a field or, if the file leaves it out, of what contains it.
 func (d *document) lineOf(field string) int {
 	for field != "" {
 		if n, ok := d.lines[field]; ok {
@@ -75,11 +78,11 @@
 		}
 		field = field[:max(strings.LastIndexAny(field, ".["), 0)]
 	}
-	return line(d.root)
+	return lineOfNode(d.root)
 }
 
-// fieldAt is the innermost field on a line; empty if there is none.
-func (d *document) fieldAt(line int) string {
+// fieldOnLine returns the innermost field on a line; empty if there is none.
+func (d *document) fieldOnLine(line int) string {
 	found := ""
 	for field, n := range d.lines {
 		if n == line && (len(field) > len(found) || len(field) == len(found) && field < found) {
@@ -89,44 +92,45 @@
 	return found
 }
 
-func join(parent, field string) string {
+// joinPath appends a field's name to the path of its section.
+func joinPath(parent, field string) string {
 	if parent == "" {
 		return field
 	}
 	return parent + "." + field
 }
 
-// fields calls visit for each field of a mapping.
-func (d *document) fields(at string, n ast.Node, visit func(path, name string, value ast.Node)) {
+// eachField calls visit for each field of a mapping and records the field's line.
+func (d *document) eachField(parent string, n ast.Node, visit func(path, name string, value ast.Node)) {
 	m, ok := n.(*ast.MappingNode)
 	if !ok {
-		d.reject(at, "must be a mapping of fields")
+		d.addProblem(parent, "must be a mapping of fields")
 		return
 	}
 	for _, pair := range m.Values {
 		name := pair.Key.GetToken().Value
-		path := join(at, name)
-		d.lines[path] = line(pair.Key)
+		path := joinPath(parent, name)
+		d.lines[path] = lineOfNode(pair.Key)
 		visit(path, name, pair.Value)
 	}
 }
 
-// items calls visit for each item of a list.
-func (d *document) items(at string, n ast.Node, visit func(path string, value ast.Node)) {
+// eachItem calls visit for each item of a list and records the item's line.
+func (d *document) eachItem(parent string, n ast.Node, visit func(path string, value ast.Node)) {
 	list, ok := n.(*ast.SequenceNode)
 	if !ok {
-		d.reject(at, "must be a list")
+		d.addProblem(parent, "must be a list")
 		return
 	}
 	for i, item := range list.Values {
-		path := fmt.Sprintf("%s[%d]", at, i)
-		d.lines[path] = line(item)
+		path := fmt.Sprintf("%s[%d]", parent, i)
+		d.lines[path] = lineOfNode(item)
 		visit(path, item)
 	}
 }
 
-// text is the text of a plain or quoted value.
-func (d *document) text(at string, n ast.Node) (string, bool) {
+// scalarText returns the text of a plain or quoted value; false if it isn't one.
+func (d *document) scalarText(path string, n ast.Node) (string, bool) {
 	switch v := n.(type) {
 	case *ast.StringNode:
 		return v.Value, true
@@ -135,9 +139,9 @@
 	case *ast.LiteralNode:
 		return v.Value.Value, true
 	case *ast.NullNode:
-		d.reject(at, "has no value")
+		d.addProblem(path, "has no value")
 	default:
-		d.reject(at, "must be a single value; anchors, aliases and tags aren't taken")
+		d.addProblem(path, "must be a single value; anchors, aliases and tags aren't taken")
 	}
 	return "", false
 }
--- a/config/node.go
+++ b/config/node.go
@@ -11,7 +11,8 @@
 	"sapphirepoint.example/sapphirepoint/node"
 )
 
-// NodeConfig reads the files that the settings name.
+// NodeConfig converts the settings to the configuration of a node and reads the files that
+// they name.
 func (p *Process) NodeConfig(log zerolog.Logger) (node.Config, error) {
 	peerTLS, err := p.PeerTLS.load()
 	if err != nil {
@@ -77,15 +78,15 @@
 			return nil, errors.Wrap(err, "client_ca")
 		}
 	}
-	return ServerTLS{t.Cert, t.Key}.loadWith(clientCA)
+	return ServerTLS{t.Cert, t.Key}.loadWithClientCA(clientCA)
 }
 
 func (t ServerTLS) load() (*tls.Config, error) {
-	return t.loadWith(nil)
+	return t.loadWithClientCA(nil)
 }
 
-// loadWith returns nil if the section is left out.
-func (t ServerTLS) loadWith(clientCA []byte) (*tls.Config, error) {
+// loadWithClientCA returns nil if the section is left out of the settings.
+func (t ServerTLS) loadWithClientCA(clientCA []byte) (*tls.Config, error) {
 	if t.Cert == "" {
 		return nil, nil
 	}
--- a/config/problem.go
+++ b/config/problem.go
@@ -7,33 +7,33 @@
 	"strings"
 )
 
-// Problem is one thing wrong with a settings file.
+// Problem is a single mistake in a settings file.
 type Problem struct {
 	File string
-	// Line counts from 1; 0 if the file as a whole is meant.
+	// Line counts from 1; 0 if the problem concerns the whole file.
 	Line int
-	// Field is a path such as institutions[0].teams[1].quota_slots; empty if
-	// no field is meant.
+	// Field is a path such as institutions[0].teams[1].quota_slots; empty if the problem
+	// isn't in a field.
 	Field   string
 	Problem string
 }
 
-// Error gives file, line, field and problem.
+// Error formats the problem as file, line, field and text.
 func (p Problem) Error() string {
-	at := p.File
+	position := p.File
 	if p.Line > 0 {
-		at = fmt.Sprintf("%s:%d", p.File, p.Line)
+		position = fmt.Sprintf("%s:%d", p.File, p.Line)
 	}
 	if p.Field == "" {
-		return at + ": " + p.Problem
+		return position + ": " + p.Problem
 	}
-	return at + ": " + p.Field + ": " + p.Problem
+	return position + ": " + p.Field + ": " + p.Problem
 }
 
-// Problems is everything found wrong with a settings file.
+// Problems lists all mistakes found in a settings file.
 type Problems []Problem
 
-// Error gives one problem a line.
+// Error formats one problem per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -42,7 +42,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// err returns the problems in the order of the file, nil if there are none.
+// err returns the problems sorted by line and field; nil if there are none.
 func (ps Problems) err() error {
 	if len(ps) == 0 {
 		return nil
--- a/config/process.go
+++ b/config/process.go
@@ -1,6 +1,6 @@
-// Package config reads the settings files: what a process needs to start, and
-// what operators declare. A file with mistakes is rejected as a whole, with
-// file, line, field and problem for each of them.
+// Package config reads settings files: those of a process, needed at its start, and the
+// settings that operators declare. A file with mistakes is rejected as a whole; each mistake is
+// reported with file, line, field and problem.
 package config
 
 import (
@@ -20,8 +20,8 @@
 	"sapphirepoint.example/sapphirepoint/node"
 )
 
-// Process is what an entry process needs to start. Paths of files are taken
-// from the directory of the settings file.
+// Process holds the settings that an entry process needs at its start. Relative paths of files
+// are resolved against the directory of the settings file.
 type Process struct {
 	// Node is the name of the VM, unique within the system.
 	Node          string      `yaml:"node"`
@@ -36,38 +36,37 @@
 	LogLevel      string      `yaml:"log_level"`
 }
 
-// Listen holds the addresses to listen on, as IP and port.
+// Listen holds the addresses to listen on, as IP:port.
 type Listen struct {
 	Callers   string `yaml:"callers"`
 	Operators string `yaml:"operators"`
 	Peers     string `yaml:"peers"`
 }
 
-// Platform says where the platform's services are.
+// Platform holds the address of the platform's services.
 type Platform struct {
 	URL string `yaml:"url"`
 }
 
-// PeerTLS names the PEM files of the peer link.
+// PeerTLS names the PEM files for connections between entry processes.
 type PeerTLS struct {
 	CA   string `yaml:"ca"`
 	Cert string `yaml:"cert"`
 	Key  string `yaml:"key"`
 }
 
-// ServerTLS names the PEM files of a listener; without them it takes plain
-// connections.
+// ServerTLS names the PEM files of a listener; without them it accepts connections without TLS.
 type ServerTLS struct {
 	Cert string `yaml:"cert"`
 	Key  string `yaml:"key"`
 }
 
-// CallerTLS is the TLS of the callers' listener.
+// CallerTLS names the PEM files of the callers' listener.
 type CallerTLS struct {
 	Cert string `yaml:"cert"`
 	Key  string `yaml:"key"`
-	// ClientCA is the authority of the certificates that callers may show
-	// instead of a token; empty means tokens only.
+	// ClientCA is the authority of the client certificates that callers may present
+	// instead of a token; empty means that only tokens are accepted.
 	ClientCA string `yaml:"client_ca"`
 }
 
@@ -76,12 +75,12 @@
 	TokenFile string `yaml:"token_file"`
 }
 
-// Limits bounds what the process accepts from outside.
+// Limits bounds what the process accepts from callers and operators.
 type Limits struct {
 	// MaxRequest is the largest request of a caller or operator, such as 32MiB.
 	MaxRequest string `yaml:"max_request"`
-	// CallerConnections and OperatorConnections are the most open connections;
-	// further ones wait to be accepted.
+	// CallerConnections and OperatorConnections are the maximum numbers of open
+	// connections; further ones wait to be accepted.
 	CallerConnections   int `yaml:"caller_connections"`
 	OperatorConnections int `yaml:"operator_connections"`
 }
@@ -97,23 +96,23 @@
 	}
 }
 
-// LoadProcess reads and checks a process settings file and that the files
-// named in it exist. An error about its content is of type Problems.
+// LoadProcess reads and checks a process settings file, including that the files named in
+// it exist. An error about its content is of type Problems.
 func LoadProcess(path string) (*Process, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "read settings")
 	}
-	d, err := parse(path, raw)
+	d, err := parseDocument(path, raw)
 	if err != nil {
 		return nil, err
 	}
 	p := defaults()
-	d.known("", d.root, reflect.TypeFor[Process]())
+	d.checkFields("", d.root, reflect.TypeFor[Process]())
 	if d.problems == nil {
 		if err := yaml.UnmarshalWithOptions(raw, p, yaml.Strict()); err != nil {
 			problem := syntaxProblem(path, err)
-			problem.Field = d.fieldAt(problem.Line)
+			problem.Field = d.fieldOnLine(problem.Line)
 			return nil, Problems{problem}
 		}
 	}
@@ -125,27 +124,27 @@
 	return p, nil
 }
 
-// known rejects fields that a section doesn't have.
-func (d *document) known(at string, n ast.Node, section reflect.Type) {
+// checkFields reports fields that a section doesn't have and values that aren't scalars.
+func (d *document) checkFields(parent string, n ast.Node, section reflect.Type) {
 	fields := make(map[string]reflect.Type)
 	for i := range section.NumField() {
 		f := section.Field(i)
 		fields[f.Tag.Get("yaml")] = f.Type
 	}
-	d.fields(at, n, func(path, name string, value ast.Node) {
+	d.eachField(parent, n, func(path, name string, value ast.Node) {
 		t, ok := fields[name]
 		switch {
 		case !ok:
-			d.reject(path, "unknown field")
+			d.addProblem(path, "unknown field")
 		case t.Kind() == reflect.Struct:
-			d.known(path, value, t)
+			d.checkFields(path, value, t)
 		default:
-			d.text(path, value)
+			d.scalarText(path, value)
 		}
 	})
 }
 
-// resolve makes the paths of files independent of the working directory.
+// resolve resolves relative paths of files against a directory.
 func (p *Process) resolve(dir string) {
 	for _, f := range p.files() {
 		if *f.path != "" && !filepath.IsAbs(*f.path) {
@@ -154,10 +153,11 @@
 	}
 }
 
+// fileField is a setting that names a file.
 type fileField struct {
-	name string
-	path *string
-	need bool
+	name     string
+	path     *string
+	required bool
 }
 
 func (p *Process) files() []fileField {
@@ -174,16 +174,16 @@
 	}
 }
 
-// check looks at each section unless the file as a whole couldn't be read.
+// check checks each section, unless the file could not be decoded.
 func (p *Process) check(d *document) {
 	if d.problems != nil {
 		return
 	}
 	if p.Node == "" {
-		d.reject("node", "must not be empty")
+		d.addProblem("node", "must not be empty")
 	}
 	if p.FailureDomain == "" {
-		d.reject("failure_domain", "must not be empty")
+		d.addProblem("failure_domain", "must not be empty")
 	}
 	p.Listen.check(d)
 	p.Platform.check(d)
@@ -193,28 +193,28 @@
 	}
 	p.checkClientCA(d)
 	if _, err := zerolog.ParseLevel(p.LogLevel); err != nil {
-		d.reject("log_level", "%q is none of trace, debug, info, warn, error", p.LogLevel)
+		d.addProblem("log_level", "%q is none of trace, debug, info, warn, error", p.LogLevel)
 	}
 }
 
-// checkClientCA keeps the authorities apart: a certificate that the peer link
-// trusts would let its holder pose as an entry process and read every job.
+// checkClientCA requires separate authorities for callers and peers: with a certificate that
+// the peer link trusts, a caller could pose as an entry process and read every job.
 func (p *Process) checkClientCA(d *document) {
 	if p.CallerTLS.ClientCA == "" {
 		return
 	}
 	if p.CallerTLS.Cert == "" {
-		d.reject("caller_tls.client_ca", "needs caller_tls.cert and caller_tls.key")
+		d.addProblem("caller_tls.client_ca", "needs caller_tls.cert and caller_tls.key")
 	}
 	clients, err := os.ReadFile(p.CallerTLS.ClientCA)
 	peers, peerErr := os.ReadFile(p.PeerTLS.CA)
 	if err == nil && peerErr == nil && bytes.Equal(clients, peers) {
-		d.reject("caller_tls.client_ca", "must not be the authority of the peer link")
+		d.addProblem("caller_tls.client_ca", "must not be the authority of the peer link")
 	}
 }
 
 func (l Listen) check(d *document) {
-	taken := make(map[string]string)
+	fields := make(map[string]string)
 	for _, f := range []struct{ name, address string }{
 		{"listen.callers", l.Callers},
 		{"listen.operators", l.Operators},
@@ -222,58 +222,59 @@
 	} {
 		address, err := netip.ParseAddrPort(f.address)
 		if err != nil {
-			d.reject(f.name, "%q isn't an IP address with a port, such as 10.0.0.7:7100", f.address)
+			d.addProblem(f.name, "%q isn't an IP address with a port, such as 10.0.0.7:7100", f.address)
 			continue
 		}
-		if other, ok := taken[f.address]; ok && address.Port() != 0 {
-			d.reject(f.name, "%s is the address of %s too", f.address, other)
+		if other, ok := fields[f.address]; ok && address.Port() != 0 {
+			d.addProblem(f.name, "%s is the address of %s too", f.address, other)
 		}
-		taken[f.address] = f.name
+		fields[f.address] = f.name
 	}
 }
 
 func (p Platform) check(d *document) {
 	u, err := url.Parse(p.URL)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
-		d.reject("platform.url", "%q isn't an http or https URL", p.URL)
+		d.addProblem("platform.url", "%q isn't an http or https URL", p.URL)
 	}
 }
 
-// check also holds requests to what fits into a message between peers, since
-// any request may have to be forwarded.
+// check limits requests to the size of a message between peers, since any request may have
+// to be forwarded.
 func (l Limits) check(d *document) {
 	n, err := parseSize(l.MaxRequest, 1)
 	switch {
 	case err != nil:
-		d.reject("limits.max_request", "%s", err)
+		d.addProblem("limits.max_request", "%s", err)
 	case n == 0 || n > node.DefaultMaxRequestBytes:
-		d.reject("limits.max_request", "%s must be above 0 and at most %d MiB", l.MaxRequest, node.DefaultMaxRequestBytes>>20)
+		d.addProblem("limits.max_request", "%s must be above 0 and at most %d MiB", l.MaxRequest, node.DefaultMaxRequestBytes>>20)
 	}
 	if l.CallerConnections <= 0 {
-		d.reject("limits.caller_connections", "must be above 0")
+		d.addProblem("limits.caller_connections", "must be above 0")
 	}
 	if l.OperatorConnections <= 0 {
-		d.reject("limits.operator_connections", "must be above 0")
+		d.addProblem("limits.operator_connections", "must be above 0")
 	}
 }
 
+// checkFile checks that a file is named if required and that a named file exists.
 func checkFile(d *document, f fileField) {
 	if *f.path == "" {
-		if f.need {
-			d.reject(f.name, "must name a file")
+		if f.required {
+			d.addProblem(f.name, "must name a file")
 		}
 		return
 	}
 	info, err := os.Stat(*f.path)
 	switch {
 	case err != nil:
-		d.reject(f.name, "%s", err)
+		d.addProblem(f.name, "%s", err)
 	case info.IsDir():
-		d.reject(f.name, "%s is a directory", *f.path)
+		d.addProblem(f.name, "%s is a directory", *f.path)
 	}
 }
 
-// maxRequestBytes is the checked limit.
+// maxRequestBytes returns MaxRequest in bytes; the setting has been checked before.
 func (l Limits) maxRequestBytes() int {
 	n, err := parseSize(l.MaxRequest, 1)
 	if err != nil {
@@ -282,7 +283,7 @@
 	return int(n)
 }
 
-// operatorToken reads the operators' token.
+// operatorToken reads the operators' bearer token.
 func (c Credentials) operatorToken() (string, error) {
 	raw, err := os.ReadFile(c.TokenFile)
 	if err != nil {
--- a/config/process_test.go
+++ b/config/process_test.go
@@ -14,9 +14,9 @@
 
 const exampleProcess = "../examples/process.yaml"
 
-// processDir holds the files that the example names and a settings file with
-// the given text.
-func processDir(t *testing.T, text string) string {
+// writeProcessDir creates a directory with the files that the example names and a settings
+// file with the given text, and returns the path of the settings file.
+func writeProcessDir(t *testing.T, text string) string {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	dir := t.TempDir()
@@ -45,7 +45,7 @@
 
 func TestExampleProcessSettingsStartANode(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p, err := LoadProcess(processDir(t, exampleText(t)))
+	p, err := LoadProcess(writeProcessDir(t, exampleText(t)))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	cfg, err := p.NodeConfig(zerolog.Nop())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -54,10 +54,10 @@
 	g.Expect(cfg.CallerTLS).NotTo(gomega.BeNil())
 }
 
-// A process file holds a mistake, or names a file that isn't there. Found only
-// when the first peer or caller connects, it would leave a VM that looks
-// healthy; it is found at the start instead, with its place.
-func TestMistakesInProcessSettingsAreRejectedWithTheirPlace(t *testing.T) {
+// A process file has a mistake or names a file that doesn't exist. If it were noticed only when
+// the first peer or caller connects, the VM would look healthy until then; it must be reported
+// at the start, with its line and field.
+func TestMistakesInProcessSettingsAreRejectedWithTheirPosition(t *testing.T) {
 	cases := []struct{ name, old, new, want string }{
 		{"unknown section", "platform:\n", "platfrom:\n", "p.yaml:16: platfrom: unknown field"},
 		{"unknown field", "  peers: 127", "  pears: 127", "p.yaml:13: listen.pears: unknown field"},
@@ -80,15 +80,15 @@
 			g := gomega.NewWithT(t)
 			text := exampleText(t)
 			g.Expect(text).To(gomega.ContainSubstring(c.old))
-			_, err := LoadProcess(processDir(t, strings.Replace(text, c.old, c.new, 1)))
+			_, err := LoadProcess(writeProcessDir(t, strings.Replace(text, c.old, c.new, 1)))
 			g.Expect(err).To(gomega.MatchError(gomega.ContainSubstring(c.want)))
 		})
 	}
 }
 
-func TestProcessMistakesAreReportedAtOnce(t *testing.T) {
+func TestAllMistakesInProcessSettingsAreReported(t *testing.T) {
 	g := gomega.NewWithT(t)
 	text := strings.NewReplacer(": ca.pem", ": gone.pem", "log_level: info", "log_level: loud", "127.0.0.1:7400", "x").Replace(exampleText(t))
-	_, err := LoadProcess(processDir(t, text))
+	_, err := LoadProcess(writeProcessDir(t, text))
 	g.Expect(strings.Split(err.Error(), "\n")).To(gomega.HaveLen(3))
 }
--- a/config/settings.go
+++ b/config/settings.go
@@ -13,7 +13,8 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// versionField is assigned on acceptance and never stands in a file.
+// versionField is the field of the version, which is assigned when settings are accepted and
+// is not part of a file.
 const versionField = "version"
 
 // LoadSettings reads and checks the operators' settings file.
@@ -25,113 +26,115 @@
 	return ParseSettings(path, raw)
 }
 
-// ParseSettings reads declared settings from YAML and checks them. The file's
-// fields are those of the Settings message; a field whose name in the message
-// ends in a unit (response_time_ms) stands without it and takes a value with
-// its unit (response_time: 30s). An error is of type Problems and holds
-// everything that is wrong.
+// ParseSettings reads declared settings from YAML and checks them. The file's fields are those
+// of the Settings message; where a name in the message ends in a unit (response_time_ms), the
+// file's name leaves it out and the value includes it (response_time: 30s). An error is of type
+// Problems and lists all mistakes.
 func ParseSettings(file string, raw []byte) (*pb.Settings, error) {
-	d, err := parse(file, raw)
+	d, err := parseDocument(file, raw)
 	if err != nil {
 		return nil, err
 	}
 	s := &pb.Settings{}
-	m := &mapper{document: d, names: make(map[string]string)}
-	m.message("", "", d.root, s.ProtoReflect())
-	m.validate(s)
+	dec := &decoder{document: d, filePaths: make(map[string]string)}
+	dec.decodeMessage("", "", d.root, s.ProtoReflect())
+	dec.validate(s)
 	if err := d.problems.err(); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// mapper puts a document's values into a message.
-type mapper struct {
+// decoder decodes a document into a message.
+type decoder struct {
 	*document
-	// names gives the file's path of a path in the message.
-	names map[string]string
+	// filePaths maps paths in the message to paths in the file.
+	filePaths map[string]string
 }
 
-// validate checks the whole and reports each problem at its place in the file.
-// A value that couldn't be read isn't reported a second time as missing.
-func (m *mapper) validate(s *pb.Settings) {
+// validate checks the decoded settings and reports each problem at its line in the file. A
+// value that couldn't be read isn't reported a second time as missing.
+func (dec *decoder) validate(s *pb.Settings) {
 	var found settings.Errors
 	if !errors.As(settings.Validate(s), &found) {
 		return
 	}
-	unreadable := make(map[string]bool)
-	for _, p := range m.problems {
-		unreadable[p.Field] = true
+	invalid := make(map[string]bool)
+	for _, p := range dec.problems {
+		invalid[p.Field] = true
 	}
 	for _, e := range found {
-		if path := m.filePath(e.Field); !unreadable[path] {
-			m.reject(path, "%s", e.Problem)
+		if path := dec.filePath(e.Field); !invalid[path] {
+			dec.addProblem(path, "%s", e.Problem)
 		}
 	}
 }
 
-// filePath is the file's path of a message's path. Fields left out of the file
-// weren't visited: their last part is converted here.
-func (m *mapper) filePath(path string) string {
-	if name, ok := m.names[path]; ok {
+// filePath converts a path in the message to one in the file. A field that the file leaves
+// out has no entry in filePaths: its parent is looked up and its name is converted.
+func (dec *decoder) filePath(path string) string {
+	if name, ok := dec.filePaths[path]; ok {
 		return name
 	}
 	i := strings.LastIndex(path, ".")
 	if i < 0 {
 		return path
 	}
-	_, last := unitOf(path[i+1:])
-	return m.filePath(path[:i]) + "." + last
+	_, last := cutUnit(path[i+1:])
+	return dec.filePath(path[:i]) + "." + last
 }
 
-func (m *mapper) message(at, wireAt string, n ast.Node, msg protoreflect.Message) {
+// decodeMessage decodes a mapping into a message. parent is its path in the file, messagePath
+// that in the message.
+func (dec *decoder) decodeMessage(parent, messagePath string, n ast.Node, msg protoreflect.Message) {
 	known := make(map[string]protoreflect.FieldDescriptor)
 	descriptors := msg.Descriptor().Fields()
 	for i := range descriptors.Len() {
 		fd := descriptors.Get(i)
-		_, name := unitOf(string(fd.Name()))
+		_, name := cutUnit(string(fd.Name()))
 		known[name] = fd
 	}
-	if at == "" {
+	if parent == "" {
 		delete(known, versionField)
 	}
-	m.fields(at, n, func(path, name string, value ast.Node) {
+	dec.eachField(parent, n, func(path, name string, value ast.Node) {
 		fd := known[name]
 		if fd == nil {
-			m.reject(path, "unknown field")
+			dec.addProblem(path, "unknown field")
 			return
 		}
-		wire := join(wireAt, string(fd.Name()))
-		m.names[wire] = path
-		m.field(path, wire, value, msg, fd)
+		fieldMessagePath := joinPath(messagePath, string(fd.Name()))
+		dec.filePaths[fieldMessagePath] = path
+		dec.decodeField(path, fieldMessagePath, value, msg, fd)
 	})
 }
 
-func (m *mapper) field(path, wire string, n ast.Node, msg protoreflect.Message, fd protoreflect.FieldDescriptor) {
+// decodeField decodes a scalar or a list into a field of a message.
+func (dec *decoder) decodeField(path, messagePath string, n ast.Node, msg protoreflect.Message, fd protoreflect.FieldDescriptor) {
 	if !fd.IsList() {
-		if v, ok := m.value(path, n, fd); ok {
+		if v, ok := dec.decodeValue(path, n, fd); ok {
 			msg.Set(fd, v)
 		}
 		return
 	}
 	list := msg.Mutable(fd).List()
-	m.items(path, n, func(path string, item ast.Node) {
-		wire := wire + path[strings.LastIndex(path, "["):]
-		m.names[wire] = path
+	dec.eachItem(path, n, func(path string, item ast.Node) {
+		itemMessagePath := messagePath + path[strings.LastIndex(path, "["):]
+		dec.filePaths[itemMessagePath] = path
 		if fd.Kind() == protoreflect.MessageKind {
-			m.message(path, wire, item, list.AppendMutable().Message())
+			dec.decodeMessage(path, itemMessagePath, item, list.AppendMutable().Message())
 			return
 		}
-		if v, ok := m.value(path, item, fd); ok {
+		if v, ok := dec.decodeValue(path, item, fd); ok {
 			list.Append(v)
 		}
 	})
 }
 
-// value converts one scalar. The kinds are those that Settings uses.
-func (m *mapper) value(path string, n ast.Node, fd protoreflect.FieldDescriptor) (protoreflect.Value, bool) {
+// decodeValue decodes a scalar; it supports the kinds of field that Settings has.
+func (dec *decoder) decodeValue(path string, n ast.Node, fd protoreflect.FieldDescriptor) (protoreflect.Value, bool) {
 	none := protoreflect.Value{}
-	text, ok := m.text(path, n)
+	text, ok := dec.scalarText(path, n)
 	if !ok {
 		return none, false
 	}
@@ -140,18 +143,18 @@
 		return protoreflect.ValueOfString(text), true
 	case protoreflect.BoolKind:
 		if text != "true" && text != "false" {
-			m.reject(path, "%q is neither true nor false", text)
+			dec.addProblem(path, "%q is neither true nor false", text)
 			return none, false
 		}
 		return protoreflect.ValueOfBool(text == "true"), true
 	case protoreflect.Uint32Kind:
-		u, _ := unitOf(string(fd.Name()))
+		u, _ := cutUnit(string(fd.Name()))
 		number, err := u.parse(text)
 		if err == nil && number > math.MaxUint32 {
 			err = errors.Errorf("%q is too large", text)
 		}
 		if err != nil {
-			m.reject(path, "%s", err)
+			dec.addProblem(path, "%s", err)
 			return none, false
 		}
 		return protoreflect.ValueOfUint32(uint32(number)), true
--- a/config/settings_test.go
+++ b/config/settings_test.go
@@ -29,10 +29,10 @@
 	g.Expect(settings.Service(kandy, "settlements").GetIdempotent()).To(gomega.BeFalse())
 }
 
-// An operator's file holds a mistake. Taken silently, it would put a limit in
-// force that nobody meant; the message has to lead to the line. Each case
-// changes one piece of the example and gives what must be reported.
-func TestMistakesInSettingsAreRejectedWithTheirPlace(t *testing.T) {
+// An operator's file has a mistake. Accepted silently, it would put an unintended limit in
+// force; the message must name the line and the field. Each case changes one part of the example
+// and gives the expected report.
+func TestMistakesInSettingsAreRejectedWithTheirPosition(t *testing.T) {
 	raw, err := os.ReadFile(exampleSettings)
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 	cases := []struct{ name, old, new, want string }{
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestAllMistakesAreReportedAtOnceInTheFilesOrder(t *testing.T) {
+func TestAllMistakesAreReportedInFileOrder(t *testing.T) {
 	g := gomega.NewWithT(t)
 	raw, err := os.ReadFile(exampleSettings)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -90,8 +90,8 @@
 	g.Expect(lines[3]).To(gomega.ContainSubstring("institutions[1].teams[1].quota_slots"))
 }
 
-// FuzzParseSettings looks for files that make the decoder panic or accept
-// something that doesn't hold when checked again.
+// FuzzParseSettings looks for files that make the decoder panic or that it accepts although
+// they are invalid or can't be encoded.
 func FuzzParseSettings(f *testing.F) {
 	raw, err := os.ReadFile(exampleSettings)
 	if err != nil {
--- a/config/units.go
+++ b/config/units.go
@@ -9,16 +9,15 @@
 	"github.com/pkg/errors"
 )
 
-// unit converts the text of a value, with its unit, to the number that the
-// settings message holds.
+// unit converts the text of a value with its unit to the number in the settings message.
 type unit struct {
-	// suffix ends the field's name in the message; the file's name of the
-	// field leaves it out.
+	// suffix is the end of the field's name in the message; its name in the file leaves
+	// it out.
 	suffix string
 	parse  func(text string) (uint64, error)
 }
 
-// units lists the units by the suffix of the message's field.
+// units lists the units, each with the suffix of the fields that use it.
 var units = []unit{
 	{"_ms", func(t string) (uint64, error) { return parseDuration(t, time.Millisecond) }},
 	{"_s", func(t string) (uint64, error) { return parseDuration(t, time.Second) }},
@@ -28,8 +27,8 @@
 	{"_millis", parseMilliCores},
 }
 
-// unitOf finds the unit of a message's field and the file's name for it.
-func unitOf(field string) (unit, string) {
+// cutUnit returns the unit of a field of the message and the field's name in the file.
+func cutUnit(field string) (unit, string) {
 	for _, u := range units {
 		if name, ok := strings.CutSuffix(field, u.suffix); ok {
 			return u, name
@@ -60,7 +59,7 @@
 	return uint64(d / step), nil
 }
 
-// sizeUnits are the binary units; 1KB is refused, as it may mean 1000 or 1024.
+// sizeUnits are the binary units; KB is rejected, since it may mean 1000 or 1024 bytes.
 var sizeUnits = []struct {
 	name  string
 	bytes uint64
--- a/explain/attribution.go
+++ b/explain/attribution.go
@@ -201,8 +201,8 @@
 	return jobEnded.number("work") > slowRunFactor*jobEnded.number("estimate")
 }
 
-// findSystemEvents finds the events of the whole system in sorted lines; those that explain
-// the most come first.
+// findSystemEvents finds the events of the whole system in sorted lines; the most
+// severe kinds come first.
 func findSystemEvents(lines []Line) []systemEvent {
 	nodes := make(map[string]bool)
 	for _, l := range lines {
