--- a/cli/cancel.go
+++ b/cli/cancel.go
@@ -14,12 +14,12 @@
 word. The exit code is 0 unless the outcome stays unknown.`,
 		Example: "  sapphirepoint cancel i/loughborough-1/5f3a9c0e12ab34cd/17 --entry 10.0.0.7:7100\n  sapphirepoint cancel o/lot-17 --entry 10.0.0.7:7100",
 		Args:    cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, given []string) error {
-			id, err := parseID(given[0])
+		RunE: func(cmd *cobra.Command, args []string) error {
+			id, err := parseID(args[0])
 			if err != nil {
-				return usage(err)
+				return asUsageError(err)
 			}
-			c, err := a.callers.client(0)
+			c, err := a.callerFlags.newClient(0)
 			if err != nil {
 				return err
 			}
@@ -35,6 +35,6 @@
 			return err
 		},
 	}
-	a.callers.add(cmd)
+	a.callerFlags.register(cmd)
 	return cmd
 }
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line for operators and callers: thin commands
-// over the client library and the generated calls.
+// Package cli implements the command line for operators and callers on top of the client
+// library and the generated RPC clients.
 package cli
 
 import (
@@ -14,29 +14,30 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Streams are the input and output of a command.
+// Streams holds the standard input and outputs of a command.
 type Streams struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
 }
 
-// The forms of output.
+// The values of --output.
 const (
 	textOutput = "text"
 	jsonOutput = "json"
 )
 
-// app is what all commands share.
+// app holds the state that all commands share.
 type app struct {
 	Streams
-	output  string
-	running bool
-	callers callerFlags
-	ops     operatorFlags
+	output string
+	// argsAccepted is set once a command's own work begins.
+	argsAccepted  bool
+	callerFlags   callerFlags
+	operatorFlags operatorFlags
 }
 
-// Run executes a command and returns its exit code.
+// Run executes a command line and returns its exit code.
 func Run(ctx context.Context, args []string, s Streams) int {
 	a := &app{Streams: s}
 	root := a.root()
@@ -45,11 +46,11 @@
 	root.SetOut(s.Out)
 	root.SetErr(s.Err)
 	err := root.ExecuteContext(ctx)
-	if !a.running {
-		err = usage(err)
+	if !a.argsAccepted {
+		err = asUsageError(err)
 	}
-	var word outcomeError
-	if err != nil && !errors.As(err, &word) {
+	var outcomeErr outcomeError
+	if err != nil && !errors.As(err, &outcomeErr) {
 		fmt.Fprintln(s.Err, "sapphirepoint:", err)
 	}
 	return exitCode(err)
@@ -86,21 +87,21 @@
 	}
 	cmd.PersistentFlags().StringVarP(&a.output, "output", "o", textOutput, "form of output: text or json")
 	cmd.AddCommand(a.settingsCommand(), a.submitCommand(), a.cancelCommand(), a.dumpCommand(), a.drainCommand(), a.keysCommand(), a.tokenCommand(), a.entryCommand())
-	a.track(cmd)
+	a.trackStart(cmd)
 	return cmd
 }
 
-// track notes when a command's own work begins; what fails before that is a
-// mistake in the arguments.
-func (a *app) track(cmd *cobra.Command) {
+// trackStart wraps a command and its subcommands to set argsAccepted when their own work begins:
+// an error before that is a mistake in the arguments.
+func (a *app) trackStart(cmd *cobra.Command) {
 	if run := cmd.RunE; run != nil {
-		cmd.RunE = func(cmd *cobra.Command, given []string) error {
-			a.running = true
-			return run(cmd, given)
+		cmd.RunE = func(cmd *cobra.Command, args []string) error {
+			a.argsAccepted = true
+			return run(cmd, args)
 		}
 	}
 	for _, sub := range cmd.Commands() {
-		a.track(sub)
+		a.trackStart(sub)
 	}
 }
 
@@ -114,12 +115,12 @@
 	return errors.Wrap(err, "write output")
 }
 
-// printProto writes a message as JSON, in the schema's own names.
+// printProto writes a message as indented JSON with the field names of the schema.
 func (a *app) printProto(m proto.Message) error {
 	raw, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(m)
 	if err != nil {
 		return errors.Wrap(err, "encode output")
 	}
-	// protojson varies its spaces on purpose; indented again, output is stable.
+	// protojson varies whitespace deliberately; indenting again makes the output stable.
 	return a.printJSON(json.RawMessage(raw))
 }
--- a/cli/connect.go
+++ b/cli/connect.go
@@ -17,7 +17,8 @@
 	"sapphirepoint.example/sapphirepoint/gen/sapphirepointv1/sapphirepointv1connect"
 )
 
-// The environment variables that stand in for flags.
+// The environment variables that are used for flags left out. With fileSuffix, a token's
+// variable names a file.
 const (
 	envEntry         = "SAPPHIREPOINT_ENTRY"
 	envToken         = "SAPPHIREPOINT_TOKEN"
@@ -27,9 +28,10 @@
 	fileSuffix       = "_FILE"
 )
 
+// operatorTimeout bounds a call to an operators' listener.
 const operatorTimeout = 15 * time.Second
 
-// callerFlags say whom callers' commands call.
+// callerFlags are the flags of callers' commands: the entry processes and the credentials.
 type callerFlags struct {
 	entries   []string
 	tokenFile string
@@ -38,7 +40,7 @@
 	key       string
 }
 
-func (f *callerFlags) add(cmd *cobra.Command) {
+func (f *callerFlags) register(cmd *cobra.Command) {
 	cmd.Flags().StringSliceVar(&f.entries, "entry", nil, "entry processes or their balancer, as IP:port or URL, separated by commas; used in turn (env "+envEntry+")")
 	cmd.Flags().StringVar(&f.tokenFile, "token-file", "", "file with the caller's token (env "+envToken+fileSuffix+" or "+envToken+")")
 	cmd.Flags().StringVar(&f.ca, "ca", "", "PEM file with the authority of https entries (env "+envCA+")")
@@ -46,13 +48,14 @@
 	cmd.Flags().StringVar(&f.key, "cert-key", "", "private key of --cert (PEM file)")
 }
 
-// client makes a client of the entries.
-func (f *callerFlags) client(newIDs int) (*client.Client, error) {
-	entries, err := addresses(f.entries, envEntry, "--entry")
+// newClient creates a client of the entry processes. newIDs is how often it may submit again
+// under a new id.
+func (f *callerFlags) newClient(newIDs int) (*client.Client, error) {
+	entries, err := addressURLs(f.entries, envEntry, "--entry")
 	if err != nil {
 		return nil, err
 	}
-	tlsConfig, err := authority(f.ca)
+	tlsConfig, err := tlsConfigFor(f.ca)
 	if err != nil {
 		return nil, err
 	}
@@ -60,7 +63,7 @@
 	if f.cert == "" {
 		token, err = readToken(f.tokenFile, envToken, "--token-file")
 	} else {
-		tlsConfig, err = withCertificate(tlsConfig, f.cert, f.key)
+		tlsConfig, err = withClientCertificate(tlsConfig, f.cert, f.key)
 	}
 	if err != nil {
 		return nil, err
@@ -68,20 +71,20 @@
 	return client.New(client.Config{URLs: entries, Token: token, TLS: tlsConfig, NewIDs: newIDs}), nil
 }
 
-// operatorFlags say whom operators' commands call.
+// operatorFlags are the flags of operators' commands: the listeners and the credentials.
 type operatorFlags struct {
 	operators []string
 	tokenFile string
 	ca        string
 }
 
-func (f *operatorFlags) add(cmd *cobra.Command) {
+func (f *operatorFlags) register(cmd *cobra.Command) {
 	cmd.Flags().StringSliceVar(&f.operators, "operator", nil, "operators' listeners of entry processes, as IP:port or URL, separated by commas (env "+envOperator+")")
 	cmd.Flags().StringVar(&f.tokenFile, "operator-token-file", "", "file with the operators' token (env "+envOperatorToken+fileSuffix+" or "+envOperatorToken+")")
 	cmd.Flags().StringVar(&f.ca, "operator-ca", "", "PEM file with the authority of https listeners (env "+envCA+")")
 }
 
-// operator is one process's operators' listener.
+// operator is the operators' listener of one process.
 type operator struct {
 	url   string
 	token string
@@ -89,7 +92,7 @@
 	rpc   sapphirepointv1connect.OperatorServiceClient
 }
 
-// connect reads the token and prepares the calls.
+// connect reads the token and creates a client of each listener.
 func (f *operatorFlags) connect() ([]*operator, error) {
 	token, err := readToken(f.tokenFile, envOperatorToken, "--operator-token-file")
 	if err != nil {
@@ -102,13 +105,13 @@
 	return list, err
 }
 
-// connectWithoutToken is enough to read metrics.
+// connectWithoutToken creates clients that can read metrics, which need no token.
 func (f *operatorFlags) connectWithoutToken() ([]*operator, error) {
-	urls, err := addresses(f.operators, envOperator, "--operator")
+	urls, err := addressURLs(f.operators, envOperator, "--operator")
 	if err != nil {
 		return nil, err
 	}
-	tlsConfig, err := authority(f.ca)
+	tlsConfig, err := tlsConfigFor(f.ca)
 	if err != nil {
 		return nil, err
 	}
@@ -120,7 +123,7 @@
 	return list, nil
 }
 
-// call makes one call of OperatorService with the operators' token.
+// call calls a method of OperatorService with the operators' token.
 func call[Req, Res any](ctx context.Context, o *operator, f func(context.Context, *connect.Request[Req]) (*connect.Response[Res], error), m *Req) (*Res, error) {
 	req := connect.NewRequest(m)
 	req.Header().Set("Authorization", "Bearer "+o.token)
@@ -131,29 +134,28 @@
 	return res.Msg, nil
 }
 
-// first makes a call at the first operator that can be reached.
-func first[Req, Res any](ctx context.Context, list []*operator, pick func(*operator) func(context.Context, *connect.Request[Req]) (*connect.Response[Res], error), m *Req) (*Res, error) {
+// callFirstReachable calls a method at the first operator in the list that is reachable.
+func callFirstReachable[Req, Res any](ctx context.Context, list []*operator, method func(*operator) func(context.Context, *connect.Request[Req]) (*connect.Response[Res], error), m *Req) (*Res, error) {
 	var res *Res
 	var err error
 	for _, o := range list {
-		if res, err = call(ctx, o, pick(o), m); err == nil || connect.CodeOf(err) != connect.CodeUnavailable {
+		if res, err = call(ctx, o, method(o), m); err == nil || connect.CodeOf(err) != connect.CodeUnavailable {
 			return res, err
 		}
 	}
 	return nil, err
 }
 
-// addresses takes a flag's values, else the environment's, and completes them
-// to URLs.
-func addresses(given []string, env, flag string) ([]string, error) {
-	if len(given) == 0 {
-		given = strings.FieldsFunc(os.Getenv(env), func(r rune) bool { return r == ',' })
+// addressURLs returns the addresses given by a flag, or else by the environment, as URLs.
+func addressURLs(flagValues []string, env, flag string) ([]string, error) {
+	if len(flagValues) == 0 {
+		flagValues = strings.FieldsFunc(os.Getenv(env), func(r rune) bool { return r == ',' })
 	}
-	if len(given) == 0 {
-		return nil, usage(errors.Errorf("%s or %s is needed", flag, env))
+	if len(flagValues) == 0 {
+		return nil, asUsageError(errors.Errorf("%s or %s is needed", flag, env))
 	}
-	urls := make([]string, len(given))
-	for i, address := range given {
+	urls := make([]string, len(flagValues))
+	for i, address := range flagValues {
 		urls[i] = strings.TrimSpace(address)
 		if !strings.Contains(urls[i], "://") {
 			urls[i] = "http://" + urls[i]
@@ -162,7 +164,8 @@
 	return urls, nil
 }
 
-// readToken reads a token from a file or the environment.
+// readToken reads a token from the file given by a flag or the environment, or else from the
+// environment itself.
 func readToken(file, env, flag string) (string, error) {
 	if file == "" {
 		file = os.Getenv(env + fileSuffix)
@@ -171,21 +174,22 @@
 		if token := strings.TrimSpace(os.Getenv(env)); token != "" {
 			return token, nil
 		}
-		return "", usage(errors.Errorf("%s, %s or %s is needed", flag, env+fileSuffix, env))
+		return "", asUsageError(errors.Errorf("%s, %s or %s is needed", flag, env+fileSuffix, env))
 	}
 	raw, err := os.ReadFile(file)
 	if err != nil {
-		return "", usage(errors.Wrap(err, flag))
+		return "", asUsageError(errors.Wrap(err, flag))
 	}
 	token := strings.TrimSpace(string(raw))
 	if token == "" {
-		return "", usage(errors.Errorf("%s: %s is empty", flag, file))
+		return "", asUsageError(errors.Errorf("%s: %s is empty", flag, file))
 	}
 	return token, nil
 }
 
-// authority reads the certificates to trust; nil means the system's.
-func authority(file string) (*tls.Config, error) {
+// tlsConfigFor returns a configuration that trusts the authorities in a PEM file; nil, which
+// means those of the system, if neither the flag nor the environment names one.
+func tlsConfigFor(file string) (*tls.Config, error) {
 	if file == "" {
 		file = os.Getenv(envCA)
 	}
@@ -194,20 +198,20 @@
 	}
 	raw, err := os.ReadFile(file)
 	if err != nil {
-		return nil, usage(errors.Wrap(err, "read authority"))
+		return nil, asUsageError(errors.Wrap(err, "read authority"))
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
-		return nil, usage(errors.Errorf("no certificate in %s", file))
+		return nil, asUsageError(errors.Errorf("no certificate in %s", file))
 	}
 	return &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}, nil
 }
 
-// withCertificate adds a client certificate.
-func withCertificate(cfg *tls.Config, cert, key string) (*tls.Config, error) {
+// withClientCertificate adds a client certificate to a TLS configuration, which may be nil.
+func withClientCertificate(cfg *tls.Config, cert, key string) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(cert, key)
 	if err != nil {
-		return nil, usage(errors.Wrap(err, "--cert"))
+		return nil, asUsageError(errors.Wrap(err, "--cert"))
 	}
 	if cfg == nil {
 		cfg = &tls.Config{MinVersion: tls.VersionTLS12}
--- a/cli/drain.go
+++ b/cli/drain.go
@@ -16,7 +16,7 @@
 		Example: "  sapphirepoint drain --operator 10.0.0.7:7200",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			operators, err := a.ops.connect()
+			operators, err := a.operatorFlags.connect()
 			if err != nil {
 				return err
 			}
@@ -29,6 +29,6 @@
 			return nil
 		},
 	}
-	a.ops.add(cmd)
+	a.operatorFlags.register(cmd)
 	return cmd
 }
--- a/cli/dump.go
+++ b/cli/dump.go
@@ -22,7 +22,7 @@
 		Example: "  sapphirepoint dump --operator 10.0.0.7:7200\n  sapphirepoint dump --job i/loughborough-1/5f3a9c0e12ab34cd/17 --operator 10.0.0.7:7200,10.0.0.8:7200",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			operators, err := a.ops.connect()
+			operators, err := a.operatorFlags.connect()
 			if err != nil {
 				return err
 			}
@@ -30,7 +30,7 @@
 			for _, o := range operators {
 				res, err := call(cmd.Context(), o, o.rpc.Dump, &pb.DumpRequest{})
 				if err != nil {
-					// The others may still explain what is asked.
+					// The other processes may still have the answer.
 					fmt.Fprintln(a.Err, err)
 					continue
 				}
@@ -43,7 +43,7 @@
 		},
 	}
 	cmd.Flags().StringVar(&job, "job", "", "explain only the submission with this id")
-	a.ops.add(cmd)
+	a.operatorFlags.register(cmd)
 	return cmd
 }
 
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// dumpedJobs is the part of a dump that explains jobs; the other fields of a
-// submission are printed as they are.
-type dumpedJobs struct {
+// jobsDump is the part of a dump that concerns jobs. With JSON output a submission is printed
+// with all its fields.
+type jobsDump struct {
 	NowMs       int64            `json:"now_ms"`
 	Submissions []map[string]any `json:"submissions"`
 	Starts      []struct {
@@ -88,10 +88,10 @@
 	} `json:"starts"`
 }
 
-// explainJob prints what one process knows of a submission. The id may be
-// given with or without its institution.
+// explainJob prints the state of a submission in one process's dump and returns whether the
+// dump contains it. The id may be given with or without its institution.
 func (a *app) explainJob(url string, raw []byte, job string) (bool, error) {
-	var d dumpedJobs
+	var d jobsDump
 	if err := json.Unmarshal(raw, &d); err != nil {
 		return false, errors.Wrap(err, "decode dump")
 	}
--- a/cli/entry.go
+++ b/cli/entry.go
@@ -16,7 +16,7 @@
 	"sapphirepoint.example/sapphirepoint/platform"
 )
 
-// entryDumpTimeout bounds a dump; the process answers in milliseconds.
+// entryDumpTimeout bounds a dump request, which a process answers within milliseconds.
 const entryDumpTimeout = 5 * time.Second
 
 func (a *app) entryCommand() *cobra.Command {
@@ -36,7 +36,7 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			s, err := platform.LoadSettings(args[0])
 			if err != nil {
-				return usage(err)
+				return asUsageError(err)
 			}
 			if a.output == jsonOutput {
 				return a.printJSON(s)
@@ -63,6 +63,7 @@
 	}
 }
 
+// fetchDump requests a dump from the health listener of an entry process.
 func fetchDump(address string) (*entry.Dump, error) {
 	client := http.Client{Timeout: entryDumpTimeout}
 	res, err := client.Get("http://" + address + "/dump")
@@ -121,6 +122,7 @@
 	}
 }
 
+// readLogs reads the lines of log files, or of standard input if none are given.
 func (a *app) readLogs(paths []string) ([]explain.Line, error) {
 	if len(paths) == 0 {
 		return explain.Read(a.In)
--- a/cli/entry_test.go
+++ b/cli/entry_test.go
@@ -47,7 +47,7 @@
 	g.Expect(errs).To(ContainSubstring("none"))
 }
 
-func TestEntryDumpOfNobody(t *testing.T) {
+func TestEntryDumpOfUnreachableProcess(t *testing.T) {
 	g := NewWithT(t)
 	code, _, errs := runEntry("", "dump", "127.0.0.1:1")
 	g.Expect(code).To(Equal(1))
--- a/cli/exit.go
+++ b/cli/exit.go
@@ -7,7 +7,7 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// The exit codes; the help of the root command describes them.
+// The exit codes, as described in the help of the root command.
 const (
 	ExitDone     = 0
 	ExitError    = 1
@@ -18,50 +18,52 @@
 	ExitRejected = 13
 )
 
-// usageError is a mistake in arguments or files.
+// usageError is a mistake in the arguments or in a file given by the user.
 type usageError struct{ error }
 
-// Unwrap returns the mistake.
+// Unwrap returns the wrapped error.
 func (e usageError) Unwrap() error { return e.error }
 
-func usage(err error) error {
+// asUsageError wraps an error as a usageError; nil stays nil.
+func asUsageError(err error) error {
 	if err == nil {
 		return nil
 	}
 	return usageError{err}
 }
 
-// outcomeError carries the word on a job, already printed, to the exit code.
+// outcomeError carries the outcome of a job, which has been printed already, to exitCode.
 type outcomeError struct{ outcome pb.Outcome }
 
 // Error implements error.
 func (e outcomeError) Error() string { return e.outcome.String() }
 
-// outcome is nil for a complete job.
-func outcome(o pb.Outcome) error {
-	if o == pb.Outcome_OUTCOME_COMPLETE {
+// errorForOutcome returns nil for a complete job, otherwise an outcomeError.
+func errorForOutcome(outcome pb.Outcome) error {
+	if outcome == pb.Outcome_OUTCOME_COMPLETE {
 		return nil
 	}
-	return outcomeError{o}
+	return outcomeError{outcome}
 }
 
+// exitCode returns the exit code for the error of a command.
 func exitCode(err error) int {
-	var mistake usageError
-	var word outcomeError
+	var usageErr usageError
+	var outcomeErr outcomeError
 	switch {
 	case err == nil:
 		return ExitDone
-	case errors.As(err, &word):
-		return exitOfOutcome(word.outcome)
-	case errors.As(err, &mistake):
+	case errors.As(err, &outcomeErr):
+		return outcomeExitCode(outcomeErr.outcome)
+	case errors.As(err, &usageErr):
 		return ExitUsage
-	case rejected(err):
+	case isRejection(err):
 		return ExitRejected
 	}
 	return ExitError
 }
 
-func exitOfOutcome(o pb.Outcome) int {
+func outcomeExitCode(o pb.Outcome) int {
 	switch o {
 	case pb.Outcome_OUTCOME_COMPLETE:
 		return ExitDone
@@ -73,8 +75,8 @@
 	return ExitUnknown
 }
 
-// rejected says whether the other end understood the request and refused it.
-func rejected(err error) bool {
+// isRejection reports whether the server understood the request and rejected it.
+func isRejection(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeInvalidArgument, connect.CodeAlreadyExists, connect.CodeAborted, connect.CodeFailedPrecondition,
 		connect.CodeUnauthenticated, connect.CodePermissionDenied, connect.CodeResourceExhausted, connect.CodeNotFound:
--- a/cli/id.go
+++ b/cli/id.go
@@ -11,14 +11,14 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// The prefixes of the two kinds of id.
+// The prefixes of the two kinds of id, and the base of the run in an issued id.
 const (
 	issuedPrefix = "i/"
 	ownPrefix    = "o/"
-	runBase      = 16
+	runIDBase    = 16
 )
 
-// formatID is the form of an id that parseID reads.
+// formatID formats an id as parseID reads it.
 func formatID(id *pb.SubmissionId) string {
 	if i := id.GetIssued(); i != nil {
 		return fmt.Sprintf("%s%s/%016x/%d", issuedPrefix, i.GetHolder().GetNode(), i.GetHolder().GetRun(), i.GetNumber())
@@ -26,7 +26,7 @@
 	return ownPrefix + id.GetOwnKey()
 }
 
-// parseID reads i/NODE/RUN/NUMBER or o/KEY.
+// parseID parses an id: i/NODE/RUN/NUMBER if issued, o/KEY for the caller's own key.
 func parseID(text string) (*pb.SubmissionId, error) {
 	if key, ok := strings.CutPrefix(text, ownPrefix); ok && key != "" {
 		return client.OwnKey(key), nil
@@ -37,7 +37,7 @@
 	if !ok || len(parts) != 3 || parts[0] == "" {
 		return nil, bad
 	}
-	run, err := strconv.ParseUint(parts[1], runBase, 64)
+	run, err := strconv.ParseUint(parts[1], runIDBase, 64)
 	if err != nil {
 		return nil, bad
 	}
--- a/cli/jobfile.go
+++ b/cli/jobfile.go
@@ -13,13 +13,13 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// stdinName stands for standard input.
+// stdinName is the file name that means standard input.
 const stdinName = "-"
 
-// maxJobFileBytes bounds a job file, in bytes.
+// maxJobFileBytes is the maximum size of a job file.
 const maxJobFileBytes = 128 << 20
 
-// jobFile is a job in YAML or JSON.
+// jobFile is the content of a job file, in YAML or JSON.
 type jobFile struct {
 	Service string    `yaml:"service"`
 	Team    string    `yaml:"team"`
@@ -31,7 +31,7 @@
 	Payload       string `yaml:"payload"`
 	PayloadBase64 string `yaml:"payload_base64"`
 	RunTime       string `yaml:"run_time"`
-	// Count repeats the task; 0 means once.
+	// Count is how many times the task is repeated; 0 means once.
 	Count int `yaml:"count"`
 }
 
@@ -41,7 +41,7 @@
 	if path != stdinName {
 		f, err := os.Open(path)
 		if err != nil {
-			return nil, usage(err)
+			return nil, asUsageError(err)
 		}
 		defer f.Close()
 		in = f
@@ -51,12 +51,13 @@
 		return nil, errors.Wrap(err, "read job")
 	}
 	if len(raw) > maxJobFileBytes {
-		return nil, usage(errors.Errorf("%s: larger than %d bytes", path, maxJobFileBytes))
+		return nil, asUsageError(errors.Errorf("%s: larger than %d bytes", path, maxJobFileBytes))
 	}
 	s, err := parseJob(raw)
-	return s, usage(errors.Wrap(err, path))
+	return s, asUsageError(errors.Wrap(err, path))
 }
 
+// parseJob decodes and checks a job file.
 func parseJob(raw []byte) (*pb.Submission, error) {
 	var f jobFile
 	if err := yaml.UnmarshalWithOptions(raw, &f, yaml.Strict()); err != nil {
@@ -107,7 +108,7 @@
 	return &pb.Task{Payload: payload, RunTimeMs: runTime}, nil
 }
 
-// milliseconds reads a time with its unit; empty means 0.
+// milliseconds parses a duration with its unit; empty means 0.
 func milliseconds(field, text string) (uint32, error) {
 	if text == "" {
 		return 0, nil
--- a/cli/keys.go
+++ b/cli/keys.go
@@ -16,6 +16,7 @@
 	"sapphirepoint.example/sapphirepoint/keys"
 )
 
+// The modes of the files written, and the length of a token before encoding.
 const (
 	certMode   = 0o644
 	secretMode = 0o600
@@ -61,7 +62,7 @@
 		RunE: func(*cobra.Command, []string) error {
 			ca, err := readPair(caCert, caKey)
 			if err != nil {
-				return usage(err)
+				return asUsageError(err)
 			}
 			pair, err := keys.NewProcess(ca, node, addresses...)
 			if err != nil {
@@ -91,7 +92,7 @@
 		RunE: func(*cobra.Command, []string) error {
 			ca, err := readPair(caCert, caKey)
 			if err != nil {
-				return usage(err)
+				return asUsageError(err)
 			}
 			pair, err := keys.NewCaller(ca, name)
 			if err != nil {
@@ -118,23 +119,24 @@
 	return keys.Pair{Cert: c, Key: k}, errors.Wrap(err, "read key")
 }
 
-// writePair writes a new pair. Files that exist stay: overwriting an
-// authority's key would cut off every VM that it signed for.
+// writePair writes a new key and its certificate. It never overwrites a file: overwriting an
+// authority's key would cut off every VM whose certificate it signed.
 func (a *app) writePair(p keys.Pair, cert, key string) error {
-	if err := writeNew(key, p.Key, secretMode); err != nil {
+	if err := writeNewFile(key, p.Key, secretMode); err != nil {
 		return err
 	}
-	if err := writeNew(cert, p.Cert, certMode); err != nil {
+	if err := writeNewFile(cert, p.Cert, certMode); err != nil {
 		return err
 	}
 	fmt.Fprintf(a.Err, "wrote %s and %s\n", cert, key)
 	return nil
 }
 
-func writeNew(path string, data []byte, mode os.FileMode) error {
+// writeNewFile writes a file that must not exist yet.
+func writeNewFile(path string, data []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
-		return usage(err)
+		return asUsageError(err)
 	}
 	if _, err := f.Write(data); err != nil {
 		_ = f.Close()
@@ -157,7 +159,7 @@
 				return errors.Wrap(err, "draw token")
 			}
 			token := base64.RawURLEncoding.EncodeToString(raw)
-			if err := writeNew(file, []byte(token+"\n"), secretMode); err != nil {
+			if err := writeNewFile(file, []byte(token+"\n"), secretMode); err != nil {
 				return err
 			}
 			sum := sha256.Sum256([]byte(token))
--- a/cli/load.go
+++ b/cli/load.go
@@ -15,11 +15,12 @@
 )
 
 const (
+	// defaultConcurrency is the default maximum number of jobs in flight.
 	defaultConcurrency = 64
 	progressInterval   = 2 * time.Second
 )
 
-// loadFlags bound a load.
+// loadFlags are the flags that turn submit into a load and bound it.
 type loadFlags struct {
 	repeat      int
 	rate        float64
@@ -27,24 +28,24 @@
 	concurrency int
 }
 
-func (f *loadFlags) add(cmd *cobra.Command) {
+func (f *loadFlags) register(cmd *cobra.Command) {
 	cmd.Flags().IntVar(&f.repeat, "repeat", 0, "submit the job this many times")
 	cmd.Flags().DurationVar(&f.duration, "duration", 0, "submit the job for this long")
 	cmd.Flags().Float64Var(&f.rate, "rate", 0, "jobs a second, whatever the answers; 0 means as fast as answers come")
 	cmd.Flags().IntVar(&f.concurrency, "concurrency", 0, fmt.Sprintf("jobs at once, at most (%d)", defaultConcurrency))
 }
 
-func (f *loadFlags) wanted() bool {
+func (f *loadFlags) enabled() bool {
 	return f.repeat != 0 || f.duration != 0 || f.rate != 0 || f.concurrency != 0
 }
 
-// check completes the flags; a load always has an end.
-func (f *loadFlags) check() error {
+// validate checks the flags, which must bound the load, and sets defaults.
+func (f *loadFlags) validate() error {
 	if f.repeat < 0 || f.duration < 0 || f.rate < 0 || f.concurrency < 0 {
-		return usage(errors.New("--repeat, --duration, --rate and --concurrency must not be negative"))
+		return asUsageError(errors.New("--repeat, --duration, --rate and --concurrency must not be negative"))
 	}
 	if f.repeat == 0 && f.duration == 0 {
-		return usage(errors.New("a load needs --repeat or --duration"))
+		return asUsageError(errors.New("a load needs --repeat or --duration"))
 	}
 	if f.repeat == 0 {
 		f.repeat = math.MaxInt
@@ -55,27 +56,27 @@
 	return nil
 }
 
-// load submits a job many times and prints a summary.
-func (a *app) load(ctx context.Context, c *client.Client, s *pb.Submission, f *submitFlags) error {
+// runLoad submits a job many times and prints a summary of the answers.
+func (a *app) runLoad(ctx context.Context, c *client.Client, s *pb.Submission, f *submitFlags) error {
 	if f.id != "" {
-		return usage(errors.New("--id is for one job; a load takes ids of its own"))
+		return asUsageError(errors.New("--id is for one job; a load takes ids of its own"))
 	}
-	if err := f.load.check(); err != nil {
+	if err := f.load.validate(); err != nil {
 		return err
 	}
-	scrape, err := a.entriesMetrics(ctx)
+	scrape, err := a.newScraper(ctx)
 	if err != nil {
 		return err
 	}
 	r := newRecorder(s)
-	run := &loadRun{client: c, job: s, flags: f, record: r}
-	stop := a.progress(r)
-	run.start(ctx)
+	load := &loadRun{client: c, job: s, flags: f, recorder: r}
+	stop := a.startProgress(r)
+	load.run(ctx)
 	stop()
 	sum := r.summary()
 	sum.Client = c.Stats()
 	if scrape != nil {
-		if sum.Entries, err = scrape.since(context.WithoutCancel(ctx)); err != nil {
+		if sum.Entries, err = scrape.delta(context.WithoutCancel(ctx)); err != nil {
 			fmt.Fprintln(a.Err, "entries' metrics:", err)
 		}
 	}
@@ -87,39 +88,39 @@
 	if err != nil {
 		return err
 	}
-	return outcome(r.worst())
+	return errorForOutcome(r.worstOutcome())
 }
 
-// loadRun paces the submissions.
+// loadRun submits a job repeatedly, at a rate or as fast as answers arrive.
 type loadRun struct {
-	client *client.Client
-	job    *pb.Submission
-	flags  *submitFlags
-	record *recorder
+	client   *client.Client
+	job      *pb.Submission
+	flags    *submitFlags
+	recorder *recorder
 }
 
-// start submits until the count or the time is used up and waits for the
-// answers. With a rate, a job that is due while all places are taken is sent
-// late; its time counts from when it was due, so that a slow answer isn't
-// hidden by the jobs that it held back.
-func (l *loadRun) start(ctx context.Context) {
-	places := make(chan struct{}, l.flags.load.concurrency)
-	began := time.Now()
+// run submits until the count or the duration is reached and waits for the answers. With a
+// rate, a job that is due while the maximum number is in flight is sent late. Its response time
+// still counts from when it was due: otherwise the delay that slow answers cause to later jobs
+// would not be measured.
+func (l *loadRun) run(ctx context.Context) {
+	permits := make(chan struct{}, l.flags.load.concurrency)
+	startTime := time.Now()
 	var jobs sync.WaitGroup
 	defer jobs.Wait()
 	for i := range l.flags.load.repeat {
 		due := time.Now()
 		if l.flags.load.rate > 0 {
-			due = began.Add(time.Duration(float64(i) / l.flags.load.rate * float64(time.Second)))
+			due = startTime.Add(time.Duration(float64(i) / l.flags.load.rate * float64(time.Second)))
 		}
-		if d := l.flags.load.duration; d > 0 && due.Sub(began) >= d {
+		if d := l.flags.load.duration; d > 0 && due.Sub(startTime) >= d {
 			return
 		}
 		if !waitUntil(ctx, due) {
 			return
 		}
 		select {
-		case places <- struct{}{}:
+		case permits <- struct{}{}:
 		case <-ctx.Done():
 			return
 		}
@@ -129,12 +130,13 @@
 		jobs.Add(1)
 		go func() {
 			defer jobs.Done()
-			defer func() { <-places }()
-			l.one(ctx, i, due)
+			defer func() { <-permits }()
+			l.submitOne(ctx, i, due)
 		}()
 	}
 }
 
+// waitUntil waits for a time; it returns false if the context ends first.
 func waitUntil(ctx context.Context, due time.Time) bool {
 	t := time.NewTimer(time.Until(due))
 	defer t.Stop()
@@ -146,7 +148,8 @@
 	}
 }
 
-func (l *loadRun) one(ctx context.Context, i int, due time.Time) {
+// submitOne submits the job once, under an id of its own, and records the answer.
+func (l *loadRun) submitOne(ctx context.Context, i int, due time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, l.flags.timeout)
 	defer cancel()
 	s := &pb.Submission{Service: l.job.GetService(), Team: l.job.GetTeam(), TimeoutMs: l.job.GetTimeoutMs(), Tasks: l.job.GetTasks()}
@@ -154,11 +157,11 @@
 		s.Id = client.OwnKey(fmt.Sprintf("%s-%d", l.flags.key, i))
 	}
 	answer, err := l.client.Submit(ctx, s)
-	l.record.add(answer, err, time.Since(due))
+	l.recorder.add(answer, err, time.Since(due))
 }
 
-// progress prints a line at intervals until the returned function is called.
-func (a *app) progress(r *recorder) func() {
+// startProgress prints a progress line at intervals until the returned function is called.
+func (a *app) startProgress(r *recorder) func() {
 	done := make(chan struct{})
 	var printer sync.WaitGroup
 	printer.Add(1)
@@ -171,7 +174,7 @@
 			case <-done:
 				return
 			case <-ticker.C:
-				fmt.Fprintln(a.Err, r.line())
+				fmt.Fprintln(a.Err, r.progressLine())
 			}
 		}
 	}()
--- a/cli/names.go
+++ b/cli/names.go
@@ -6,16 +6,17 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// outcomeName is the word on a submission, such as "not run".
+// outcomeName returns an outcome in words, such as "not run".
 func outcomeName(o pb.Outcome) string {
-	return plain(o.String(), "OUTCOME_")
+	return enumWords(o.String(), "OUTCOME_")
 }
 
-// reasonName is the reason in words, such as "holder gone".
+// reasonName returns a reason in words, such as "holder gone".
 func reasonName(r pb.Reason) string {
-	return plain(r.String(), "REASON_")
+	return enumWords(r.String(), "REASON_")
 }
 
-func plain(name, prefix string) string {
+// enumWords converts the name of an enum value to lower-case words.
+func enumWords(name, prefix string) string {
 	return strings.ToLower(strings.ReplaceAll(strings.TrimPrefix(name, prefix), "_", " "))
 }
--- a/cli/scrape.go
+++ b/cli/scrape.go
@@ -13,7 +13,7 @@
 	"github.com/prometheus/common/model"
 )
 
-// The metrics that a load's summary reads.
+// The metrics, and the label, that the summary of a load reads.
 const (
 	startsMetric = "sapphirepoint_task_starts_total"
 	wastedMetric = "sapphirepoint_wasted_messages_total"
@@ -21,58 +21,59 @@
 	causeLabel   = "cause"
 )
 
-// entriesDelta is what the entries counted during a load, by all their
-// callers.
-type entriesDelta struct {
+// entryCounts holds values of the metrics of entry processes, or their increase during a load.
+// They count the tasks of all callers.
+type entryCounts struct {
 	TaskStarts    float64            `json:"task_starts"`
 	Wasted        map[string]float64 `json:"wasted_messages"`
 	WastedPerTask float64            `json:"wasted_messages_per_task"`
-	// OverIdealMean is the mean response over ideal as the entries saw it: over
-	// the slowest task's measured run time.
+	// OverIdealMean is the mean of the entries' own ratio of response time to ideal, where
+	// the ideal is the measured run time of the slowest task.
 	OverIdealMean float64 `json:"response_over_ideal_mean"`
 
 	ratioSum, ratioCount float64
 }
 
-// scraper reads metrics of entries before and after a load.
+// scraper reads the metrics of entry processes before and after a load.
 type scraper struct {
 	operators []*operator
-	before    []entriesDelta
+	before    []entryCounts
 }
 
-// entriesMetrics reads the entries' metrics; nil without --operator.
-func (a *app) entriesMetrics(ctx context.Context) (*scraper, error) {
-	if len(a.ops.operators) == 0 && os.Getenv(envOperator) == "" {
+// newScraper reads the metrics before the load; it returns nil without --operator.
+func (a *app) newScraper(ctx context.Context) (*scraper, error) {
+	if len(a.operatorFlags.operators) == 0 && os.Getenv(envOperator) == "" {
 		return nil, nil
 	}
-	operators, err := a.ops.connectWithoutToken()
+	operators, err := a.operatorFlags.connectWithoutToken()
 	if err != nil {
 		return nil, err
 	}
 	s := &scraper{operators: operators}
-	s.before, err = s.read(ctx)
+	s.before, err = s.readCounts(ctx)
 	return s, err
 }
 
-func (s *scraper) read(ctx context.Context) ([]entriesDelta, error) {
-	list := make([]entriesDelta, len(s.operators))
+// readCounts reads the metrics of each entry process.
+func (s *scraper) readCounts(ctx context.Context) ([]entryCounts, error) {
+	list := make([]entryCounts, len(s.operators))
 	for i, o := range s.operators {
 		families, err := o.metrics(ctx)
 		if err != nil {
 			return nil, errors.Wrap(err, o.url)
 		}
-		list[i] = countsOf(families)
+		list[i] = countsFrom(families)
 	}
 	return list, nil
 }
 
-// since adds up what the entries counted since the first reading.
-func (s *scraper) since(ctx context.Context) (*entriesDelta, error) {
-	after, err := s.read(ctx)
+// delta returns the increase of the metrics since newScraper, summed over the entries.
+func (s *scraper) delta(ctx context.Context) (*entryCounts, error) {
+	after, err := s.readCounts(ctx)
 	if err != nil {
 		return nil, err
 	}
-	d := &entriesDelta{Wasted: make(map[string]float64)}
+	d := &entryCounts{Wasted: make(map[string]float64)}
 	for i := range after {
 		d.TaskStarts += after[i].TaskStarts - s.before[i].TaskStarts
 		d.ratioSum += after[i].ratioSum - s.before[i].ratioSum
@@ -92,8 +93,8 @@
 	return d, nil
 }
 
-func countsOf(families map[string]*dto.MetricFamily) entriesDelta {
-	d := entriesDelta{Wasted: make(map[string]float64)}
+func countsFrom(families map[string]*dto.MetricFamily) entryCounts {
+	d := entryCounts{Wasted: make(map[string]float64)}
 	for _, m := range families[startsMetric].GetMetric() {
 		d.TaskStarts += m.GetCounter().GetValue()
 	}
@@ -129,9 +130,9 @@
 	return families, errors.Wrap(err, "metrics")
 }
 
-func (d *entriesDelta) print(w io.Writer) {
+func (d *entryCounts) print(w io.Writer) {
 	fmt.Fprintf(w, "entries: %.0f task starts, %.4f wasted messages a task, mean response over ideal %.4f\n", d.TaskStarts, d.WastedPerTask, d.OverIdealMean)
-	for _, cause := range byCount(d.Wasted) {
+	for _, cause := range namesByCount(d.Wasted) {
 		if n := d.Wasted[cause]; n > 0 {
 			fmt.Fprintf(w, "  %s: %.0f (%.4f a task)\n", cause, n, n/max(d.TaskStarts, 1))
 		}
--- a/cli/settings.go
+++ b/cli/settings.go
@@ -26,15 +26,15 @@
 		Long:    "Check a settings file without applying it. Each mistake is reported with file, line and field; the exit code is then 2.",
 		Example: "  sapphirepoint settings check settings.yaml",
 		Args:    cobra.ExactArgs(1),
-		RunE: func(_ *cobra.Command, given []string) error {
-			s, err := config.LoadSettings(given[0])
+		RunE: func(_ *cobra.Command, args []string) error {
+			s, err := config.LoadSettings(args[0])
 			if err != nil {
-				return usage(err)
+				return asUsageError(err)
 			}
 			if a.output == jsonOutput {
 				return a.printProto(s)
 			}
-			fmt.Fprintf(a.Out, "%s: %d institutions, no mistakes\n", given[0], len(s.GetInstitutions()))
+			fmt.Fprintf(a.Out, "%s: %d institutions, no mistakes\n", args[0], len(s.GetInstitutions()))
 			return nil
 		},
 	}
@@ -50,17 +50,17 @@
 nothing. After an error that leaves the outcome open, "settings show" tells.`,
 		Example: "  sapphirepoint settings apply settings.yaml --expect-version 41 --operator 10.0.0.7:7200",
 		Args:    cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, given []string) error {
-			s, err := config.LoadSettings(given[0])
+		RunE: func(cmd *cobra.Command, args []string) error {
+			s, err := config.LoadSettings(args[0])
 			if err != nil {
-				return usage(err)
+				return asUsageError(err)
 			}
-			operators, err := a.ops.connect()
+			operators, err := a.operatorFlags.connect()
 			if err != nil {
 				return err
 			}
-			// Tried at one process only: after a lost reply another process
-			// would report the operator's own change as somebody else's.
+			// Only one process is called: if its reply were lost, another process would reject the
+			// operator's own change as a conflict with somebody else's.
 			res, err := call(cmd.Context(), operators[0], operators[0].rpc.ApplySettings, &pb.ApplySettingsRequest{ExpectedVersion: expected, Settings: s})
 			if err != nil {
 				return err
@@ -74,7 +74,7 @@
 	}
 	cmd.Flags().Uint64Var(&expected, "expect-version", 0, "the version that the file replaces; 0 if there is none yet")
 	_ = cmd.MarkFlagRequired("expect-version")
-	a.ops.add(cmd)
+	a.operatorFlags.register(cmd)
 	return cmd
 }
 
@@ -85,11 +85,11 @@
 		Example: "  sapphirepoint settings show --operator 10.0.0.7:7200\n  sapphirepoint settings show -o json --operator 10.0.0.7:7200,10.0.0.8:7200",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			operators, err := a.ops.connect()
+			operators, err := a.operatorFlags.connect()
 			if err != nil {
 				return err
 			}
-			res, err := first(cmd.Context(), operators, getSettings, &pb.GetSettingsRequest{})
+			res, err := callFirstReachable(cmd.Context(), operators, getSettings, &pb.GetSettingsRequest{})
 			if err != nil {
 				return err
 			}
@@ -100,10 +100,11 @@
 			return nil
 		},
 	}
-	a.ops.add(cmd)
+	a.operatorFlags.register(cmd)
 	return cmd
 }
 
+// getSettings selects the method for callFirstReachable.
 func getSettings(o *operator) func(context.Context, *connect.Request[pb.GetSettingsRequest]) (*connect.Response[pb.GetSettingsResponse], error) {
 	return o.rpc.GetSettings
 }
--- a/cli/submit.go
+++ b/cli/submit.go
@@ -51,29 +51,29 @@
     sapphirepoint submit - --key lot-17 --entry 10.0.0.7:7100
   sapphirepoint submit job.yaml --rate 50 --duration 1m --operator 10.0.0.7:7200,10.0.0.8:7200`,
 		Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, given []string) error {
-			s, err := a.readJob(given[0])
+		RunE: func(cmd *cobra.Command, args []string) error {
+			s, err := a.readJob(args[0])
 			if err != nil {
 				return err
 			}
-			c, err := a.callers.client(f.newIDs)
+			c, err := a.callerFlags.newClient(f.newIDs)
 			if err != nil {
 				return err
 			}
 			defer c.Close()
-			if f.load.wanted() {
-				return a.load(cmd.Context(), c, s, &f)
+			if f.load.enabled() {
+				return a.runLoad(cmd.Context(), c, s, &f)
 			}
 			return a.submitOne(cmd.Context(), c, s, &f)
 		},
 	}
-	a.callers.add(cmd)
-	a.ops.add(cmd)
+	a.callerFlags.register(cmd)
+	a.operatorFlags.register(cmd)
 	cmd.Flags().StringVar(&f.key, "key", "", "the caller's own key instead of an issued id; with a load, a prefix of the keys")
 	cmd.Flags().StringVar(&f.id, "id", "", "submit again under this id")
 	cmd.Flags().DurationVar(&f.timeout, "timeout", time.Minute, "how long to go on asking for a final word")
 	cmd.Flags().IntVar(&f.newIDs, "new-ids", 0, "how often to submit again under a new id after \"not run, come back\"")
-	f.load.add(cmd)
+	f.load.register(cmd)
 	return cmd
 }
 
@@ -90,7 +90,7 @@
 	var unsettled *client.UnsettledError
 	if errors.As(err, &unsettled) {
 		fmt.Fprintf(a.Err, "%s; submit again with --id %s\n", err, formatID(unsettled.ID))
-		return outcome(pb.Outcome_OUTCOME_UNKNOWN)
+		return errorForOutcome(pb.Outcome_OUTCOME_UNKNOWN)
 	}
 	if err != nil {
 		return err
@@ -98,40 +98,40 @@
 	return a.printAnswer(answer)
 }
 
-// chooseID sets the id. With new ids allowed it is left to the library, which
-// may then replace it.
+// chooseID sets the id of a submission. If new ids are allowed, it leaves the id to the client
+// library, which can then replace it.
 func chooseID(ctx context.Context, c *client.Client, s *pb.Submission, f *submitFlags) error {
 	var err error
 	switch {
 	case f.key != "" && f.id != "":
-		return usage(errors.New("--key and --id exclude each other"))
+		return asUsageError(errors.New("--key and --id exclude each other"))
 	case f.key != "":
 		s.Id = client.OwnKey(f.key)
 	case f.id != "":
 		s.Id, err = parseID(f.id)
-		return usage(err)
+		return asUsageError(err)
 	case f.newIDs == 0:
 		s.Id, err = c.NewID(ctx)
 	}
 	return err
 }
 
-// printAnswer prints the word on a job and its results.
+// printAnswer prints a job's outcome and results and returns the error for the exit code.
 func (a *app) printAnswer(answer *pb.Answer) error {
 	if a.output == jsonOutput {
 		if err := a.printProto(answer); err != nil {
 			return err
 		}
-		return outcome(answer.GetOutcome())
+		return errorForOutcome(answer.GetOutcome())
 	}
 	fmt.Fprintln(a.Out, describe(answer))
 	for _, r := range answer.GetResults() {
 		fmt.Fprintf(a.Out, "%d\t%s\n", r.GetIndex(), r.GetOutput())
 	}
-	return outcome(answer.GetOutcome())
+	return errorForOutcome(answer.GetOutcome())
 }
 
-// describe is one line on an answer.
+// describe formats an answer without its results as one line.
 func describe(answer *pb.Answer) string {
 	line := outcomeName(answer.GetOutcome()) + " " + formatID(answer.GetId())
 	if answer.GetOutcome() == pb.Outcome_OUTCOME_COMPLETE {
