--- a/cmd/sapphirepoint-entry/main.go
+++ b/cmd/sapphirepoint-entry/main.go
@@ -1,5 +1,5 @@
-// Command sapphirepoint-entry is the process on each entry VM of a deployment
-// that runs on the platform.
+// Command sapphirepoint-entry is the entry process, which runs on each entry VM of a deployment
+// on the platform.
 package main
 
 import (
--- a/cmd/sapphirepointd/main.go
+++ b/cmd/sapphirepointd/main.go
@@ -1,5 +1,5 @@
-// Command sapphirepointd is the entry daemon: it stands between callers and
-// upstreams.
+// Command sapphirepointd is the entry daemon: it accepts jobs from callers and dispatches their
+// tasks to upstreams.
 package main
 
 import (
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs the stand-ins for the platform and for runners.
+// Command standin runs stand-ins for the platform and for runners, for tests.
 package main
 
 import (
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -11,35 +11,36 @@
 )
 
 func init() {
-	// What happens within a second must be told apart.
+	// Events within a second must be distinguishable by their times.
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 }
 
-// New returns a logger that writes to w from the given level up.
+// New returns a logger that writes events of at least the given level to w.
 func New(w io.Writer, level zerolog.Level) zerolog.Logger {
 	out := zerolog.ConsoleWriter{
 		Out:             w,
 		NoColor:         true,
 		TimeFormat:      time.RFC3339Nano,
-		FormatTimestamp: pair("time"),
-		FormatLevel:     pair("level"),
-		FormatMessage:   pair("event"),
+		FormatTimestamp: pairFormatter("time"),
+		FormatLevel:     pairFormatter("level"),
+		FormatMessage:   pairFormatter("event"),
 	}
 	return zerolog.New(out).Level(level).With().Timestamp().Logger()
 }
 
-// LibraryWriter is a writer for what libraries log by themselves: their text becomes a
-// pair of an event of its own, so that all lines can be searched alike.
-func LibraryWriter(log zerolog.Logger) io.Writer { return libraryLog{log} }
+// LibraryWriter returns a writer for the standard log, which libraries write to. Each line
+// becomes a library-log event, so that all lines of the log have the same form.
+func LibraryWriter(log zerolog.Logger) io.Writer { return libraryWriter{log} }
 
-type libraryLog struct{ log zerolog.Logger }
+type libraryWriter struct{ log zerolog.Logger }
 
-func (l libraryLog) Write(line []byte) (int, error) {
+func (l libraryWriter) Write(line []byte) (int, error) {
 	l.log.Warn().Str("text", strings.TrimSpace(string(line))).Msg("library-log")
 	return len(line), nil
 }
 
-func pair(key string) zerolog.Formatter {
+// pairFormatter formats a value as key=value.
+func pairFormatter(key string) zerolog.Formatter {
 	return func(v any) string {
 		return fmt.Sprintf("%s=%v", key, v)
 	}
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -9,8 +9,8 @@
 	"github.com/rs/zerolog"
 )
 
-// An error's text or a caller's key holds a line break. Written as it is, it
-// would forge a second event in the log of whoever searches it by line.
+// An error's text or a caller's key contains a line break. If it were written unquoted, it would
+// look like a second event to a search by line.
 func TestEachEventIsOneLineOfPairs(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var out bytes.Buffer
@@ -23,8 +23,8 @@
 	}
 }
 
-// A library writes to the standard log. Its text comes as one line of pairs too.
-func TestLibrariesLogLinesOfPairs(t *testing.T) {
+// A library writes to the standard log. Its text becomes one line of pairs too.
+func TestLibraryWriterWritesLinesOfPairs(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var out bytes.Buffer
 	n, err := LibraryWriter(New(&out, zerolog.InfoLevel)).Write([]byte("buffer is small\n"))
