--- a/cli/connect.go
+++ b/cli/connect.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return client.New(client.Config{URLs: entries, Token: token, TLS: tlsConfig, NewIDs: newIDs}), nil
+	return client.New(client.Config{URLs: entries, Token: token, TLS: tlsConfig, MaxNewIDs: newIDs}), nil
 }
 
 // operatorFlags are the flags of operators' commands: the listeners and the credentials.
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// A caller asks again under an id whose answer was forgotten long ago. If the
-// number were fresh a second time, its labels would be printed a second time.
-func TestANumberIsFreshOnce(t *testing.T) {
+// A caller resubmits under an id whose answer was removed long ago. If the number were fresh a
+// second time, the tasks would run a second time.
+func TestNumberIsFreshOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const valid = 10 * time.Second
 		is := NewIssuer(valid)
@@ -51,7 +51,7 @@
 				used[n] = used[n] || fresh
 			}
 		}
-		restored := Restore(is.Handed(now), now+valid)
+		restored := Restore(is.ValidBlocks(now), now+valid)
 		for n := range issued {
 			if fresh := restored.State(now, n) == Fresh; fresh && used[n] {
 				t.Fatalf("number %d is fresh after the handover", n)
@@ -69,11 +69,11 @@
 	return id, a
 }
 
-// Answers under own keys fill the limit when others under issued ids follow.
-// The newest answer must be there when its caller asks again a moment later.
-func TestAnswersForgetTheOldestFirst(t *testing.T) {
+// Answers under own keys fill the limit before answers under issued ids follow. The newest
+// answer must be there when its caller asks again a moment later.
+func TestAnswersEvictTheOldestFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
-	a := NewAnswers(20 * keptOverhead)
+	a := NewAnswers(20 * answerOverhead)
 	for i := range 30 {
 		a.Put(task.ID{Institution: "hollowell", OwnKey: fmt.Sprint(i)}, &pb.Answer{}, time.Hour)
 	}
@@ -81,14 +81,14 @@
 		id, answer := answerOf(i, 4)
 		a.Put(id, answer, time.Minute)
 		g.Expect(a.Get(id)).To(gomega.BeIdenticalTo(answer))
-		g.Expect(a.Bytes()).To(gomega.BeNumerically("<=", 20*keptOverhead))
+		g.Expect(a.Bytes()).To(gomega.BeNumerically("<=", 20*answerOverhead))
 	}
 	a.Expire(time.Hour)
 	g.Expect(a.Len()).To(gomega.BeZero())
 	g.Expect(a.Bytes()).To(gomega.BeZero())
 }
 
-// BenchmarkAnswers measures the memory of kept answers of short results.
+// BenchmarkAnswers measures the memory of retained answers with short results.
 func BenchmarkAnswers(b *testing.B) {
 	for _, results := range []int{0, 4, 20, 100} {
 		b.Run(fmt.Sprintf("results=%d", results), func(b *testing.B) { benchmarkAnswers(b, results) })
@@ -114,8 +114,7 @@
 	}
 }
 
-// BenchmarkIssuer measures the memory of issued ids, by the size of the blocks
-// in which they are handed out.
+// BenchmarkIssuer measures the memory of issued ids by the size of their blocks.
 func BenchmarkIssuer(b *testing.B) {
 	for _, block := range []uint32{1, 16, 256} {
 		b.Run(fmt.Sprintf("block=%d", block), func(b *testing.B) { benchmarkIssuer(b, block) })
--- a/core/dispatch/place.go
+++ b/core/dispatch/place.go
@@ -38,7 +38,7 @@
 // place starts waiting tasks on idle slots, and borrows slots for tasks that would
 // wait too long.
 func (c *Core) place() {
-	c.pool.Open(c.now)
+	c.pool.EndCooldowns(c.now)
 	for _, inst := range c.settings.Current().GetInstitutions() {
 		c.placeFor(inst)
 	}
@@ -71,8 +71,8 @@
 		c.pool.Release(s.slot)
 		return
 	}
-	c.pool.ReleaseAt(s.slot, c.now+s.slotCooldown)
-	c.after(s.slotCooldown, func() { c.pool.Open(c.now) })
+	c.pool.ReleaseWithCooldown(s.slot, c.now+s.slotCooldown)
+	c.after(s.slotCooldown, func() { c.pool.EndCooldowns(c.now) })
 }
 
 func taskName(id task.ID, index int) string {
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -19,7 +19,7 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-const label = "label"
+const service = "label"
 
 // upstreams lists two racks of eight in one failure domain.
 func upstreams() []task.Upstream {
@@ -37,10 +37,10 @@
 	return list
 }
 
-// seasoned returns a tracker all of whose upstreams have been doing well.
-func seasoned() *health.Tracker { return seasonedWith(health.DefaultConfig()) }
+// healthyTracker returns a tracker on all of whose upstreams tasks have succeeded.
+func healthyTracker() *health.Tracker { return healthyTrackerWith(health.DefaultConfig()) }
 
-func seasonedWith(cfg health.Config) *health.Tracker {
+func healthyTrackerWith(cfg health.Config) *health.Tracker {
 	t := health.New(cfg, rand.New(rand.NewPCG(1, 2)))
 	t.SetMembers(upstreams())
 	for range 10 {
@@ -53,7 +53,7 @@
 }
 
 func observe(t *health.Tracker, now task.Time, name string, o health.Outcome, slowness float64) {
-	t.Observe(now, health.Result{Upstream: name, Service: label, Outcome: o, Sent: now, Slowness: slowness})
+	t.Observe(now, health.Result{Upstream: name, Service: service, Outcome: o, Sent: now, Slowness: slowness})
 }
 
 func fail(t *health.Tracker, now task.Time, names ...string) {
@@ -68,15 +68,14 @@
 	}
 }
 
-// breakRack makes two upstreams of the first rack fail while the second rack
-// does well.
-func breakRack(t *health.Tracker) {
+// failRack makes two upstreams of the first rack fail while tasks succeed on the second rack.
+func failRack(t *health.Tracker) {
 	fail(t, time.Second, "u00")
 	succeed(t, time.Second, "u08", "u09", "u10")
 	fail(t, time.Second, "u00", "u01")
 }
 
-func closed(t *health.Tracker) int {
+func closedCount(t *health.Tracker) int {
 	n := 0
 	for _, u := range upstreams() {
 		if t.Weight(u.Name) == 0 {
@@ -86,29 +85,27 @@
 	return n
 }
 
-// A runner's disk fills up and every label it is given fails within a
-// millisecond. It looks idle and fast, so it would be given work as quickly as
-// it spoils it, and kitchens would see one job after another fail.
+// A runner's disk is full, and every task fails there within a millisecond. The runner looks
+// idle and fast, so without ejection it would get most of the tasks and fail job after job.
 func TestUpstreamThatFailsEverythingIsClosedAfterTwoTasks(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
+	h := healthyTracker()
 	fail(h, time.Second, "u03")
 	g.Expect(h.Weight("u03")).To(gomega.Equal(1.0))
 	fail(h, time.Second, "u03")
 	g.Expect(h.Weight("u03")).To(gomega.BeZero())
-	g.Expect(h.Ejected()).To(gomega.BeEmpty(), "nobody has done better yet")
+	g.Expect(h.Ejected()).To(gomega.BeEmpty(), "no other upstream has succeeded since")
 	succeed(h, time.Second+time.Millisecond, "u00", "u08", "u09")
 	h.Tick(time.Second + 60*time.Millisecond)
 	g.Expect(h.Ejected()).To(gomega.Equal([]string{"u03"}))
-	g.Expect(closed(h)).To(gomega.Equal(1))
+	g.Expect(closedCount(h)).To(gomega.Equal(1))
 }
 
-// One kitchen sends recipe sheets that can't be composed. They fail wherever
-// they run; closing the upstreams for it would take the service from the
-// other kitchens.
+// One caller sends payloads that fail on every upstream. Ejecting upstreams for them would take
+// the service from the other callers.
 func TestBadPayloadsCloseNoUpstream(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
+	h := healthyTracker()
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 4000 {
 		name := upstreams()[rng.IntN(16)].Name
@@ -121,11 +118,11 @@
 	g.Expect(h.Stats().Ejections).To(gomega.BeZero())
 }
 
-// A new release of the service fails every task on every upstream. No upstream
-// is to blame, and with half of them closed the rest would only be asked more.
+// A new release of a service fails every task on every upstream. The upstreams are not the
+// cause, and ejecting half of them would only increase the load on the rest.
 func TestServiceThatFailsEverywhereClosesNoUpstream(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
+	h := healthyTracker()
 	rng := rand.New(rand.NewPCG(5, 6))
 	for i := range 2000 {
 		now := time.Second + time.Duration(i)*time.Millisecond
@@ -137,60 +134,60 @@
 	g.Expect(h.Stats().Ejections).To(gomega.BeZero())
 }
 
-// A rack loses the share that all its runners read their recipes from. Learnt
-// upstream by upstream, that costs jobs sixteen times; as a rack, three.
+// All runners of a rack fail because of a storage volume that they share. Ejecting the eight
+// upstreams one by one would cost 16 failed tasks; ejecting the rack costs three.
 func TestRackThatFailsEverythingIsClosedAsOne(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
-	breakRack(h)
-	g.Expect(closed(h)).To(gomega.Equal(8))
+	h := healthyTracker()
+	failRack(h)
+	g.Expect(closedCount(h)).To(gomega.Equal(8))
 	g.Expect(h.Weight("u07")).To(gomega.BeZero())
 	g.Expect(h.Weight("u08")).To(gomega.Equal(1.0))
 }
 
-// A whole rack stays broken for long. Each trial costs a caller's job, so
-// there must be one a wait for the rack, and the waits must grow.
-func TestBrokenRackIsTriedOnceAWait(t *testing.T) {
+// A whole rack stays broken. Each probe may cost a caller's job, so the rack is probed by one
+// task at a time, at growing intervals.
+func TestBrokenRackIsProbedOncePerInterval(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
-	breakRack(h)
-	tried := 0
+	h := healthyTracker()
+	failRack(h)
+	probes := 0
 	for now := time.Second; now < 61*time.Second; now += 10 * time.Millisecond {
 		h.Tick(now)
 		for i := range 8 {
 			if name := fmt.Sprintf("u%02d", i); h.Weight(name) > 0 {
-				tried++
+				probes++
 				fail(h, now, name)
 			}
 		}
 	}
-	g.Expect(tried).To(gomega.BeNumerically("<=", 12))
-	g.Expect(tried).To(gomega.BeNumerically(">=", 3))
+	g.Expect(probes).To(gomega.BeNumerically("<=", 12))
+	g.Expect(probes).To(gomega.BeNumerically(">=", 3))
 }
 
-// Long tasks were running on the runner when its disk filled up, and they end
-// well while every new one fails. They must not pass for a sign of health.
-func TestTasksBegunBeforeTheFaultProveNothing(t *testing.T) {
+// Long tasks that were running when a runner's disk filled up succeed, while every new task
+// fails. Their success must not count as evidence that the runner is healthy.
+func TestSuccessOfTaskSentBeforeTheFaultIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
+	h := healthyTracker()
 	succeed(h, 2*time.Second, "u00", "u08", "u09")
 	for i := range 2 {
 		now := 2*time.Second + time.Duration(i)*time.Millisecond
 		fail(h, now, "u03")
 		succeed(h, now, "u00", "u08", "u09")
 		for range 5 {
-			h.Observe(now, health.Result{Upstream: "u03", Service: label, Outcome: health.Succeeded, Sent: time.Second})
+			h.Observe(now, health.Result{Upstream: "u03", Service: service, Outcome: health.Succeeded, Sent: time.Second})
 		}
 	}
 	h.Tick(3 * time.Second)
 	g.Expect(h.Ejected()).To(gomega.Equal([]string{"u03"}))
 }
 
-// The runner's disk was cleaned. It must come back, but not with all slots at
-// once, since nobody knows yet whether it is cured.
-func TestCuredUpstreamComesBackStepByStep(t *testing.T) {
+// A broken runner has been repaired. It must get work again, but not on all slots at once,
+// since it may still be broken.
+func TestRecoveredUpstreamReturnsInSteps(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
+	h := healthyTracker()
 	fail(h, time.Second, "u03")
 	succeed(h, time.Second, "u00", "u08", "u09")
 	fail(h, time.Second, "u03")
@@ -204,69 +201,68 @@
 	g.Expect(weights).To(gomega.Equal([]float64{0.125, 0.25, 0.5, 1}))
 }
 
-// A runner's process is gone and connections are refused: nothing is lost by
-// trying, but each try is a wasted message. It is tried at growing intervals
-// and at once in full use when it answers.
-func TestUnreachableUpstreamIsLeftAloneForGrowingWaits(t *testing.T) {
+// A runner's process is gone and connections to it are refused. An attempt loses no task but
+// wastes a message, so attempts are made at growing intervals. The first success restores the
+// full weight.
+func TestUnreachableUpstreamIsRetriedAtGrowingIntervals(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
-	tries := 0
+	h := healthyTracker()
+	attempts := 0
 	for now := task.Time(0); now < 30*time.Second; now += time.Millisecond {
 		h.Tick(now)
 		if h.Weight("u05") > 0 {
-			tries++
+			attempts++
 			observe(h, now, "u05", health.Unreachable, 0)
 		}
 	}
-	g.Expect(tries).To(gomega.BeNumerically("<=", 25))
+	g.Expect(attempts).To(gomega.BeNumerically("<=", 25))
 	h.Tick(40 * time.Second)
 	observe(h, 40*time.Second, "u05", health.Succeeded, 1)
 	g.Expect(h.Weight("u05")).To(gomega.Equal(1.0))
 }
 
-// A worker is overfilled, because the declared sizes are far off, and its tasks
-// take three times as long as elsewhere. Fewer at once must go there.
-func TestSlowUpstreamGetsLess(t *testing.T) {
+// A worker is overcommitted because the declared task sizes are wrong, and its tasks take
+// three times as long as elsewhere. Fewer tasks at once must go there.
+func TestSlowUpstreamGetsFewerSlots(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := seasoned()
+	h := healthyTracker()
 	rng := rand.New(rand.NewPCG(7, 8))
 	for range 200 {
-		spread := 0.3 + 1.4*rng.Float64()
-		observe(h, time.Second, "u02", health.Succeeded, 3*spread)
-		observe(h, time.Second, "u09", health.Succeeded, spread)
+		variation := 0.3 + 1.4*rng.Float64()
+		observe(h, time.Second, "u02", health.Succeeded, 3*variation)
+		observe(h, time.Second, "u09", health.Succeeded, variation)
 	}
 	g.Expect(h.Weight("u02")).To(gomega.BeNumerically("<=", 0.5))
 	g.Expect(h.Weight("u02")).To(gomega.BeNumerically(">=", 0.25))
 	g.Expect(h.Weight("u09")).To(gomega.Equal(1.0))
 }
 
-// Seven entry VMs each find that a runner fails everything. If each tried it
-// again by itself, the runner would cost seven jobs where one is enough.
-func TestOneProcessTriesForAll(t *testing.T) {
+// Seven entry processes eject the same runner. If each of them probed it, this would cost
+// seven jobs where one is enough.
+func TestOneProcessProbesForAll(t *testing.T) {
 	g := gomega.NewWithT(t)
 	cfg := health.DefaultConfig()
 	cfg.Self = "entry-2"
-	h := seasonedWith(cfg)
-	h.Reported("entry-1", []string{"u03"})
+	h := healthyTrackerWith(cfg)
+	h.SetPeerReport("entry-1", []string{"u03"})
 	fail(h, time.Second, "u03")
 	succeed(h, time.Second, "u00", "u08", "u09")
 	h.Tick(2 * time.Second)
-	g.Expect(h.Ejected()).To(gomega.Equal([]string{"u03"}), "one failure is enough")
+	g.Expect(h.Ejected()).To(gomega.Equal([]string{"u03"}), "one failure is enough after a peer's report")
 	for now := 2 * time.Second; now < 30*time.Second; now += 100 * time.Millisecond {
 		h.Tick(now)
 		g.Expect(h.Weight("u03")).To(gomega.BeZero())
 	}
-	h.Reported("entry-1", nil)
+	h.SetPeerReport("entry-1", nil)
 	h.Tick(31 * time.Second)
 	g.Expect(h.Weight("u03")).To(gomega.Equal(health.MinWeight))
 }
 
-// Whatever the upstreams do, at most half of a failure domain's upstreams are
-// closed for failures, each closed one is due for a trial, and weights stay
-// between 0 and 1.
+// Whatever the outcomes, at most half of a failure domain's upstreams are ejected, each closed
+// upstream has a time of its next attempt that isn't past, and weights are between 0 and 1.
 func TestCeilingOnEjections(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		h := seasoned()
+		h := healthyTracker()
 		now := task.Time(0)
 		steps := rapid.IntRange(50, 400).Draw(rt, "steps")
 		broken := rapid.Uint16().Draw(rt, "broken")
@@ -292,7 +288,7 @@
 }
 
 func BenchmarkObserveSuccess(b *testing.B) {
-	h := seasoned()
+	h := healthyTracker()
 	b.ReportAllocs()
 	for b.Loop() {
 		observe(h, time.Second, "u03", health.Succeeded, 1)
--- a/core/slots/counts.go
+++ b/core/slots/counts.go
@@ -1,16 +1,16 @@
 package slots
 
-// Counts is the number of slots by their use, over all institutions: own ones,
-// and apart from them those borrowed.
+// Counts is the number of slots over all institutions: owned ones by state, and borrowed ones in any
+// state.
 type Counts struct {
-	Busy     int `json:"busy"`
-	Idle     int `json:"idle"`
-	Resting  int `json:"resting"`
-	Lent     int `json:"lent"`
-	Borrowed int `json:"borrowed"`
+	Busy        int `json:"busy"`
+	Idle        int `json:"idle"`
+	CoolingDown int `json:"resting"`
+	Lent        int `json:"lent"`
+	Borrowed    int `json:"borrowed"`
 }
 
-// Counts goes through all slots, for dumps and metrics.
+// Counts counts the slots by iterating over all of them, for dumps and metrics.
 func (p *Pool) Counts() Counts {
 	var c Counts
 	for _, u := range p.upstreams {
@@ -21,21 +21,21 @@
 	return c
 }
 
-func (c *Counts) add(r *record) {
+func (c *Counts) add(r *slotRecord) {
 	switch r.right {
-	case none:
+	case rightNone:
 		return
-	case loaned:
+	case rightBorrowed:
 		c.Borrowed++
 		return
 	}
-	switch r.use {
+	switch r.state {
 	case busy:
 		c.Busy++
 	case idle:
 		c.Idle++
-	case closed:
-		c.Resting++
+	case coolingDown:
+		c.CoolingDown++
 	case lent:
 		c.Lent++
 	}
--- a/core/slots/property_test.go
+++ b/core/slots/property_test.go
@@ -10,30 +10,30 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// given is a loan on its way or in use.
-type given struct {
+// loanRecord is a loan that is in flight or in use.
+type loanRecord struct {
 	from, to string
 	loan     uint64
 	slots    []task.Slot
 }
 
-// letter is a message between two nodes: a grant or returns.
-type letter struct {
-	given
+// message is a message between two nodes: a loan, or returns if there are any.
+type message struct {
+	loanRecord
 	returns []Return
 }
 
-// world is three nodes, what runs on their slots, and the messages between
-// them. It keeps by itself which loans each owner has given.
+// world simulates three nodes, the tasks that run on their slots, and the messages between them. It
+// records separately which loans each owner has made.
 type world struct {
-	t       *rapid.T
-	pools   map[string]*Pool
-	running map[string][]task.Slot
-	loans   []given
-	mail    []letter
-	now     task.Time
-	last    uint64
-	list    task.Members
+	t        *rapid.T
+	pools    map[string]*Pool
+	running  map[string][]task.Slot
+	loans    []loanRecord
+	inFlight []message
+	now      task.Time
+	lastLoan uint64
+	list     task.Members
 }
 
 var nodeNames = []string{"a", "b", "c"}
@@ -54,16 +54,16 @@
 	w.pools[node] = NewPool(node, domain)
 	w.pools[node].SetMembers(w.list)
 	w.running[node] = nil
-	w.loans = slices.DeleteFunc(w.loans, func(l given) bool { return l.from == node })
-	w.mail = slices.DeleteFunc(w.mail, func(l letter) bool { return l.from == node || l.to == node })
+	w.loans = slices.DeleteFunc(w.loans, func(l loanRecord) bool { return l.from == node })
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(l message) bool { return l.from == node || l.to == node })
 	for _, p := range w.pools {
-		p.LenderGone(run(node))
+		p.LenderUnreachable(run(node))
 	}
 }
 
 func (w *world) node() string { return rapid.SampledFrom(nodeNames).Draw(w.t, "node") }
 
-// pick draws the position of an element.
+// pick draws an index into n elements.
 func (w *world) pick(n int) int {
 	if n == 0 {
 		w.t.Skip("nothing to pick")
@@ -97,7 +97,7 @@
 	if rapid.Bool().Draw(w.t, "later") {
 		until = w.now + task.Time(rapid.IntRange(1, 5).Draw(w.t, "rest"))
 	}
-	w.pools[n].ReleaseAt(s, until)
+	w.pools[n].ReleaseWithCooldown(s, until)
 }
 
 func (w *world) lend(*rapid.T) {
@@ -105,16 +105,16 @@
 	if from == to {
 		w.t.Skip("no loan to oneself")
 	}
-	w.last++
-	l := given{from, to, w.last, w.pools[from].Lend(hollowell, rapid.IntRange(1, 4).Draw(w.t, "count"), run(to), w.last)}
+	w.lastLoan++
+	l := loanRecord{from, to, w.lastLoan, w.pools[from].Lend(hollowell, rapid.IntRange(1, 4).Draw(w.t, "count"), run(to), w.lastLoan)}
 	for _, s := range l.slots {
-		w.mustBeFree(from, s)
+		w.checkNotInUse(from, s)
 	}
 	w.loans = append(w.loans, l)
-	w.mail = append(w.mail, letter{given: l})
+	w.inFlight = append(w.inFlight, message{loanRecord: l})
 }
 
-func (w *world) mustBeFree(owner string, s task.Slot) {
+func (w *world) checkNotInUse(owner string, s task.Slot) {
 	for _, l := range w.loans {
 		if l.from == owner && slices.Contains(l.slots, s) {
 			w.t.Fatalf("%s lent %v twice", owner, s)
@@ -127,19 +127,19 @@
 
 func (w *world) sendReturns(*rapid.T) {
 	from, to := w.node(), w.node()
-	w.pools[from].GiveBackIdle(run(to), rapid.IntRange(0, 3).Draw(w.t, "count"))
+	w.pools[from].ReturnIdle(run(to), rapid.IntRange(0, 3).Draw(w.t, "count"))
 	if list := w.pools[from].Returns(run(to)); len(list) > 0 {
-		w.mail = append(w.mail, letter{given{from: from, to: to}, list})
+		w.inFlight = append(w.inFlight, message{loanRecord{from: from, to: to}, list})
 	}
 }
 
 func (w *world) deliver(*rapid.T) {
-	w.deliverAt(w.pick(len(w.mail)))
+	w.deliverAt(w.pick(len(w.inFlight)))
 }
 
 func (w *world) deliverAt(i int) {
-	m := w.mail[i]
-	w.mail = slices.Delete(w.mail, i, i+1)
+	m := w.inFlight[i]
+	w.inFlight = slices.Delete(w.inFlight, i, i+1)
 	if m.returns == nil {
 		w.pools[m.to].Borrow(run(m.from), m.loan, m.slots)
 		return
@@ -160,7 +160,7 @@
 	}
 }
 
-// expire ends a loan on the lender's clock, whatever the borrower does.
+// expire ends a loan by the lender's clock, whatever the borrower does.
 func (w *world) expire(*rapid.T) {
 	l := w.loans[w.pick(len(w.loans))]
 	for _, s := range slices.Clone(l.slots) {
@@ -173,19 +173,19 @@
 	w.pools[l.to].EndLoan(run(l.from), l.loan)
 }
 
-func (w *world) cut(*rapid.T) {
-	w.pools[w.node()].LenderGone(run(w.node()))
+func (w *world) disconnect(*rapid.T) {
+	w.pools[w.node()].LenderUnreachable(run(w.node()))
 }
 
-func (w *world) die(*rapid.T) { w.restart(w.node()) }
+func (w *world) restartNode(*rapid.T) { w.restart(w.node()) }
 
-func (w *world) weight(*rapid.T) {
+func (w *world) setWeight(*rapid.T) {
 	u := w.list.Upstreams[w.pick(len(w.list.Upstreams))].Name
 	w.pools[w.node()].SetWeight(u, rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(w.t, "weight"))
 }
 
-// change brings one node a new list; the others lag.
-func (w *world) change(*rapid.T) {
+// changeMembers gives one node a new member list; the others keep theirs.
+func (w *world) changeMembers(*rapid.T) {
 	m := members()
 	m.Upstreams[w.pick(len(m.Upstreams))].Leaving = rapid.Bool().Draw(w.t, "leaving")
 	m.Nodes[w.pick(len(m.Nodes))].Leaving = rapid.Bool().Draw(w.t, "stopping")
@@ -200,47 +200,46 @@
 		}
 		w.loans[i].slots = slices.DeleteFunc(slices.Clone(l.slots), func(s task.Slot) bool {
 			r := w.pools[n].find(s)
-			return r == nil || r.use != lent
+			return r == nil || r.state != lent
 		})
 	}
 }
 
-func (w *world) time(*rapid.T) {
+func (w *world) advance(*rapid.T) {
 	w.now++
 	for _, n := range nodeNames {
-		w.pools[n].Open(w.now)
+		w.pools[n].EndCooldowns(w.now)
 	}
 }
 
-// check compares each account with a count of its records.
-func (w *world) check(*rapid.T) {
+// checkCounts compares the counts of each pool with its slot records.
+func (w *world) checkCounts(*rapid.T) {
 	for _, n := range nodeNames {
 		p := w.pools[n]
 		owned, usable, held := 0, 0, 0
 		for _, name := range slices.Sorted(maps.Keys(p.upstreams)) {
 			u := p.upstreams[name]
 			for _, r := range u.slots {
-				if r.right == own {
+				if r.right == rightOwned {
 					owned++
 				}
-				if r.right == loaned || r.right == own && r.use != lent {
+				if r.right == rightBorrowed || r.right == rightOwned && r.state != lent {
 					held++
 				}
 			}
-			usable += u.own.usable + u.loaned.usable
+			usable += u.owned.usable + u.borrowed.usable
 		}
 		if owned != p.owned || usable != p.Idle(hollowell) || held != p.Held(hollowell) {
-			w.t.Fatalf("%s: owned %d, usable %d, held %d; accounts say %d, %d, %d", n, owned, usable, held, p.owned, p.Idle(hollowell), p.Held(hollowell))
+			w.t.Fatalf("%s: records have owned %d, usable %d, held %d; the pool counts %d, %d, %d", n, owned, usable, held, p.owned, p.Idle(hollowell), p.Held(hollowell))
 		}
 		if lent := p.Counts().Lent; lent != p.Lent(hollowell) {
-			w.t.Fatalf("%s: %d slots are lent, the account says %d", n, lent, p.Lent(hollowell))
+			w.t.Fatalf("%s: %d slots are lent, the pool counts %d", n, lent, p.Lent(hollowell))
 		}
 	}
 }
 
-// settle lets all tasks and loans end, after which each owner must have all
-// its slots again.
-func (w *world) settle() {
+// endAll ends all tasks and loans, after which each owner must have all its slots idle.
+func (w *world) endAll() {
 	for _, n := range nodeNames {
 		w.setMembers(n, members())
 		for _, s := range w.running[n] {
@@ -251,8 +250,8 @@
 		}
 	}
 	w.now += 100
-	w.time(w.t)
-	for len(w.mail) > 0 {
+	w.advance(w.t)
+	for len(w.inFlight) > 0 {
 		w.deliverAt(0)
 	}
 	for _, l := range w.loans {
@@ -273,16 +272,16 @@
 	}
 }
 
-// Over any order of starts, loans, returns, deaths, cuts, expiries and lagging
-// lists, no owner gives a slot to two at a time and none is lost.
-func TestSlotsAreNeitherLostNorGivenTwice(t *testing.T) {
+// In any order of starts, loans, returns, restarts, disconnections, expiries and delayed lists, no
+// owner lets a slot be used twice at once, and no slot is lost.
+func TestSlotsAreNeitherLostNorUsedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"acquire": w.acquire, "release": w.release, "lend": w.lend, "returns": w.sendReturns,
-			"deliver": w.deliver, "expire": w.expire, "end loan": w.endLoan, "cut": w.cut, "die": w.die,
-			"weight": w.weight, "change": w.change, "time": w.time, "": w.check,
+			"deliver": w.deliver, "expire": w.expire, "end loan": w.endLoan, "cut": w.disconnect, "die": w.restartNode,
+			"weight": w.setWeight, "change": w.changeMembers, "time": w.advance, "": w.checkCounts,
 		})
-		w.settle()
+		w.endAll()
 	})
 }
--- a/node/mesh.go
+++ b/node/mesh.go
@@ -17,44 +17,45 @@
 )
 
 const (
-	// peerKeepAlive and peerIdleTimeout bound how long a silent peer
-	// connection goes unnoticed.
-	peerKeepAlive   = time.Second
-	peerIdleTimeout = 2 * time.Second
-	peerHandshake   = 2 * time.Second
-	redialInterval  = 300 * time.Millisecond
-	// reverseDialAfter is how long the node that is usually dialed waits
-	// before it dials itself.
-	reverseDialAfter = time.Second
-	// peerQueue bounds the messages that wait to be written to one peer.
-	peerQueue = 4096
-	// Codes with which connections are closed.
+	// peerKeepAlive and peerIdleTimeout bound how long a dead connection with a peer
+	// goes undetected.
+	peerKeepAlive    = time.Second
+	peerIdleTimeout  = 2 * time.Second
+	handshakeTimeout = 2 * time.Second
+	redialInterval   = 300 * time.Millisecond
+	// reverseDialDelay is how long a node waits for the preferred dialer before it
+	// dials itself.
+	reverseDialDelay = time.Second
+	// peerQueueLength bounds the messages queued for one peer.
+	peerQueueLength = 4096
+	// Application error codes of closed connections.
 	closeNormal   quic.ApplicationErrorCode = 0
 	closeReplaced quic.ApplicationErrorCode = 1
 	closeProtocol quic.ApplicationErrorCode = 2
 )
 
-// mesh keeps one connection with each listed entry process. Of a pair, the
-// one whose name sorts first dials. The other one dials after a while without
-// a connection: a process that starts while the platform is down has no list,
-// so it can't dial, and would never be found by those whose names sort after
-// its own.
+// mesh maintains one connection with each listed entry process. Of two nodes, the one
+// whose name sorts first is the preferred dialer. The other one dials after
+// reverseDialDelay without a connection: a process that starts while the platform is
+// down has no list of members and can't dial, and nodes that wait for it to dial would
+// never connect with it.
 type mesh struct {
 	node      *Node
 	transport *quic.Transport
 	listener  *quic.Listener
 	quicCfg   *quic.Config
 
-	// order is held while a link is added or removed and its events are
-	// posted, so that the core sees them in the order in which they happened.
-	// The loop never takes it.
-	order sync.Mutex
-
-	mu    sync.Mutex
-	nodes map[string]task.Node
-	links map[task.Incarnation]*link
-	// lostAt is when the connection with a listed node was last lost.
-	lostAt map[string]time.Time
+	// orderMu is held while a link is added or removed and its events are posted, so
+	// that the core receives the events in the order in which they happened. The
+	// core's loop never locks it.
+	orderMu sync.Mutex
+
+	mu      sync.Mutex
+	members map[string]task.Node
+	links   map[task.Incarnation]*link
+	// disconnectedAt is when the connection with a listed node was last lost, or when
+	// the node was first listed.
+	disconnectedAt map[string]time.Time
 }
 
 func newMesh(n *Node) (*mesh, error) {
@@ -72,19 +73,19 @@
 		quicCfg: &quic.Config{
 			KeepAlivePeriod:      peerKeepAlive,
 			MaxIdleTimeout:       peerIdleTimeout,
-			HandshakeIdleTimeout: peerHandshake,
+			HandshakeIdleTimeout: handshakeTimeout,
 		},
-		nodes:  make(map[string]task.Node),
-		links:  make(map[task.Incarnation]*link),
-		lostAt: make(map[string]time.Time),
+		members:        make(map[string]task.Node),
+		links:          make(map[task.Incarnation]*link),
+		disconnectedAt: make(map[string]time.Time),
 	}
 	m.listener, err = m.transport.Listen(n.cfg.PeerTLS, m.quicCfg)
 	return m, errors.Wrap(err, "listen for peers")
 }
 
-// resetKey is the same for each run of a process with the same certificate, so
-// that a process started again resets the connections of its predecessor at
-// once and its peers needn't wait out the idle timeout.
+// resetKey is derived from the private key, so that it is the same after a restart: the
+// new process can reset the connections of its predecessor at once, and its peers don't
+// have to wait for the idle timeout.
 func resetKey(cfg *tls.Config) *quic.StatelessResetKey {
 	key := quic.StatelessResetKey{}
 	if raw, err := x509.MarshalPKCS8PrivateKey(cfg.Certificates[0].PrivateKey); err == nil {
@@ -98,16 +99,16 @@
 func (m *mesh) setMembers(list task.Members) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	clear(m.nodes)
+	clear(m.members)
 	for _, n := range list.Nodes {
-		m.nodes[n.Name] = n
-		if m.lostAt[n.Name].IsZero() {
-			m.lostAt[n.Name] = time.Now()
+		m.members[n.Name] = n
+		if m.disconnectedAt[n.Name].IsZero() {
+			m.disconnectedAt[n.Name] = time.Now()
 		}
 	}
-	for name := range m.lostAt {
-		if _, listed := m.nodes[name]; !listed {
-			delete(m.lostAt, name)
+	for name := range m.disconnectedAt {
+		if _, listed := m.members[name]; !listed {
+			delete(m.disconnectedAt, name)
 		}
 	}
 }
@@ -118,9 +119,9 @@
 	ticker := time.NewTicker(redialInterval)
 	defer ticker.Stop()
 	dialing := make(map[string]bool)
-	done := make(chan string)
+	dialed := make(chan string)
 	for {
-		for _, n := range m.missing() {
+		for _, n := range m.missingPeers() {
 			if dialing[n.Name] {
 				continue
 			}
@@ -128,7 +129,7 @@
 			go func() {
 				m.dial(ctx, n)
 				select {
-				case done <- n.Name:
+				case dialed <- n.Name:
 				case <-ctx.Done():
 				}
 			}()
@@ -137,7 +138,7 @@
 		case <-ctx.Done():
 			m.close()
 			return nil
-		case name := <-done:
+		case name := <-dialed:
 			delete(dialing, name)
 		case <-ticker.C:
 		}
@@ -157,8 +158,8 @@
 	_ = m.transport.Conn.Close()
 }
 
-// missing lists the nodes that this one should dial and isn't connected with.
-func (m *mesh) missing() []task.Node {
+// missingPeers lists the nodes that this node should dial and is not connected with.
+func (m *mesh) missingPeers() []task.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	connected := make(map[string]bool)
@@ -166,18 +167,18 @@
 		connected[inc.Node] = true
 	}
 	var list []task.Node
-	for _, n := range m.nodes {
+	for _, n := range m.members {
 		if n.Name == m.node.cfg.Name || connected[n.Name] {
 			continue
 		}
-		if m.dialsUsually(n.Name) || time.Since(m.lostAt[n.Name]) > reverseDialAfter {
+		if m.isPreferredDialer(n.Name) || time.Since(m.disconnectedAt[n.Name]) > reverseDialDelay {
 			list = append(list, n)
 		}
 	}
 	return list
 }
 
-func (m *mesh) dialsUsually(peer string) bool {
+func (m *mesh) isPreferredDialer(peer string) bool {
 	return m.node.cfg.Name < peer
 }
 
@@ -189,7 +190,7 @@
 	}
 	cfg := m.node.cfg.PeerTLS.Clone()
 	cfg.ServerName = n.Name
-	dialCtx, cancel := context.WithTimeout(ctx, peerHandshake)
+	dialCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	conn, err := m.transport.Dial(dialCtx, addr, cfg, m.quicCfg)
 	if err != nil {
@@ -201,7 +202,7 @@
 		_ = conn.CloseWithError(closeProtocol, "no stream")
 		return
 	}
-	m.greet(conn, stream, true)
+	m.handshake(conn, stream, true)
 }
 
 func (m *mesh) accept(ctx context.Context) {
@@ -211,22 +212,22 @@
 			return
 		}
 		go func() {
-			// Each connection is greeted on its own: a peer that says nothing
-			// holds up nobody else.
-			streamCtx, cancel := context.WithTimeout(ctx, peerHandshake)
+			// Each handshake has its own goroutine, so that a peer that sends nothing
+			// doesn't delay others.
+			streamCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 			defer cancel()
 			stream, err := conn.AcceptStream(streamCtx)
 			if err != nil {
 				_ = conn.CloseWithError(closeProtocol, "no stream")
 				return
 			}
-			m.greet(conn, stream, false)
+			m.handshake(conn, stream, false)
 		}()
 	}
 }
 
-// send queues a message. A peer that doesn't keep up loses its connection, so
-// that what waits for it is answered; the loop never waits for a peer.
+// send queues a message. If a peer's queue is full, its connection is closed, so that
+// requests waiting for the peer are answered and the core's loop never blocks.
 func (m *mesh) send(cmd dispatch.Send) {
 	m.mu.Lock()
 	l := m.links[cmd.Peer]
@@ -241,7 +242,7 @@
 	}
 }
 
-// connected is the number of connected peers.
+// connected returns the number of connected peers.
 func (m *mesh) connected() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -1,5 +1,5 @@
-// Package peer keeps QUIC connections between entry processes that are registered
-// in the platform's store, and passes messages on them.
+// Package peer maintains QUIC connections between entry processes that are registered
+// in the platform's store, and sends and receives messages on them.
 package peer
 
 import (
@@ -19,96 +19,96 @@
 
 const (
 	protocolName = "sapphirepoint-fleet/1"
-	// idleTimeout ends a connection that has fallen silent; heartbeats come
-	// every 150 ms. A new one, on a socket of its own, may work where the old
-	// one doesn't: something between the ends can lose track of a connection.
+	// idleTimeout closes a connection on which nothing arrives; heartbeats are sent
+	// every 150 ms. A new connection from another socket may work where the old one
+	// doesn't, because a middlebox can drop the state of a connection.
 	idleTimeout      = 600 * time.Millisecond
 	handshakeTimeout = 500 * time.Millisecond
-	redialFirst      = 100 * time.Millisecond
-	// redialMost bounds the pause between two tries. As a cut heals, both sides
-	// have a scheduler until they hear each other.
-	redialMost = 250 * time.Millisecond
-	// queueLength bounds the messages that wait for one peer.
-	queueLength = 4096
-	// maxMessage bounds a message: a job of 4,000 bytes and 4,096 tasks, or a
-	// list of some thousand runners.
-	maxMessage = 4 << 20
-
-	closeEnded   quic.ApplicationErrorCode = 0
-	closeSlow    quic.ApplicationErrorCode = 1
-	closeBroken  quic.ApplicationErrorCode = 2
-	closeForgot  quic.ApplicationErrorCode = 3
-	closeEarlier quic.ApplicationErrorCode = 4
-	closeSpare   quic.ApplicationErrorCode = 5
-
-	// spareAfter is the age at which a connection that isn't wanted any more is
-	// closed. Each costs both sides messages for as long as it stands; it must
-	// outlast the trouble in which VMs looked further for a scheduler, or they
-	// would do so again.
-	spareAfter = 10 * time.Second
+	minRedialDelay   = 100 * time.Millisecond
+	// maxRedialDelay bounds the delay between two attempts to connect. After a network
+	// partition heals, both sides have a scheduler until they are connected.
+	maxRedialDelay = 250 * time.Millisecond
+	// sendQueueLength bounds the messages queued for one peer.
+	sendQueueLength = 4096
+	// maxMessageBytes bounds a message. The largest are a job of 4,000 bytes and 4,096
+	// tasks, and a list of some thousand runners.
+	maxMessageBytes = 4 << 20
+
+	closeStopping      quic.ApplicationErrorCode = 0
+	closeSlow          quic.ApplicationErrorCode = 1
+	closeFailed        quic.ApplicationErrorCode = 2
+	closeNotRegistered quic.ApplicationErrorCode = 3
+	closeReplaced      quic.ApplicationErrorCode = 4
+	closeNotNeeded     quic.ApplicationErrorCode = 5
+
+	// unneededTimeout is the age at which a connection that is no longer desired is
+	// closed. Each connection costs both sides heartbeats. The timeout must be longer
+	// than a disturbance in which VMs connect to more peers to find a scheduler, or
+	// they would have to connect to them again.
+	unneededTimeout = 10 * time.Second
 )
 
-// Member is a registered process. A later lifetime on its VM replaces it.
+// Member is a registered process. A later process on the same VM replaces it.
 type Member struct {
 	topology.Member
 	Address     string
 	Fingerprint string
 }
 
-// Handler is told what happens. Calls come from several goroutines, but those
+// Handler receives the events of a Mesh. Calls come from several goroutines, but those
 // about one connection come in order.
 type Handler interface {
 	PeerUp(id string)
-	// PeerDown: ended says that the other process said so itself.
-	PeerDown(id string, ended bool, cause error)
+	// PeerDown reports a lost connection; stopping is set if the peer closed it because
+	// it is stopping.
+	PeerDown(id string, stopping bool, cause error)
 	PeerMessage(id string, m *pb.FleetMessage)
 }
 
-// Mesh is the connections of one process.
+// Mesh holds the connections of one process.
 type Mesh struct {
 	identity *Identity
 	handler  Handler
 	log      zerolog.Logger
 	listener *quic.Listener
 	quic     *quic.Config
-	// spareAfter is the constant, but in tests.
-	spareAfter time.Duration
+	// unneededTimeout equals the constant, except in tests.
+	unneededTimeout time.Duration
 
 	mu   sync.Mutex
 	self Member
-	// wanted are the connections that are to stand, and whether this process
-	// makes them.
-	wanted  map[string]bool
+	// desired are the peers to be connected with, and whether this process dials them.
+	desired map[string]bool
 	members map[string]Member
 	links   map[string]*link
 	dialing map[string]bool
-	// changed is signalled when there are members to be dialed.
+	// changed is signalled when members or desired connections have changed.
 	changed chan struct{}
 }
 
 type link struct {
-	id    string
-	conn  *quic.Conn
-	out   chan *pb.FleetMessage
-	begun time.Time
-	// dialed: this process has made the connection.
+	id          string
+	conn        *quic.Conn
+	out         chan *pb.FleetMessage
+	connectedAt time.Time
+	// dialed is set if this process dialed.
 	dialed bool
 }
 
-// Listen opens the socket for peers.
+// Listen opens the socket for peers and returns a mesh.
 func Listen(address string, identity *Identity, handler Handler, log zerolog.Logger) (*Mesh, error) {
 	m := &Mesh{
 		identity: identity,
 		handler:  handler,
 		log:      log,
 		members:  make(map[string]Member),
-		wanted:   make(map[string]bool),
+		desired:  make(map[string]bool),
 		links:    make(map[string]*link),
 		dialing:  make(map[string]bool),
 		changed:  make(chan struct{}, 1),
 		quic:     &quic.Config{MaxIdleTimeout: idleTimeout, HandshakeIdleTimeout: handshakeTimeout},
 
-		spareAfter: spareAfter,
+		unneededTimeout: unneededTimeout,
 	}
 	l, err := quic.ListenAddr(address, identity.tlsConfig(m.allowed), m.quic)
 	if err != nil {
@@ -118,7 +118,7 @@
 	return m, nil
 }
 
-// Address is where the mesh listens.
+// Address is the address that the mesh listens on.
 func (m *Mesh) Address() string { return m.listener.Addr().String() }
 
 func (m *Mesh) allowed(fingerprint string) bool {
@@ -137,8 +137,8 @@
 	return Member{}, false
 }
 
-// SetMembers replaces the list of registered processes. Connections with those
-// that aren't listed any more are closed.
+// SetMembers replaces the list of registered processes and closes the connections with
+// processes that are no longer listed.
 func (m *Mesh) SetMembers(self Member, list []Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -151,40 +151,40 @@
 	}
 	for id, l := range m.links {
 		if _, ok := m.members[id]; !ok {
-			_ = l.conn.CloseWithError(closeForgot, "not registered")
+			_ = l.conn.CloseWithError(closeNotRegistered, "not registered")
 		}
 	}
-	m.signal()
+	m.requestDial()
 }
 
-// SetLinks says which connections are to stand.
+// SetLinks sets the desired connections.
 func (m *Mesh) SetLinks(links []topology.Link) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	clear(m.wanted)
+	clear(m.desired)
 	for _, l := range links {
-		m.wanted[l.ID] = l.Dials
+		m.desired[l.ID] = l.Dials
 	}
-	m.signal()
+	m.requestDial()
 }
 
-// signal has missing connections made now.
-func (m *Mesh) signal() {
+// requestDial makes Run dial missing connections at once.
+func (m *Mesh) requestDial() {
 	select {
 	case m.changed <- struct{}{}:
 	default:
-		// The signal before hasn't been taken yet; it does for this one too.
+		// A signal is already pending and covers this request.
 	}
 }
 
 // Run accepts and dials until the context ends.
 func (m *Mesh) Run(ctx context.Context) {
 	go m.accept(ctx)
-	ticker := time.NewTicker(redialFirst)
+	ticker := time.NewTicker(minRedialDelay)
 	defer ticker.Stop()
 	for {
 		m.dialMissing(ctx)
-		m.closeSpare()
+		m.closeUnneeded()
 		select {
 		case <-ctx.Done():
 			m.close()
@@ -203,20 +203,20 @@
 	}
 	m.mu.Unlock()
 	for _, l := range links {
-		_ = l.conn.CloseWithError(closeEnded, "the process ends")
+		_ = l.conn.CloseWithError(closeStopping, "the process ends")
 	}
 	_ = m.listener.Close()
 }
 
-// dialMissing makes the connections that are wanted and that this process is to
-// make.
+// dialMissing dials the desired connections that are missing and that this process is
+// responsible for.
 func (m *Mesh) dialMissing(ctx context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.self.ID == "" {
 		return
 	}
-	for id, dials := range m.wanted {
+	for id, dials := range m.desired {
 		p, known := m.members[id]
 		if !dials || !known || m.links[id] != nil || m.dialing[id] {
 			continue
@@ -226,38 +226,38 @@
 	}
 }
 
-// closeSpare closes connections that this process has made and that aren't wanted
-// any more. The other side doesn't: it would be dialed again for as long as this
-// one wants them.
-func (m *Mesh) closeSpare() {
+// closeUnneeded closes connections that this process dialed and that are no longer
+// desired. The accepting side leaves them open: the dialing side would dial again for as
+// long as it desires them.
+func (m *Mesh) closeUnneeded() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for id, l := range m.links {
-		if _, wanted := m.wanted[id]; l.dialed && !wanted && time.Since(l.begun) > m.spareAfter {
-			_ = l.conn.CloseWithError(closeSpare, "not needed any more")
+		if _, desired := m.desired[id]; l.dialed && !desired && time.Since(l.connectedAt) > m.unneededTimeout {
+			_ = l.conn.CloseWithError(closeNotNeeded, "not needed any more")
 		}
 	}
 }
 
 func (m *Mesh) dial(ctx context.Context, p Member) {
-	wait := redialFirst
+	delay := minRedialDelay
 	for {
 		conn, stream, err := m.connect(ctx, p)
 		if err == nil {
 			m.mu.Lock()
 			delete(m.dialing, p.ID)
 			m.mu.Unlock()
-			m.add(&link{id: p.ID, conn: conn, dialed: true}, stream)
+			m.addLink(&link{id: p.ID, conn: conn, dialed: true}, stream)
 			return
 		}
 		m.log.Debug().Str("peer", p.ID).Err(err).Msg("peer-dial-failed")
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(wait):
+		case <-time.After(delay):
 		}
-		wait = min(2*wait, redialMost)
-		if !m.dials(p.ID) {
+		delay = min(2*delay, maxRedialDelay)
+		if !m.shouldDial(p.ID) {
 			m.mu.Lock()
 			delete(m.dialing, p.ID)
 			m.mu.Unlock()
@@ -266,15 +266,15 @@
 	}
 }
 
-// dials reports whether this process is still to make a connection.
-func (m *Mesh) dials(id string) bool {
+// shouldDial reports whether this process is still responsible for a connection.
+func (m *Mesh) shouldDial(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	_, ok := m.members[id]
-	return ok && m.wanted[id]
+	return ok && m.desired[id]
 }
 
-// connect dials from a socket of its own; see idleTimeout.
+// connect dials from a new socket; see idleTimeout.
 func (m *Mesh) connect(ctx context.Context, p Member) (*quic.Conn, *quic.Stream, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
@@ -285,12 +285,12 @@
 	}
 	stream, err := conn.OpenStreamSync(ctx)
 	if err != nil {
-		_ = conn.CloseWithError(closeBroken, "no stream")
+		_ = conn.CloseWithError(closeFailed, "no stream")
 		return nil, nil, errors.Wrap(err, "open stream")
 	}
-	// An empty message makes the stream known to the other side.
+	// The stream becomes visible to the other side only with its first data.
 	if _, err := protodelim.MarshalTo(stream, &pb.FleetMessage{}); err != nil {
-		_ = conn.CloseWithError(closeBroken, "no stream")
+		_ = conn.CloseWithError(closeFailed, "no stream")
 		return nil, nil, errors.Wrap(err, "greet")
 	}
 	return conn, stream, nil
@@ -311,7 +311,7 @@
 	defer cancel()
 	stream, err := conn.AcceptStream(streamCtx)
 	if err != nil {
-		_ = conn.CloseWithError(closeBroken, "no stream")
+		_ = conn.CloseWithError(closeFailed, "no stream")
 		return
 	}
 	fingerprint := fingerprintOf(conn.ConnectionState().TLS.PeerCertificates[0].Raw)
@@ -319,22 +319,22 @@
 	p, ok := m.byFingerprint(fingerprint)
 	m.mu.Unlock()
 	if !ok {
-		_ = conn.CloseWithError(closeForgot, "not registered")
+		_ = conn.CloseWithError(closeNotRegistered, "not registered")
 		return
 	}
-	m.add(&link{id: p.ID, conn: conn}, stream)
+	m.addLink(&link{id: p.ID, conn: conn}, stream)
 }
 
-// add takes a connection into use in place of an earlier one with the process.
-func (m *Mesh) add(l *link, stream *quic.Stream) {
-	l.out = make(chan *pb.FleetMessage, queueLength)
-	l.begun = time.Now()
+// addLink registers a connection and closes an earlier one with the same process.
+func (m *Mesh) addLink(l *link, stream *quic.Stream) {
+	l.out = make(chan *pb.FleetMessage, sendQueueLength)
+	l.connectedAt = time.Now()
 	m.mu.Lock()
 	old := m.links[l.id]
 	m.links[l.id] = l
 	m.mu.Unlock()
 	if old != nil {
-		_ = old.conn.CloseWithError(closeEarlier, "replaced")
+		_ = old.conn.CloseWithError(closeReplaced, "replaced")
 	}
 	m.log.Info().Str("peer", l.id).Str("address", l.conn.RemoteAddr().String()).Msg("peer-connected")
 	m.handler.PeerUp(l.id)
@@ -350,14 +350,14 @@
 			return
 		case msg := <-l.out:
 			if _, err := protodelim.MarshalTo(w, msg); err != nil {
-				_ = l.conn.CloseWithError(closeBroken, "write")
+				_ = l.conn.CloseWithError(closeFailed, "write")
 				return
 			}
 			if len(l.out) > 0 {
 				continue
 			}
 			if err := w.Flush(); err != nil {
-				_ = l.conn.CloseWithError(closeBroken, "write")
+				_ = l.conn.CloseWithError(closeFailed, "write")
 				return
 			}
 		}
@@ -366,19 +366,19 @@
 
 func (m *Mesh) read(l *link, stream *quic.Stream) {
 	r := bufio.NewReader(stream)
-	opts := protodelim.UnmarshalOptions{MaxSize: maxMessage}
+	opts := protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}
 	for {
 		msg := &pb.FleetMessage{}
 		if err := opts.UnmarshalFrom(r, msg); err != nil {
-			m.down(l, err)
+			m.removeLink(l, err)
 			return
 		}
 		m.handler.PeerMessage(l.id, msg)
 	}
 }
 
-func (m *Mesh) down(l *link, cause error) {
-	_ = l.conn.CloseWithError(closeBroken, "read")
+func (m *Mesh) removeLink(l *link, cause error) {
+	_ = l.conn.CloseWithError(closeFailed, "read")
 	m.mu.Lock()
 	current := m.links[l.id] == l
 	if current {
@@ -389,13 +389,13 @@
 		return
 	}
 	var app *quic.ApplicationError
-	ended := errors.As(cause, &app) && app.Remote && app.ErrorCode == closeEnded
-	m.log.Info().Str("peer", l.id).Bool("ended", ended).AnErr("cause", cause).Msg("peer-disconnected")
-	m.handler.PeerDown(l.id, ended, cause)
+	stopping := errors.As(cause, &app) && app.Remote && app.ErrorCode == closeStopping
+	m.log.Info().Str("peer", l.id).Bool("ended", stopping).AnErr("cause", cause).Msg("peer-disconnected")
+	m.handler.PeerDown(l.id, stopping, cause)
 }
 
-// Send queues a message and reports whether there is a connection. A peer that
-// doesn't keep up loses its connection, so nobody waits for it.
+// Send queues a message and reports whether there is a connection. The connection with a
+// peer whose queue is full is closed, so that Send never blocks.
 func (m *Mesh) Send(id string, msg *pb.FleetMessage) bool {
 	m.mu.Lock()
 	l := m.links[id]
@@ -412,17 +412,17 @@
 	}
 }
 
-// Drop closes the connection with a process, if there is one.
-func (m *Mesh) Drop(id string) {
+// Disconnect closes the connection with a process, if there is one.
+func (m *Mesh) Disconnect(id string) {
 	m.mu.Lock()
 	l := m.links[id]
 	m.mu.Unlock()
 	if l != nil {
-		_ = l.conn.CloseWithError(closeBroken, "silent")
+		_ = l.conn.CloseWithError(closeFailed, "silent")
 	}
 }
 
-// Connected lists the processes with a connection.
+// Connected lists the processes that have a connection with this one.
 func (m *Mesh) Connected() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
