--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -262,7 +262,7 @@
 		code, _, errs := runCommand(t, "", args...)
 		g.Expect(code).To(gomega.Equal(ExitDone), errs)
 		code, _, _ = runCommand(t, "", args...)
-		g.Expect(code).To(gomega.Equal(ExitUsage), "a second time")
+		g.Expect(code).To(gomega.Equal(ExitUsage), "the files exist already")
 	}
 	for _, secret := range []string{"ca.key", "n1.key", "t.token", "tills.key"} {
 		info, err := os.Stat(secret)
--- a/cli/submit.go
+++ b/cli/submit.go
@@ -14,11 +14,14 @@
 
 // submitFlags are the flags of submit.
 type submitFlags struct {
-	key     string
+	// key is the caller's own key.
+	key string
+	// id is the id of an earlier submission, to submit again.
 	id      string
 	timeout time.Duration
-	newIDs  int
-	load    loadFlags
+	// newIDs is how often the job may be submitted again under a new id.
+	newIDs int
+	load   loadFlags
 }
 
 func (a *app) submitCommand() *cobra.Command {
--- a/cli/summary.go
+++ b/cli/summary.go
@@ -28,9 +28,10 @@
 
 // recorder records the answers and response times of a load.
 type recorder struct {
-	mu            sync.Mutex
-	startTime     time.Time
-	tasks         int
+	mu          sync.Mutex
+	startTime   time.Time
+	tasksPerJob int
+	// idealTime is the run time declared for the slowest task of the job.
 	idealTime     time.Duration
 	completeTimes *hdrhistogram.Histogram
 	allTimes      *hdrhistogram.Histogram
@@ -41,7 +42,7 @@
 func newRecorder(s *pb.Submission) *recorder {
 	r := &recorder{
 		startTime:     time.Now(),
-		tasks:         len(s.GetTasks()),
+		tasksPerJob:   len(s.GetTasks()),
 		completeTimes: hdrhistogram.New(1, maxRecordedUs, significantDigits),
 		allTimes:      hdrhistogram.New(1, maxRecordedUs, significantDigits),
 		outcomes:      make(map[pb.Outcome]int),
@@ -161,7 +162,7 @@
 		s.Outcomes[outcomeName(o)] = n
 		s.Jobs += n
 	}
-	s.Tasks = s.Jobs * r.tasks
+	s.Tasks = s.Jobs * r.tasksPerJob
 	if r.idealTime > 0 {
 		over := distributionOf(r.completeTimes, float64(r.idealTime.Microseconds()))
 		s.OverIdeal = &over
--- a/config/process.go
+++ b/config/process.go
@@ -278,7 +278,7 @@
 func (l Limits) maxRequestBytes() int {
 	n, err := parseSize(l.MaxRequest, 1)
 	if err != nil {
-		panic("config: a checked limit can't be read: " + err.Error())
+		panic("config: validated limits.max_request is unreadable: " + err.Error())
 	}
 	return int(n)
 }
--- a/config/settings.go
+++ b/config/settings.go
@@ -159,5 +159,5 @@
 		}
 		return protoreflect.ValueOfUint32(uint32(number)), true
 	}
-	panic("config: Settings has a field of a kind that files can't hold: " + string(fd.FullName()))
+	panic("config: unsupported kind of Settings field: " + string(fd.FullName()))
 }
--- a/config/settings_test.go
+++ b/config/settings_test.go
@@ -47,17 +47,17 @@
 		{"percentage without sign", "retry: 10%", "retry: 10", `institutions[0].retry: "10" isn't a whole percentage with its sign, such as 20%`},
 		{"cores without unit", "cpu: 2000m", "cpu: 2", `institutions[0].services[0].cpu: "2" isn't a number of thousandths of a core`},
 		{"count with unit", "ceiling_slots: 384", "ceiling_slots: 384ms", `institutions[0].ceiling_slots: "384ms" isn't a whole number`},
-		{"not a boolean", "idempotent: true", "idempotent: yes", `institutions[0].services[0].idempotent: "yes" is neither true nor false`},
+		{"invalid boolean", "idempotent: true", "idempotent: yes", `institutions[0].services[0].idempotent: "yes" is neither true nor false`},
 		{"quota over ceiling", "quota_slots: 200", "quota_slots: 400", "institutions[0].teams[1].quota_slots: 400 exceeds the institution's ceiling of 384 slots"},
 		{"run time over response time", "run_time: 200ms", "run_time: 6s", "institutions[0].services[0].run_time: 6s exceeds the response time 5s"},
 		{"tolerance over response time", "borrow_tolerance: 200ms", "borrow_tolerance: 6s", "institutions[0].borrow_tolerance: 6s exceeds the response time 5s"},
-		{"window under response time", "resubmit_window: 1h", "resubmit_window: 2s", "institutions[0].resubmit_window: 2s is shorter than the response time 5s"},
-		{"capacity over all", "capacity: 50%", "capacity: 60%", "s.yaml:6: institutions: the capacities add up to 110%, more than 100%"},
-		{"dangling team", "teams: [settlement-office]", "teams: [settlement-offce]", `s.yaml:81: institutions[1].services[1].teams[0]: team "settlement-offce" isn't declared`},
+		{"resubmit window under response time", "resubmit_window: 1h", "resubmit_window: 2s", "institutions[0].resubmit_window: 2s is shorter than the response time 5s"},
+		{"capacities over 100%", "capacity: 50%", "capacity: 60%", "s.yaml:6: institutions: the capacities add up to 110%, more than 100%"},
+		{"undeclared team", "teams: [settlement-office]", "teams: [settlement-offce]", `s.yaml:81: institutions[1].services[1].teams[0]: team "settlement-offce" isn't declared`},
 		{"name twice", "name: care-homes", "name: school-kitchens", `institutions[0].teams[1].name: "school-kitchens" is declared twice`},
-		{"unusable name", "name: care-homes", "name: care/homes", `institutions[0].teams[1].name: "care/homes" must be 1 to 64 letters`},
-		{"bad digest", "1f6c2d8e4b", "1f6c", "institutions[1].token_sha256[0]: must be 64 hex digits"},
-		{"certificate of two", "[hollowell-kitchens]", "[x, x]", `institutions[0].certificate_names[1]: is also declared for "hollowell"`},
+		{"invalid name", "name: care-homes", "name: care/homes", `institutions[0].teams[1].name: "care/homes" must be 1 to 64 letters`},
+		{"short digest", "1f6c2d8e4b", "1f6c", "institutions[1].token_sha256[0]: must be 64 hex digits"},
+		{"certificate name of two institutions", "[hollowell-kitchens]", "[x, x]", `institutions[0].certificate_names[1]: is also declared for "hollowell"`},
 		{"no value", "response_time: 5s", "response_time:", "institutions[0].response_time: has no value"},
 		{"field left out", "    response_time: 5s\n", "", "s.yaml:9: institutions[0].response_time: 0s must be above 0"},
 		{"list for a value", "priority: 1", "priority: [1]", "institutions[0].priority: must be a single value"},
@@ -111,7 +111,7 @@
 			t.Fatalf("accepted, but invalid: %v", err)
 		}
 		if _, err := proto.Marshal(s); err != nil {
-			t.Fatalf("accepted, but not to be encoded: %v", err)
+			t.Fatalf("accepted, but can't be encoded: %v", err)
 		}
 	})
 }
--- a/explain/attribution_test.go
+++ b/explain/attribution_test.go
@@ -7,12 +7,12 @@
 	. "github.com/onsi/gomega"
 )
 
-// lossLog holds lines of a real run: a job whose runs took far longer than estimated, one
+// sampleLossLog holds lines of a real run: a job whose runs took far longer than estimated, one
 // that waited in the queue, one that was refused, one whose run was overdue, and one whose time
 // outside of its runs is within its objective; for that one only the time and work were changed
 // from what was logged. Then all processes are killed and start again, and a job waits for a
 // leader.
-const lossLog = `
+const sampleLossLog = `
 time=2026-03-07T06:48:37.425621834Z level=info event=job-ended entry=front-obudai-gep-2#5 estimate=30 job=635fde0e13e17f40 node=front-budai-terem-3 outcome=completed reason= retry-after=0 runs=6 waited=0 work=189.53006
 time=2026-03-07T06:48:37.473443047Z level=info event=request-answered configuration=2 handed=0 job=635fde0e13e17f40 node=front-obudai-gep-2 objective=108 outcome=completed queue=r-q35w2yz reason= retry-after=0 scheduler=front-budai-terem-3#1 took=238.842127
 time=2026-03-07T06:48:37.643628011Z level=info event=job-ended entry=front-obudai-gep-1#7 estimate=41 job=275c95e690e9bd0c node=front-budai-terem-3 outcome=completed reason= retry-after=0 runs=2 waited=27.390252 work=160.721372
@@ -36,7 +36,7 @@
 
 func TestAttribute(t *testing.T) {
 	g := NewWithT(t)
-	lines, err := Read(strings.NewReader(lossLog))
+	lines, err := Read(strings.NewReader(sampleLossLog))
 	g.Expect(err).NotTo(HaveOccurred())
 	type found struct {
 		job   string
@@ -59,7 +59,7 @@
 
 func TestLossTable(t *testing.T) {
 	g := NewWithT(t)
-	lines, err := Read(strings.NewReader(lossLog))
+	lines, err := Read(strings.NewReader(sampleLossLog))
 	g.Expect(err).NotTo(HaveOccurred())
 	text := LossTable{Losses: Attribute(lines), Begin: lines[0].Time}.String()
 	g.Expect(text).To(ContainSubstring("most processes ended at once"))
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-const log = `2026/05/14 06:42:59 failed to increase receive buffer size
+const sampleLog = `2026/05/14 06:42:59 failed to increase receive buffer size
 time=2026-05-14T06:43:00.1Z level=warn event=peer-lost ended=false node=front-1 peer=front-2#3
 time=2026-05-14T06:43:00.2Z level=info event=leader-changed before=front-2#3 leader=front-1#2 node=front-1
 time=2026-05-14T06:43:00.5Z level=info event=run-lapsed age=662 job=407d4e0ef10b4617 node=front-1 reason="runner is silent" run=407d4e0ef10b4617.0.0.0#1 runner=i-83
@@ -18,7 +18,7 @@
 
 func TestJob(t *testing.T) {
 	g := NewWithT(t)
-	lines, err := Read(strings.NewReader(log))
+	lines, err := Read(strings.NewReader(sampleLog))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(lines).To(HaveLen(6))
 	r := Job("407d4e0ef10b4617", lines)
