--- a/config/process_test.go
+++ b/config/process_test.go
@@ -14,9 +14,9 @@
 
 const exampleProcess = "../examples/process.yaml"
 
-// processDir holds the files that the example names and a settings file with
-// the given text.
-func processDir(t *testing.T, text string) string {
+// writeProcessDir creates a directory with the files that the example names and a settings
+// file with the given text, and returns the path of the settings file.
+func writeProcessDir(t *testing.T, text string) string {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	dir := t.TempDir()
@@ -45,7 +45,7 @@
 
 func TestExampleProcessSettingsStartANode(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p, err := LoadProcess(processDir(t, exampleText(t)))
+	p, err := LoadProcess(writeProcessDir(t, exampleText(t)))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	cfg, err := p.NodeConfig(zerolog.Nop())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -54,25 +54,25 @@
 	g.Expect(cfg.CallerTLS).NotTo(gomega.BeNil())
 }
 
-// A process file holds a mistake, or names a file that isn't there. Found only
-// when the first peer or caller connects, it would leave a VM that looks
-// healthy; it is found at the start instead, with its place.
-func TestMistakesInProcessSettingsAreRejectedWithTheirPlace(t *testing.T) {
+// A process file has a mistake or names a file that doesn't exist. If it were noticed only when
+// the first peer or caller connects, the VM would look healthy until then; it must be reported
+// at the start, with its line and field.
+func TestMistakesInProcessSettingsAreRejectedWithTheirPosition(t *testing.T) {
 	cases := []struct{ name, old, new, want string }{
 		{"unknown section", "platform:\n", "platfrom:\n", "p.yaml:16: platfrom: unknown field"},
 		{"unknown field", "  peers: 127", "  pears: 127", "p.yaml:13: listen.pears: unknown field"},
-		{"name for an IP", "127.0.0.1:7100", "localhost:7100", `p.yaml:11: listen.callers: "localhost:7100" isn't an IP address with a port`},
+		{"host name in place of an IP", "127.0.0.1:7100", "localhost:7100", `p.yaml:11: listen.callers: "localhost:7100" isn't an IP address with a port`},
 		{"address twice", "127.0.0.1:7200", "127.0.0.1:7100", "p.yaml:12: listen.operators: 127.0.0.1:7100 is the address of listen.callers too"},
-		{"no URL", "http://127.0.0.1:7000", "127.0.0.1:7000", `platform.url: "127.0.0.1:7000" isn't an http or https URL`},
-		{"file that isn't there", "ca: ca.pem", "ca: nowhere.pem", "nowhere.pem: no such file or directory"},
+		{"URL without scheme", "http://127.0.0.1:7000", "127.0.0.1:7000", `platform.url: "127.0.0.1:7000" isn't an http or https URL`},
+		{"missing file", "ca: ca.pem", "ca: nowhere.pem", "nowhere.pem: no such file or directory"},
 		{"key without certificate", "  cert: callers.pem\n", "", "caller_tls.cert: must name a file"},
-		{"callers trusted as peers", "client_ca: callers-ca.pem", "client_ca: ca.pem", "caller_tls.client_ca: must not be the authority of the peer link"},
+		{"same authority for callers and peers", "client_ca: callers-ca.pem", "client_ca: ca.pem", "caller_tls.client_ca: must not be the authority of the peer link"},
 		{"size without unit", "32MiB", "32", `limits.max_request: "32" isn't a size with its unit`},
-		{"request over the peer link", "32MiB", "64MiB", "limits.max_request: 64MiB must be above 0 and at most 32 MiB"},
-		{"no connections", "caller_connections: 4096", "caller_connections: 0", "limits.caller_connections: must be above 0"},
+		{"request over the limit of peer messages", "32MiB", "64MiB", "limits.max_request: 64MiB must be above 0 and at most 32 MiB"},
+		{"zero connections", "caller_connections: 4096", "caller_connections: 0", "limits.caller_connections: must be above 0"},
 		{"not a number", "caller_connections: 4096", "caller_connections: many", "limits.caller_connections: "},
-		{"no level", "log_level: info", "log_level: loud", `log_level: "loud" is none of`},
-		{"no node", "node: loughborough-1", "node: ''", "p.yaml:5: node: must not be empty"},
+		{"unknown log level", "log_level: info", "log_level: loud", `log_level: "loud" is none of`},
+		{"empty node", "node: loughborough-1", "node: ''", "p.yaml:5: node: must not be empty"},
 		{"section without fields", "platform:\n  url: http://127.0.0.1:7000\n", "platform:\n", "platform: must be a mapping of fields"},
 	}
 	for _, c := range cases {
@@ -80,15 +80,15 @@
 			g := gomega.NewWithT(t)
 			text := exampleText(t)
 			g.Expect(text).To(gomega.ContainSubstring(c.old))
-			_, err := LoadProcess(processDir(t, strings.Replace(text, c.old, c.new, 1)))
+			_, err := LoadProcess(writeProcessDir(t, strings.Replace(text, c.old, c.new, 1)))
 			g.Expect(err).To(gomega.MatchError(gomega.ContainSubstring(c.want)))
 		})
 	}
 }
 
-func TestProcessMistakesAreReportedAtOnce(t *testing.T) {
+func TestAllMistakesInProcessSettingsAreReported(t *testing.T) {
 	g := gomega.NewWithT(t)
 	text := strings.NewReplacer(": ca.pem", ": gone.pem", "log_level: info", "log_level: loud", "127.0.0.1:7400", "x").Replace(exampleText(t))
-	_, err := LoadProcess(processDir(t, text))
+	_, err := LoadProcess(writeProcessDir(t, text))
 	g.Expect(strings.Split(err.Error(), "\n")).To(gomega.HaveLen(3))
 }
