--- a/core/schedule/accept.go
+++ b/core/schedule/accept.go
@@ -54,7 +54,8 @@
 	}
 	s.answer(sub.Entry, id, workload.Accepted, "known")
 	if k.state == ledger.CancelledEarly {
-		// From now on callers may query the job.
+		// Queries find the job from now on. Until it arrived they were told that no such job is
+		// known, see retained.jobState.
 		s.retainAndSave(id, ledger.Cancelled)
 	}
 }
--- a/core/schedule/acknowledge.go
+++ b/core/schedule/acknowledge.go
@@ -119,7 +119,8 @@
 	}
 }
 
-// acknowledge advances the cursor over all leading ends that may be acknowledged.
+// acknowledge acknowledges a runner's ends in their order, up to the first that can't be yet. The
+// next Hold reports this to the runner.
 func (s *Scheduler) acknowledge(r *runner) {
 	n := 0
 	for n < len(r.ends) && s.canAcknowledge(r, r.ends[n]) {
@@ -129,8 +130,8 @@
 	r.ends = r.ends[n:]
 }
 
-// acknowledgeAll advances the cursors of all runners. A runner with no unacknowledged end left is
-// sent a waiting Hold at once.
+// acknowledgeAll acknowledges the ends of all runners. A runner with no unacknowledged end left is
+// sent a Hold at once, which waits there for the next end.
 func (s *Scheduler) acknowledgeAll() {
 	for _, r := range s.runnerList {
 		if len(r.ends) == 0 {
@@ -143,7 +144,7 @@
 	}
 }
 
-// priorOwnerInactiveAt is the time from which a previous owner that may not know yet that it
+// priorOwnerInactiveAt returns the time from which a previous owner that may not know yet that it
 // lost the shard starts no more tasks: it treats its ownership as lost once the last proof is
 // older than maxProofAge. Until then it could restart a task whose end was acknowledged here.
 func (s *Scheduler) priorOwnerInactiveAt() Time {
--- a/core/schedule/command.go
+++ b/core/schedule/command.go
@@ -139,13 +139,13 @@
 	Accepted CallOutcome = iota
 	// Fenced: the runner has seen a higher token.
 	Fenced
-	// Outdated: a run with this number or a higher one was stopped or has ended.
+	// Outdated: a run of the task with this number or a higher one was stopped or has ended.
 	Outdated
 	// TooLate: the lease in the order had expired when the order arrived.
 	TooLate
 	// NoRoom: the task doesn't fit.
 	NoRoom
-	// Invalid: the runner rejects the order as invalid.
+	// Invalid: the runner doesn't understand the order.
 	Invalid
 	// Unhealthy: the runner reports that it is unhealthy and hasn't carried out the order.
 	Unhealthy
--- a/core/schedule/entries.go
+++ b/core/schedule/entries.go
@@ -17,9 +17,9 @@
 	s.dispatch()
 }
 
-// Withdraw gives a job up to another scheduler. Its runs go on for as long as that is safe, so
-// that the other scheduler finds them. The runs of a foreign job are stopped: its next scheduler
-// uses other runners and doesn't find them.
+// Withdraw gives a job up to another scheduler. The job's runs go on for as long as that is safe
+// (abandonedGrace), so that the other scheduler finds them. The runs of a foreign job are stopped:
+// its next scheduler uses other runners and doesn't find them.
 func (s *Scheduler) Withdraw(now Time, entry EntryID, id workload.JobID) {
 	s.now = now
 	j := s.jobs[id]
@@ -39,9 +39,10 @@
 // EntryLost drops the jobs of an entry VM.
 //
 // If the entry process has ended, callers send these jobs again after a while, so their runs go
-// on for as long as that is safe; foreign jobs are sent to another shard, so theirs don't. If the
-// process is only unreachable, it may be alive and hand its jobs to another scheduler, which
-// doesn't see the runs here; so they are stopped at once.
+// on for as long as that is safe (abandonedGrace). The runs of foreign jobs are stopped, since
+// copies of those jobs don't arrive here but in the shard that they belong to. If the process is
+// only unreachable, it may be alive and hand its jobs to another scheduler, which doesn't see the
+// runs here; so they are stopped at once.
 func (s *Scheduler) EntryLost(now Time, entry EntryID, ended bool) {
 	s.now = now
 	delete(s.lastHeard, entry)
--- a/core/schedule/evacuation.go
+++ b/core/schedule/evacuation.go
@@ -43,7 +43,8 @@
 const evacuatedReason = "all runners are in evacuated failure domains"
 
 // refuseEvacuated refuses jobs that have no run and can't be started any more, so that their
-// callers learn it at once. Jobs that are held back are left alone: their runs aren't known yet.
+// callers learn it at once. Jobs that are held back (see heldBack) are left alone: their runs
+// aren't known yet.
 func (s *Scheduler) refuseEvacuated() {
 	if len(s.evacuated) == 0 || !s.leading {
 		return
--- a/core/schedule/health.go
+++ b/core/schedule/health.go
@@ -30,6 +30,8 @@
 
 // health tracks the results of a runner's tasks. There are no separate health probes.
 type health struct {
+	// strikes counts failures, and closures how often the runner was closed since its last
+	// success. A closed runner gets no tasks until closedUntil.
 	strikes     int
 	closures    int
 	closedUntil Time
@@ -41,8 +43,8 @@
 
 func newHealth() health { return health{usual: 1, recent: 1, runs: initialPaceRuns} }
 
-// pace returns the factor by which tasks take longer there than estimated. A slowdown of the
-// runner shows after a few runs; four random runs are rarely twice as slow as usual.
+// pace returns the factor by which tasks take longer on the runner than estimated. A slowdown of
+// the runner shows after a few runs; four random runs are rarely twice as slow as usual.
 func (h *health) pace() float64 {
 	if h.recent > slowdownFactor*h.usual {
 		return h.recent
@@ -56,6 +58,7 @@
 // completed a task.
 func (h *health) suspect() bool { return h.strikes > 0 }
 
+// succeeded records a successful run, which counts as a failure if it took far too long.
 func (h *health) succeeded(now Time, elapsed, estimate time.Duration) {
 	if estimate > 0 {
 		h.runs = min(h.runs+1, maxPaceRuns)
--- a/core/schedule/incarnation.go
+++ b/core/schedule/incarnation.go
@@ -39,8 +39,8 @@
 
 // beginIncarnation handles the restart of a runner. A start that was unconfirmed or sent twice may
 // still arrive at the new incarnation, so its task waits until the runner lists its runs or the
-// lease must have expired. Orders from before the restart that arrive later still have a lower
-// token.
+// lease must have expired. The runner is acquired again under a higher token, so it refuses orders
+// from before the restart that arrive even later.
 func (s *Scheduler) beginIncarnation(r *runner, born int64) {
 	s.emit(Decision{Event: "runner-restarted", Runner: r.info.ID, Token: r.token, Age: s.now - r.clockAt})
 	runs := r.sortedRuns()
--- a/core/schedule/job.go
+++ b/core/schedule/job.go
@@ -27,9 +27,9 @@
 	lastNumber  int
 	lastStarted int
 	run         *run
-	// unseen: contact with a run of it was lost before its end was listed.
+	// unseen: contact with a run of the task was lost before the run's end was listed.
 	unseen bool
-	// checkpoint is the newest one that a runner has listed; "" if none.
+	// checkpoint is the newest one that a runner has listed for the task; "" if none.
 	checkpoint string
 	// failedOn are the runners on which a run has failed.
 	failedOn []*runner
@@ -46,7 +46,7 @@
 	entry EntryID
 	// domain is the failure domain of the entry VM.
 	domain string
-	// foreign: the job belongs to another shard.
+	// foreign: the job belongs to another shard, see the terms in the package comment.
 	foreign bool
 	arrived Time
 	// due is the end of the latency objective, deadline when the caller stops waiting.
@@ -54,7 +54,8 @@
 	deadline Time
 	// worthlessAt is when the answer has no value to the caller any more.
 	worthlessAt Time
-	// steps holds the tasks of each step of each occurrence, see stepIndex.
+	// steps holds the tasks of each step of each occurrence, see stepIndex. An occurrence is one
+	// execution of all steps; only timed jobs have more than one.
 	steps [][]*taskState
 	// open is the number of tasks of each step that aren't done.
 	open []int
@@ -65,9 +66,11 @@
 	queued  bool
 	// started: a start of one of its tasks was ordered, or may have been by an earlier
 	// scheduler.
-	started   bool
-	firstRun  Time
-	runs      int
+	started bool
+	// firstRun is when the first start was ordered here, and runs the number of starts.
+	firstRun Time
+	runs     int
+	// remaining is the estimated run time of the longest chain of dependent steps.
 	remaining time.Duration
 	// priorRunsOverAt is when runs that an earlier scheduler may have started can't be alive
 	// any more on runners that didn't answer.
@@ -76,8 +79,8 @@
 	// it arrived from the last of them.
 	priorSchedulers  int
 	listsNeededSince Time
-	// stalledSince is since when no task of a stored job runs though some are due; 0 if one
-	// runs.
+	// stalledSince is since when a stored job has been stalled, which means that tasks of it are
+	// due and none can be running; 0 if it isn't stalled.
 	stalledSince Time
 	// withdrawn jobs belong to another scheduler now.
 	withdrawn bool
@@ -85,7 +88,8 @@
 	// has withdrawn the job; 0 if neither has happened.
 	abandonedAt Time
 	ended       bool
-	// noRoom: it was refused on arrival, and another scheduler may have room.
+	// noRoom: the job is refused before any start of its tasks, and another scheduler may have
+	// room for it.
 	noRoom bool
 	// begun: a start of one of its tasks is known to have been ordered.
 	begun bool
@@ -146,7 +150,8 @@
 	return true
 }
 
-// noteRun records a run whose number is known.
+// noteRun marks the job as restarted if the number of a run shows that an earlier run of the task
+// may have been started.
 func (j *job) noteRun(k workload.RunKey) {
 	if k.Number > 1 {
 		j.restarted = true
@@ -175,7 +180,7 @@
 	return idle
 }
 
-// attempts returns how often a task may fail.
+// attempts returns the number of failures of a task with which its job fails.
 func (j *job) attempts() int { return max(1, j.work.MaxAttempts) }
 
 func (j *job) complete() bool {
--- a/core/schedule/offered.go
+++ b/core/schedule/offered.go
@@ -7,9 +7,10 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// A late job waits for all jobs that aren't late, and for those that arrive meanwhile. In a burst
-// more work arrives than the runners can do, so its turn doesn't come while its answer has any
-// value. It is refused as soon as that is known, without waiting for its deadline.
+// A late job (see job.late) waits for all jobs that aren't late, and for those that arrive
+// meanwhile. In a burst more work arrives than the runners can do, so the turn of the late job
+// doesn't come while its answer has any value. The job is refused as soon as that is known, without
+// waiting for its deadline.
 
 const (
 	// offeredWindow is the time constant of the average of arriving work.
--- a/core/schedule/order.go
+++ b/core/schedule/order.go
@@ -30,9 +30,9 @@
 // leaves it no time to wait isn't late on arrival: it must start at once, and estimates are often
 // too long.
 //
-// A job counts as late while it still has an even chance. Otherwise, with more work than room, all
-// jobs would start at their latest start and half of them would end late, while jobs that have
-// just arrived would have ended in time in their place.
+// A job already counts as late while it still has an even chance to end within its objective.
+// Otherwise, with more work than room, all jobs would start at their latest start and half of them
+// would end late, while jobs that have just arrived would have ended in time in their place.
 func (j *job) late(now Time) bool {
 	latest := j.due - j.remaining*latenessPercent/100
 	return now > max(latest, j.arrived+j.tolerance())
@@ -100,13 +100,15 @@
 // that are partly done, come first, by their latest start; then jobs that are late; then, with the
 // remaining room, those whose answers will have no value.
 //
-// Where a task needs half a runner, a job with many tasks gets its places one by one. If it moved
-// behind all others once it is late, it would hold the places that it has and end after its
+// A partly done job keeps its position when it turns late, until its answer will have no value.
+// Where a task needs half a runner, a job with many tasks gets its places one by one. If such a job
+// moved behind all others once it is late, it would hold the places that it has and end after its
 // caller has left, and the caller couldn't be told that nothing was run.
 //
-// After half a second without a leader at full load, some hundred handed over jobs wait beside the
-// new ones, and it takes seconds to work off that backlog. Served in the order of their age,
-// nearly all of them, and of the jobs behind them, would come too late.
+// Other late jobs move behind those that aren't late, so that a backlog doesn't make nearly all
+// jobs late. After half a second without a leader at full load, some hundred jobs that were handed
+// over wait beside the new ones, and it takes seconds to work off that backlog. Served in the order
+// of their age, nearly all of these jobs, and of those behind them, would come too late.
 func (s *Scheduler) dispatch() {
 	if !s.leading || len(s.queue) == 0 {
 		return
@@ -130,6 +132,7 @@
 	}
 }
 
+// startTasks starts the waiting tasks of a job that may be started now, as far as there is room.
 func (s *Scheduler) startTasks(p *placer, j *job) {
 	if s.heldBack(j) {
 		return
@@ -175,8 +178,8 @@
 
 // allListed reports whether all runs of a job that earlier schedulers have started are known: each
 // runner has listed its runs since the job arrived. If those schedulers had used a higher token
-// there, the runner would have refused; and they start nothing later, since the job was withdrawn
-// from them before.
+// there, the runner would have refused to list them; and they start nothing later, since the job
+// was withdrawn from them before.
 //
 // That a runner accepts a later term than theirs isn't sufficient: when a partition heals, they may
 // have raised their own term and taken the runner back without this scheduler's knowledge.
@@ -192,6 +195,7 @@
 	return true
 }
 
+// requeue returns a task whose run is over, or was never begun, to the queue.
 func (s *Scheduler) requeue(t *taskState) {
 	t.run = nil
 	if t.job.ended {
--- a/core/schedule/ownership.go
+++ b/core/schedule/ownership.go
@@ -86,6 +86,7 @@
 	s.emit(Hold{Runner: r.info.ID, Address: r.info.Address, Token: r.token, Acknowledged: r.ackCursor(s.now), ListOnly: true, Timeout: s.callTimeout()})
 }
 
+// scheduleHold sends a runner the next Hold, or sets when it is to be sent.
 func (s *Scheduler) scheduleHold(r *runner) {
 	switch {
 	case r.hasForeignOrphans():
@@ -104,6 +105,7 @@
 	}
 }
 
+// unanswered handles a Hold or a Stop that stayed unanswered.
 func (s *Scheduler) unanswered(r *runner) {
 	s.ctr.Unanswered++
 	r.markUnresponsive(s.now)
@@ -125,7 +127,7 @@
 	switch {
 	case s.yielding:
 	case !owned:
-		// It had accepted a token of an earlier scheduler whose term wasn't known here.
+		// The runner had accepted a token of an earlier scheduler whose term wasn't known here.
 		s.raiseTerm(r)
 		s.acquire(r)
 	case s.now-r.acquiredAt > contestedReacquireDelay:
--- a/core/schedule/progress.go
+++ b/core/schedule/progress.go
@@ -7,13 +7,13 @@
 )
 
 // Progress is what a retiring scheduler reports to the next leader. Runners list an end only until
-// it is acknowledged, so without it tasks whose ends were acknowledged would run again.
+// it is acknowledged, so without the report tasks whose ends were acknowledged would run again.
 type Progress struct {
 	// Epoch is the scheduler's ownership of the shard's rows, 0 if it had none. PriorRunsTTL is
 	// how much longer runs may be alive that earlier owners have started and that it didn't see.
 	Epoch        uint64
 	PriorRunsTTL time.Duration
-	// Done are the tasks of jobs in hand that have ended successfully.
+	// Done are the tasks that have ended successfully, of jobs that the scheduler still has.
 	Done []workload.TaskName
 	// Ended are recently ended jobs.
 	Ended []EndedJob
@@ -27,13 +27,14 @@
 
 const (
 	// progressTimeout bounds how long a new leader holds back the jobs of its predecessor until
-	// the predecessor's Progress arrives; a task started before may already have ended. It
-	// usually takes a millisecond or two, but a busy process may need some hundred milliseconds.
-	// A process that is about to stop lives for two and a half seconds more; the wait ends when
-	// the process is lost. Callers of the shortest jobs wait for a second and a half.
+	// the predecessor's Progress arrives: a task that the new leader starts without it may already
+	// have ended. Progress usually takes a millisecond or two, but a busy process may need some
+	// hundred milliseconds. A process that is about to stop lives for two and a half seconds more;
+	// the wait ends when the process is lost. Callers of the shortest jobs wait for a second and a
+	// half.
 	progressTimeout = time.Second
-	// maxEndedJobAge is how long ago a job may have ended to be included: callers wait up to
-	// 2.7 s.
+	// maxEndedJobAge is how long ago a job may have ended to be included in Progress: callers
+	// wait up to 2.7 s.
 	maxEndedJobAge = 4 * time.Second
 )
 
--- a/core/schedule/records.go
+++ b/core/schedule/records.go
@@ -10,7 +10,8 @@
 // retained is the outcome of a stored job.
 type retained struct {
 	state ledger.State
-	at    Time
+	// at is since when the outcome is retained.
+	at Time
 	// restarted: a task was started more than once.
 	restarted bool
 	// saving is the sequence of a record that isn't in the store yet; 0 if it is.
--- a/core/schedule/restore.go
+++ b/core/schedule/restore.go
@@ -53,7 +53,7 @@
 	s.resume(j)
 }
 
-// restored builds a job from its record.
+// restored builds a job from its record and adds it to the scheduler's jobs.
 func (s *Scheduler) restored(r ledger.Record) *job {
 	j := newJob(r.Definition, s.now)
 	j.stored = &stored{epoch: r.Epoch, accepted: true, failures: r.Failures, unseen: r.Unseen, unseenByPredecessor: r.Unseen}
--- a/core/schedule/results.go
+++ b/core/schedule/results.go
@@ -164,6 +164,7 @@
 	return t.job
 }
 
+// endedUnknown records the end of a run whose job isn't known, or has no such task.
 func (s *Scheduler) endedUnknown(e workload.End) {
 	s.ranJobs[e.Run.Task.Job] = s.now
 	if e.Kind == workload.Done {
@@ -225,7 +226,7 @@
 }
 
 // runFailed counts a failure against the task and the runner. After failures on two runners the
-// task itself counts as the cause.
+// task itself counts as the cause, and the earlier runners' failures are undone.
 func (s *Scheduler) runFailed(t *taskState, r *runner, k workload.RunKey) {
 	if t.job.stored != nil && (t.job.ended || !t.job.storedFailure(k)) {
 		return
--- a/core/schedule/rowownership.go
+++ b/core/schedule/rowownership.go
@@ -14,13 +14,17 @@
 type rows struct {
 	// noStoredJobs: the deployment has no stored jobs.
 	noStoredJobs bool
-	loaded       bool
-	epoch        uint64
+	// loaded: the shard's records have been loaded. epoch is that of the ownership under which
+	// they were, see ledger.Ownership.
+	loaded bool
+	epoch  uint64
 	// verifiedAt is the time for which the ownership was last proved.
 	verifiedAt Time
 	// failingFor is how long all calls to the store have failed.
-	failingFor    time.Duration
-	sequence      uint64
+	failingFor time.Duration
+	// sequence is that of the last record that was saved.
+	sequence uint64
+	// retained are the outcomes of ended jobs; retainedOrder has their ids, oldest first.
 	retained      map[workload.JobID]retained
 	retainedOrder []workload.JobID
 	// early are submissions that arrived before the shard's records were loaded.
@@ -29,7 +33,7 @@
 	moving map[workload.JobID]*move
 	// open is the number of stored jobs that haven't ended.
 	open int
-	// refusals are held back until they are certain.
+	// refusals are held back until they are certain, see refuse.
 	refusals []refusal
 	// lastRequestAt is when a stored job was last submitted or moved here.
 	lastRequestAt Time
--- a/core/schedule/runner.go
+++ b/core/schedule/runner.go
@@ -17,13 +17,14 @@
 	retainUntil Time
 	// assumedPresentUntil is until when an unlisted runner that answers is used.
 	assumedPresentUntil Time
-	gone                bool
+	// gone: another incarnation answers at the runner's address, so this one has ended.
+	gone bool
 	// born is when its incarnation began, in milliseconds since 1970; 0 if unknown.
 	born int64
 	// evacuated: its failure domain gets no new tasks.
 	evacuated bool
-	// token is the fencing token under which the runner was acquired; owned is set once it
-	// has answered to that token.
+	// token is the fencing token under which the runner was acquired, 0 while it is left to
+	// another scheduler; owned is set once the runner has answered to that token.
 	token uint64
 	owned bool
 	// refusedToken is the last token that the runner has refused, and refusals how often it
@@ -64,7 +65,8 @@
 	// recorded since.
 	acknowledged uint64
 	ends         []listedEnd
-	// noLeaseUntil is when a lease that isn't renewed has certainly expired.
+	// noLeaseUntil is the time until which no lease is granted. The last lease has certainly
+	// expired by then, see listedEnd.afterLapse.
 	noLeaseUntil Time
 	runs         map[workload.RunKey]*run
 	// orphanCount is the number of runs without a task, foreignOrphanCount that of those
@@ -106,7 +108,7 @@
 }
 
 // ofStoredJob reports whether the run belongs to a stored job. If it was stopped it may have
-// ended successfully just before, and only the runner's list shows which.
+// ended successfully just before, and only the runner's list shows whether it has.
 func (u *run) ofStoredJob() bool { return u.task != nil && u.task.job.stored != nil }
 
 func newRunner(info workload.Runner, now Time) *runner {
--- a/core/schedule/schedule.go
+++ b/core/schedule/schedule.go
@@ -13,6 +13,24 @@
 // Safety rests on leases measured on the runners' own clocks. A task is started again only
 // if its last run is listed as ended, was stopped by an order that the runner answered, or
 // can't be alive any more because its lease has expired.
+//
+// Terms:
+//
+//   - A run is one start of a task on a runner. Its end is the runner's record of how it ended; the
+//     runner lists the end until a scheduler acknowledges it.
+//   - An orphan is a run whose job this scheduler doesn't know; it is a foreign orphan if another
+//     scheduler started it. When its job arrives, the run is adopted: it becomes the task's
+//     current run.
+//   - A run lapses when its lease expires: the runner lists it as ended for that reason, or was
+//     silent for longer than the lease can last.
+//   - Prior runs of a job are those that earlier schedulers may have started.
+//   - A copy of a job is another submission with the same id, by the caller or by an entry VM.
+//   - A stored job is saved in the platform's store before it is accepted. The owner of the
+//     shard's rows in the store is responsible for it, not an entry VM.
+//   - A foreign job belongs to another shard, and was handed in here because that shard has no
+//     room or no reachable leader.
+//   - A job is late if it has waited too long to end within its latency objective, and worthless
+//     if its answer would come when it has no value to the caller any more.
 package schedule
 
 import (
@@ -100,8 +118,8 @@
 	// noticed before a job is placed on it.
 	idleCheckInterval = time.Second
 	// reacquireDelay is how long a runner is left to another scheduler that has taken it.
-	// Usually that scheduler is about to take over, and its next heartbeat says so; taking
-	// the runner back at once would only delay it.
+	// Usually that scheduler is about to become leader, and its next heartbeat says so; taking
+	// the runner back at once would only delay the takeover.
 	reacquireDelay = 150 * time.Millisecond
 	// contestedReacquireDelay is the same for a runner that this scheduler acquired only
 	// recently. It limits how often a runner alternates between two schedulers that can't
@@ -117,8 +135,8 @@
 	// each refusal, maxTermDoublings times at most.
 	termStep         = 16
 	maxTermDoublings = 10
-	// orphanGrace is how long a run without a known job is kept. After a takeover the entry
-	// VM hands the job in again within some milliseconds.
+	// orphanGrace is how long an orphan is left running. After a takeover the entry VM hands
+	// its job in again within some milliseconds.
 	orphanGrace = 150 * time.Millisecond
 	// abandonedGrace is how long the runs of a job go on after its entry process has ended.
 	// It must end before the caller sends the job again, perhaps to a scheduler that can't
@@ -134,12 +152,13 @@
 	// UnreachableTimeout is how long an unreachable process is presumed to be alive beyond a
 	// network partition; VMs that are lost for good don't come back.
 	UnreachableTimeout = 30 * time.Second
-	// maxHeartbeatAge is the age of an entry VM's last heartbeat, two intervals, up to which
-	// its tasks are started: an entry VM counts a scheduler as lost after three intervals,
-	// counted from one heartbeat earlier at most. Tasks whose runs have lapsed by then wait
-	// for entryRecoveryDelay, in which the entry VM is heard again or counts as lost. After a
-	// partition a run lapses 502 ms after the last heartbeat or later.
-	maxHeartbeatAge    = 300 * time.Millisecond
+	// maxHeartbeatAge is the age of an entry VM's last heartbeat up to which tasks of its jobs
+	// are started. It is two heartbeat intervals: an entry VM counts a scheduler as lost after
+	// three, counted from one heartbeat earlier at most.
+	maxHeartbeatAge = 300 * time.Millisecond
+	// entryRecoveryDelay is how long a task waits whose run lapses when the last heartbeat of
+	// its entry VM is older than maxHeartbeatAge. In that time the entry VM is heard again or
+	// counts as lost. After a partition a run lapses 502 ms after the last heartbeat or later.
 	entryRecoveryDelay = 300 * time.Millisecond
 	// ranRetention is how long the scheduler remembers that a task of a job has run: longer
 	// than callers go on sending the job again.
@@ -192,7 +211,7 @@
 	// unreachable holds the VMs whose processes became unreachable and haven't come back,
 	// and since when. They may lead on the other side of a network partition.
 	unreachable map[string]Time
-	// anyUnreachable: a VM that may be alive is unreachable, perhaps since its start.
+	// anyUnreachable: a VM that may be alive is unreachable. It may never have been reachable.
 	anyUnreachable bool
 	// otherCellUnreachable: a VM of another cell is unreachable, or was recently.
 	otherCellUnreachable bool
@@ -204,8 +223,8 @@
 	allReachableSince Time
 	// lastHeard is when each entry process last sent a message.
 	lastHeard map[EntryID]Time
-	// ranJobs are jobs without an outcome that are known to have run in part, and when that
-	// was last seen.
+	// ranJobs are jobs without an outcome of which tasks have run, or may have run under an
+	// earlier scheduler, and when that was last recorded.
 	ranJobs map[workload.JobID]Time
 	// unstored are jobs that are known not to be stored ones, for a while after they have
 	// ended.
@@ -226,7 +245,11 @@
 	ctr Counters
 }
 
-// Counters are totals since the start of the process.
+// Counters are totals since the start of the process. Cancelled includes jobs whose callers left.
+// Refused and GaveUp count the outcomes NotRun and GaveUp. Done counts tasks, Lapsed runs whose
+// lease expired, Adopted the adopted orphans, and Overstayed the runs that were stopped as overdue.
+// Fenced counts the runners that have accepted another scheduler's higher token, and Unanswered
+// the orders without an answer.
 type Counters struct {
 	Submitted, Completed, Failed, Cancelled, Refused, GaveUp uint64
 	Starts, Done, FailedRuns, Lapsed, Adopted, Overstayed    uint64
@@ -244,6 +267,7 @@
 	}
 }
 
+// result is the outcome of an ended job, and since when it is retained.
 type result struct {
 	outcome workload.Outcome
 	at      Time
@@ -285,12 +309,14 @@
 	s.term = max(s.term, n)
 }
 
-// Leading reports whether the scheduler owns runners.
+// Leading reports whether the scheduler acts as leader of its shard.
 func (s *Scheduler) Leading() bool { return s.leading }
 
 // Counters returns the totals.
 func (s *Scheduler) Counters() Counters { return s.ctr }
 
+// token returns the fencing token of the present term, which begins with the term so that a token
+// of a later term is higher.
 func (s *Scheduler) token() uint64 {
 	return s.term<<numberBits | s.cfg.ProcessNumber&(1<<numberBits-1)
 }
@@ -342,9 +368,9 @@
 	}
 }
 
-// Retire releases all runners and drops all jobs without stopping their runs: the next
-// leader takes the runners with what runs there and continues with it, and entry VMs hand
-// their jobs in to that leader.
+// Retire releases all runners and drops all jobs. It doesn't stop their runs, since the next
+// leader adopts them; stopping would discard their work. Entry VMs hand their jobs in to that
+// leader.
 func (s *Scheduler) Retire(now Time) {
 	s.now = now
 	if !s.leading {
--- a/core/schedule/stored.go
+++ b/core/schedule/stored.go
@@ -67,9 +67,11 @@
 	// ledger.Record.
 	state    ledger.State
 	to, hand int
-	// waiters are the entry processes to be told of the acceptance, with their deadlines.
+	// waiters are the entry processes that wait for the acceptance, with the ends of their
+	// callers' timeouts.
 	waiters map[EntryID]Time
-	// senders are the processes to be told that a job of their shard has arrived here.
+	// senders are the processes of another shard that have sent the job here, and wait for the
+	// acknowledgement that it is in this shard's rows.
 	senders []sender
 }
 
--- a/core/schedule/submit.go
+++ b/core/schedule/submit.go
@@ -142,7 +142,7 @@
 	s.emit(Decision{Event: "run-adopted", Job: j.work.ID, Run: u.key, Runner: u.runner.info.ID, Token: u.runner.token})
 }
 
-// reserve corrects the resources that a run uses.
+// reserve sets the resources that a run uses once its task is known.
 func (r *runner) reserve(u *run, need workload.Resources) {
 	r.used = r.used.Minus(u.need).Plus(need)
 	u.need = need
@@ -226,8 +226,8 @@
 	})
 }
 
-// noteRan remembers that tasks of a job have run. Its caller may send it again, and must not be told
-// then that nothing was run.
+// noteRan remembers that tasks of a job have run, or may have. The caller may send the job again,
+// and must not be told then that nothing was run.
 func (s *Scheduler) noteRan(j *job) {
 	if j.started {
 		s.ranJobs[j.work.ID] = s.now
--- a/core/schedule/tick.go
+++ b/core/schedule/tick.go
@@ -100,6 +100,8 @@
 	}
 }
 
+// tickRun drops a run that was stopped and must be over, and stops an orphan whose time is over or
+// an overdue run.
 func (s *Scheduler) tickRun(r *runner, u *run) {
 	switch {
 	case u.stopped && s.now >= u.overAt && !u.ofStoredJob():
