--- a/core/gateway/gateway.go
+++ b/core/gateway/gateway.go
@@ -24,8 +24,9 @@
 
 const (
 	// orphanRunLifetime is how long after the last contact with a scheduler a run that it
-	// started may be alive unknown to the next scheduler: the lost scheduler must first miss
-	// this entry VM, then it stops the runs, and if runners don't answer their leases expire.
+	// started may be alive unknown to the next scheduler: the lost scheduler first has to count
+	// this entry VM as lost, then it stops the runs, and if runners don't answer their leases
+	// expire.
 	orphanRunLifetime = 1300 * time.Millisecond
 	// noLeaderTimeout is how long a job waits for a scheduler at a start or a change of
 	// leader, which take less.
@@ -96,8 +97,8 @@
 	Outcome    workload.Outcome
 	RetryAfter time.Duration
 	Reason     string
-	// NoRoom: the scheduler has started nothing of the job for lack of room, and
-	// another scheduler may have some.
+	// NoRoom: the scheduler has started no task of the job for lack of room, and another
+	// scheduler may have room.
 	NoRoom bool
 }
 
@@ -123,7 +124,7 @@
 	// scheduler has the job; "" if none has. handed counts the schedulers before it.
 	scheduler leader.ID
 	handed    int
-	// uncertainUntil is when all runs of earlier schedulers have ended.
+	// uncertainUntil is when all runs of earlier schedulers have certainly ended.
 	uncertainUntil Time
 }
 
@@ -190,8 +191,8 @@
 // InFlight is the number of jobs that wait for an answer.
 func (g *Gateway) InFlight() int { return len(g.jobs) }
 
-// Submit takes a caller's request for a job of a shard. A second request with the same job ID
-// gets the same answer.
+// Submit takes a caller's request for a job of a shard; patience is the time until the caller's
+// timeout. A second request with the same job ID gets the same answer.
 func (g *Gateway) Submit(now Time, request uint64, shard int, job *workload.Job, patience time.Duration) {
 	g.now = now
 	if j := g.jobs[job.ID]; j != nil {
@@ -303,6 +304,8 @@
 	return best, found
 }
 
+// handIn hands a job in to the leader of the shard chosen for it. If none has a reachable leader,
+// the job stays without a scheduler.
 func (g *Gateway) handIn(j *inFlightJob) {
 	if shard, ok := g.chooseShard(j); ok {
 		g.handTo(j, shard)
@@ -401,7 +404,8 @@
 	g.now = now
 	for _, j := range g.sortedJobs() {
 		if j.scheduler == "" && now < j.deadline {
-			// Runs of the former scheduler may have ended by now.
+			// All runs of the former scheduler may have ended by now, so that the job may go to
+			// another shard.
 			g.handIn(j)
 		}
 		switch {
@@ -412,7 +416,7 @@
 				continue
 			}
 			// The former scheduler may have had the job from another entry VM, so the
-			// answer doesn't promise that nothing of it has run.
+			// answer doesn't promise that no task of the job has run.
 			g.giveUp(j, "no scheduler")
 		}
 	}
--- a/core/ledger/call.go
+++ b/core/ledger/call.go
@@ -85,7 +85,7 @@
 // Verified confirms that this process owned the shard at the time OwnedAt.
 type Verified struct{ At, OwnedAt Time }
 
-// Lost tells that another process has claimed the shard.
+// Lost reports that another process has claimed the shard.
 type Lost struct{ At Time }
 
 func (Claim) command()    {}
--- a/core/ledger/exclusion.go
+++ b/core/ledger/exclusion.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// A VM that was removed for good can't be told from one behind a network partition, whose
-// process may claim the shard in the store. Therefore an owner that has had no contact with a
-// VM for long has the store refuse the shard to that VM for ExclusionTime, and renews this
-// while it can. Until it expires, only processes that have contact with the owner can claim
-// the shard, also while the owner can't reach the store.
+// Exclusion of VMs from a shard. A VM that was removed for good can't be distinguished from one
+// behind a network partition, whose process may claim the shard in the store. Therefore an owner
+// that has had no contact with a VM for long has the store refuse the shard to that VM for
+// ExclusionTime, and renews this exclusion while it can. Until the exclusion expires, only processes
+// that have contact with the owner can claim the shard, also while the owner can't reach the store.
 
 const (
 	// ExclusionTime is how long the store refuses the shard to excluded VMs after each
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -2,8 +2,8 @@
 //
 // One process owns a shard's rows at a time. It takes ownership by changing the ownership
 // row, and each of its writes is conditional on the version that resulted. A write of a former
-// owner, or one that the store carries out seconds after the caller gave up on it, therefore
-// has no effect once the shard has been taken again.
+// owner, or one that the store carries out seconds after the wait for its answer has ended,
+// therefore has no effect once the shard has been taken again.
 //
 // After a write without an answer, the ledger renews its ownership, which voids the write if
 // it hasn't been carried out yet, and writes the same rows again.
@@ -46,8 +46,9 @@
 	idleCheckInterval = time.Second
 	// maxChecksInFlight limits concurrent checks.
 	maxChecksInFlight = 4
-	// reclaimDelay is how long this process, as leader of the shard, leaves its rows to
-	// another process that took them. The two have no contact with each other.
+	// reclaimDelay is how long this process, as leader of the shard, leaves its rows to another
+	// process that took them. That process acts as leader too; the two have no contact with
+	// each other.
 	reclaimDelay = 2 * time.Second
 )
 
@@ -63,8 +64,8 @@
 	reading
 	// open: records can be written.
 	open
-	// quiescing: a write got no answer, or the excluded VMs are to change; ownership is
-	// renewed when all writes have returned.
+	// quiescing: a write got no answer, or the exclusion of VMs is to be changed or renewed. No
+	// write is sent, and the ownership is renewed when all writes in flight have returned.
 	quiescing
 	// lost: another process owns the shard.
 	lost
@@ -194,16 +195,16 @@
 	e.record, e.sequence = r, sequence
 }
 
-// Uncontested tells that no other process can consider itself leader of the shard, so that
-// the reclaim delay needn't be waited for.
+// Uncontested records that no other process can consider itself leader of the shard. A lost shard
+// is then claimed again after retryDelay at the latest, without waiting for reclaimDelay.
 func (l *Ledger) Uncontested(now Time) {
 	if l.phase == lost {
 		l.due = min(l.due, now+retryDelay)
 	}
 }
 
-// Tick does what is due. inUse tells that jobs depend on the ownership, which is then checked
-// more often.
+// Tick sends the calls that are due. inUse means that jobs depend on the ownership, which is then
+// checked more often.
 func (l *Ledger) Tick(now Time, inUse bool) {
 	l.now = now
 	if l.phase == lost && now >= l.due {
@@ -250,7 +251,8 @@
 	}
 }
 
-// canWrite reports whether a write can be sent now.
+// canWrite reports whether a write can be sent now. While others are in flight, the next one is
+// sent only once its first record has waited for maxBatchWait.
 func (l *Ledger) canWrite() bool {
 	id, ok := l.nextSendable()
 	if !ok || len(l.writes) >= maxWritesInFlight {
@@ -270,6 +272,7 @@
 	return "", false
 }
 
+// write sends as many waiting records as one write may carry, at most one for each job.
 func (l *Ledger) write() {
 	w := Write{Call: l.nextCall(), Version: l.ownership.Version}
 	var entries []*pendingRecord
@@ -363,6 +366,8 @@
 	case r.Outcome != Applied:
 		l.recordFailure(r.SentAt)
 	case l.phase == open && r.Version != l.ownership.Version && r.SentAt > l.claimedAt:
+		// The check was sent after the last claim was answered, so it can't have read an older
+		// version than that of the claim.
 		l.loseOwnership()
 	case r.Version == l.ownership.Version:
 		l.recordSuccess(r.SentAt)
@@ -406,7 +411,8 @@
 	l.emit(s)
 }
 
-// requeue queues records to be sent again, before the others.
+// requeue queues records to be sent again, before the others. A record that a newer one of the same
+// job has replaced isn't sent again, but the newer one keeps its definition.
 func (l *Ledger) requeue(entries []*pendingRecord) {
 	ids := make([]workload.JobID, 0, len(entries)+len(l.order))
 	for _, e := range entries {
--- a/core/ledger/record.go
+++ b/core/ledger/record.go
@@ -65,7 +65,7 @@
 	// Definition is the job as it was accepted. In a record to be saved it is nil if the
 	// store already has it.
 	Definition *workload.Job
-	// Age is the time since the job was accepted, as of reading.
+	// Age is the time from the acceptance of the job until the record was read.
 	Age time.Duration
 	// Epoch is the ownership epoch of the shard in which the job was accepted.
 	Epoch uint64
--- a/core/schedule/command.go
+++ b/core/schedule/command.go
@@ -61,7 +61,7 @@
 	Entry   EntryID
 	Job     workload.JobID
 	Outcome workload.Outcome
-	// RetryAfter is when a caller whose job did not run may send it again.
+	// RetryAfter is the time after which a caller whose job did not run may send it again.
 	RetryAfter time.Duration
 	// Waited is the time from the job's arrival to its first start, and Runs the number of
 	// starts; for logs.
--- a/core/schedule/listing_test.go
+++ b/core/schedule/listing_test.go
@@ -55,7 +55,8 @@
 	b.g.Expect(b.s.runners["cut"].usable(b.now)).To(BeFalse())
 }
 
-// The same runner had reported that it drains before the partition. Nothing is started there.
+// The same, but the runner had reported before the partition that it drains. Nothing is started
+// there.
 func TestDrainingRunnersThatAnswerAgainAreNotUsed(t *testing.T) {
 	b := leading(t, testRunner("stays"))
 	cut := testRunner("cut")
--- a/core/schedule/restore_test.go
+++ b/core/schedule/restore_test.go
@@ -121,9 +121,9 @@
 	b.g.Expect(one[Save](b).Record.State).To(Equal(ledger.Completed), "the runner still lists the end")
 }
 
-// A runner was cut off while a task that it had done was started elsewhere. If its end were
-// acknowledged immediately, the task would have run again after an end that counts. So the runner's
-// lease must expire first: then the end doesn't count.
+// A runner was cut off while a task that it had done was started elsewhere. If the end of the first
+// run were acknowledged immediately, the task would have run again after an end that counts. So the
+// runner's lease must expire first: then the end doesn't count.
 func TestEndOfATaskThatWasStartedAgain(t *testing.T) {
 	b, first := runsOnOneOfTwo(t)
 	b.s.runnerFenced(b.s.runners[first.Runner])
--- a/core/schedule/runner.go
+++ b/core/schedule/runner.go
@@ -95,7 +95,8 @@
 	confirmed bool
 	// startedElsewhere: another scheduler has started the run.
 	startedElsewhere bool
-	// stopAt is when an orphan is stopped.
+	// stopAt is when an orphan is stopped, or a stop that stayed unanswered is sent again; 0 if
+	// neither is due.
 	stopAt Time
 	// stopping: an order to stop the run was sent. stopped: the order was answered, and the
 	// run is over at overAt even if no end is listed.
@@ -234,7 +235,7 @@
 	r.unresponsiveSince = now
 }
 
-// answered clears unresponsive if the answer is to an order sent after that was set.
+// answered clears unresponsive if the answered order was sent after the runner was marked.
 func (r *runner) answered(sentAt Time) {
 	if sentAt >= r.unresponsiveSince {
 		r.unresponsive = false
--- a/core/schedule/safety_test.go
+++ b/core/schedule/safety_test.go
@@ -199,8 +199,8 @@
 	}
 }
 
-// A job arrives from another scheduler while one runner is unreachable. It may run there, so it
-// isn't started until such a run must be over.
+// A job arrives from another scheduler while one runner is unreachable. The job may run there, so
+// none of its tasks is started until such a run must be over.
 func TestJobFromAnotherScheduler(t *testing.T) {
 	b := newHarness(t, testRunner("r1"), testRunner("r2"))
 	b.s.Lead(b.now)
--- a/core/schedule/stored.go
+++ b/core/schedule/stored.go
@@ -17,9 +17,9 @@
 
 const (
 	// maxPriorRunLife is how long runs of the previous owner may live after a shard was taken
-	// from a scheduler that isn't reachable: that one treats its ownership as lost maxProofAge
-	// after the last proof, stops its runs within a tick, and the runs on runners that don't
-	// answer live as long as a lease.
+	// from a scheduler that isn't reachable: that scheduler treats its ownership as lost
+	// maxProofAge after the last proof and stops its runs within a tick, and the runs on runners
+	// that don't answer live as long as a lease.
 	maxPriorRunLife = 1300 * time.Millisecond
 	// maxProofAge is the age up to which a proof of the ownership holds while a process that may
 	// have taken the shard is unreachable.
--- a/core/schedule/stored_test.go
+++ b/core/schedule/stored_test.go
@@ -92,8 +92,8 @@
 	b.g.Expect(held[len(held)-1].Acknowledged).To(BeEquivalentTo(1))
 }
 
-// The last task ends. The job is shown as completed only when that is in the store: otherwise it
-// would run once more after a power loss.
+// The last task ends. The job is shown as completed only when its completion is in the store:
+// otherwise the job would run once more after a power loss.
 func TestCompletedMeansSaved(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j := storedJob(1, 100*ms)
@@ -109,7 +109,8 @@
 	b.g.Expect(b.s.State(j.ID, b.now)).To(Equal(JobState{Known: true, Ended: true, Outcome: workload.Completed}))
 }
 
-// A job is cancelled. That is in the store before its caller is told, and its runs are stopped.
+// A job is cancelled. The cancellation is in the store before the caller is told, and the job's
+// runs are stopped.
 func TestCancelledStoredJob(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j := storedJob(1, 2*time.Second)
@@ -127,8 +128,8 @@
 	b.g.Expect(state.Known).To(BeTrue())
 }
 
-// A job is cancelled before it arrives, and its caller is told so. The late copy is accepted and
-// never runs; until it arrives queries don't find such a job.
+// A job is cancelled before it arrives, and its caller is told so. The job that arrives later is
+// accepted and never runs; until it arrives, queries don't find it.
 func TestCancelledBeforeItArrives(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	j := storedJob(1, 100*ms)
@@ -288,8 +289,9 @@
 }
 
 // Another process is about to become leader, since this one has reported that its VM is slow. The
-// other may have taken the jobs and accepted one that this process is asked about before it
-// learns of that. That all processes are reachable doesn't prove any more that none has.
+// other process may have taken the shard and accepted a job, and a caller may ask this process for
+// that job before this process learns of the change. That all processes are reachable doesn't
+// prove any more that none of them has accepted the job.
 func TestUnknownJobIsNotDeniedWhileContested(t *testing.T) {
 	b := leading(t, testRunner("r1"))
 	asked := b.now
--- a/core/schedule/timed_test.go
+++ b/core/schedule/timed_test.go
@@ -53,8 +53,8 @@
 	b.g.Expect(saves[len(saves)-1].Record.State).To(Equal(ledger.Completed))
 }
 
-// A scheduler is lost between two occurrences of a job. The next one knows which have ended, and
-// runs the rest when they are due.
+// A scheduler is lost between two occurrences of a job. The next scheduler knows which occurrences
+// have ended, and runs the rest when they are due.
 func TestRestoredTimedJob(t *testing.T) {
 	b := newHarness(t, testRunner("r1"))
 	j := b.timedJob(3, -400*ms, 2*time.Second)
