--- a/core/schedule/acknowledge.go
+++ b/core/schedule/acknowledge.go
@@ -151,6 +151,8 @@
 	return s.rows.priorRunsOverAt - (maxPriorRunLife - maxProofAge - priorOwnerSlack)
 }
 
+// canAcknowledge reports whether an end meets the conditions in listedEnd. An end that has a record
+// also waits until a previous owner can't restart the task any more.
 func (s *Scheduler) canAcknowledge(r *runner, l listedEnd) bool {
 	if l.unknown && !(s.rows.loaded && s.rows.verifiedAt >= l.unknownSince) || l.afterLapse && s.now <= r.noLeaseUntil {
 		return false
--- a/core/schedule/entries.go
+++ b/core/schedule/entries.go
@@ -71,7 +71,7 @@
 func (s *Scheduler) SetUnreachable(unreachable bool) { s.anyUnreachable = unreachable }
 
 // SetOtherCellUnreachable sets whether a VM of another cell is unreachable, or was recently. Copies
-// of its jobs may arrive here, and only that cell's scheduler knows what has run of them.
+// of that cell's jobs may arrive here, and only its scheduler knows what has run of them.
 func (s *Scheduler) SetOtherCellUnreachable(otherCellUnreachable bool) {
 	s.otherCellUnreachable = otherCellUnreachable
 }
--- a/core/schedule/job.go
+++ b/core/schedule/job.go
@@ -202,6 +202,7 @@
 
 func (t *taskState) step() *workload.Step { return &t.job.work.Steps[t.name.Step] }
 
+// setPhase changes the phase of a task, and the counts of its job.
 func (t *taskState) setPhase(p taskPhase) {
 	if t.phase == p {
 		return
--- a/core/schedule/offered.go
+++ b/core/schedule/offered.go
@@ -33,6 +33,7 @@
 	o.at = now
 }
 
+// now returns the average at the present time, by which it has decayed since the last arrival.
 func (o *offeredLoad) now(now Time) float64 {
 	return o.average * math.Exp(-float64(now-o.at)/float64(offeredWindow))
 }
@@ -58,6 +59,8 @@
 	}
 }
 
+// refuseLateOf refuses those of one service. Ahead of a late job are the jobs that aren't late or
+// can't be refused any more, and the earlier late jobs whose turn comes in time.
 func (s *Scheduler) refuseLateOf(service string) {
 	capacity := float64(s.capacity(service))
 	if capacity == 0 {
--- a/core/schedule/records.go
+++ b/core/schedule/records.go
@@ -20,6 +20,8 @@
 	move *move
 }
 
+// jobState returns the state that callers get. An id that was cancelled before its job arrived is
+// reported as not known.
 func (k retained) jobState() JobState {
 	if k.move != nil {
 		return JobState{Known: true, Begun: true}
@@ -107,6 +109,7 @@
 	s.emit(OutcomeSaved{Job: j.work.ID, State: s.rows.retained[j.work.ID].jobState()})
 }
 
+// retain retains the outcome of a stored job; retainResult does so for other jobs.
 func (s *Scheduler) retain(id workload.JobID, state ledger.State, restarted bool) {
 	if _, ok := s.rows.retained[id]; !ok {
 		s.rows.retainedOrder = append(s.rows.retainedOrder, id)
--- a/core/schedule/results.go
+++ b/core/schedule/results.go
@@ -198,6 +198,8 @@
 	return nil
 }
 
+// taskDone handles the successful end of a task, in a run u on a runner r if these are known. If
+// the task has another run, that run is stopped.
 func (s *Scheduler) taskDone(t *taskState, r *runner, u *run) {
 	s.ctr.Done++
 	if u != nil && u.task == t {
--- a/core/schedule/runner.go
+++ b/core/schedule/runner.go
@@ -81,7 +81,7 @@
 type run struct {
 	key    workload.RunKey
 	runner *runner
-	// task is nil for a run whose job isn't known (an orphan).
+	// task is nil for an orphan, see the terms in the package comment.
 	task    *taskState
 	need    workload.Resources
 	started Time
--- a/core/schedule/schedule.go
+++ b/core/schedule/schedule.go
@@ -18,9 +18,9 @@
 //
 //   - A run is one start of a task on a runner. Its end is the runner's record of how it ended; the
 //     runner lists the end until a scheduler acknowledges it.
-//   - An orphan is a run whose job this scheduler doesn't know; it is a foreign orphan if another
-//     scheduler started it. When its job arrives, the run is adopted: it becomes the task's
-//     current run.
+//   - An orphan is a run that belongs to no task here: its job isn't known or was dropped, or its
+//     task is done or has another run. It is a foreign orphan if another scheduler started it. If
+//     its job arrives, the run is adopted: it becomes the current run of its task.
 //   - A run lapses when its lease expires: the runner lists it as ended for that reason, or was
 //     silent for longer than the lease can last.
 //   - Prior runs of a job are those that earlier schedulers may have started.
--- a/core/schedule/submit.go
+++ b/core/schedule/submit.go
@@ -214,6 +214,7 @@
 	s.stopAll(j)
 }
 
+// stopAll stops all runs of a job, which become orphans.
 func (s *Scheduler) stopAll(j *job) {
 	j.eachTask(func(t *taskState) {
 		if t.run == nil {
