--- a/core/schedule/order.go
+++ b/core/schedule/order.go
@@ -163,8 +163,9 @@
 func (s *Scheduler) heldBack(j *job) bool {
 	switch {
 	case j.stored == nil && s.now-s.lastHeard[j.entry] > maxHeartbeatAge:
-		// Its entry VM may have counted this process as lost before it is counted as lost here,
-		// and have given the job to a scheduler that sees only the runs that exist by then.
+		// The job's entry VM may have counted this process as lost before this process counts
+		// that VM as lost, and may have given the job to a scheduler that sees only the runs that
+		// exist by then.
 		return true
 	case j.priorSchedulers > 0 && s.now < s.progressWaitUntil:
 		return true
