--- a/core/schedule/offered.go
+++ b/core/schedule/offered.go
@@ -7,9 +7,10 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// A late job waits for all jobs that aren't late, and for those that arrive meanwhile. In a burst
-// more work arrives than the runners can do, so its turn doesn't come while its answer has any
-// value. It is refused as soon as that is known, without waiting for its deadline.
+// A late job (see job.late) waits for all jobs that aren't late, and for those that arrive
+// meanwhile. In a burst more work arrives than the runners can do, so the turn of the late job
+// doesn't come while its answer has any value. The job is refused as soon as that is known, without
+// waiting for its deadline.
 
 const (
 	// offeredWindow is the time constant of the average of arriving work.
@@ -32,6 +33,7 @@
 	o.at = now
 }
 
+// now returns the average at the present time, by which it has decayed since the last arrival.
 func (o *offeredLoad) now(now Time) float64 {
 	return o.average * math.Exp(-float64(now-o.at)/float64(offeredWindow))
 }
@@ -57,6 +59,8 @@
 	}
 }
 
+// refuseLateOf refuses those of one service. Ahead of a late job are the jobs that aren't late or
+// can't be refused any more, and the earlier late jobs whose turn comes in time.
 func (s *Scheduler) refuseLateOf(service string) {
 	capacity := float64(s.capacity(service))
 	if capacity == 0 {
