--- a/core/dispatch/borrowing.go
+++ b/core/dispatch/borrowing.go
@@ -37,8 +37,8 @@
 	c.scheduleRecheck()
 }
 
-// scheduleRecheck sets a timer that leads to another placement pass: tasks become
-// late and requests stay unanswered without any event.
+// scheduleRecheck sets a timer that leads to another placement pass: tasks become late, and
+// requests pass grantTimeout, without any event.
 func (c *Core) scheduleRecheck() {
 	if c.lending.recheckPending {
 		return
@@ -58,8 +58,8 @@
 	return n
 }
 
-// requestIdle requests slots from the peers that are thought to have idle ones, the
-// one with the most first, and returns the remaining need.
+// requestIdle requests slots from the peers whose last report leaves idle ones, the peer
+// with the most first, and returns the number of slots still needed.
 func (c *Core) requestIdle(institution string, need int, limits LendingLimits) int {
 	var candidates []task.Incarnation
 	for p, s := range c.lending.reports {
@@ -83,10 +83,10 @@
 	return need
 }
 
-// requestSpeculatively requests slots from one peer that is not known to have idle
-// ones. Peers that recently reported waiting tasks or have a request outstanding are
-// excluded; of the others it picks the one with the oldest report. If there is none,
-// no peer is asked for a while.
+// requestSpeculatively requests slots from one peer that is not known to have idle ones.
+// Peers that recently reported waiting tasks or whose request is still being served are
+// excluded; of the others it picks the one with the oldest report. If all are excluded, no
+// slots are requested for minRequestLifetime.
 func (c *Core) requestSpeculatively(institution string, need int) {
 	var best requestKey
 	var bestAt task.Time
@@ -125,8 +125,10 @@
 	}}})
 }
 
-// receiveGrant takes over granted slots. They are used for half of the loan duration
-// of the lender, so that tasks started on them have ended when the loan expires.
+// receiveGrant takes over granted slots. Tasks are started on them for half of the loan
+// duration, so that these have ended when the loan expires at the lender. returned is the
+// number of slots of this process that the peer returned with the grant; they count as
+// granted, too.
 func (c *Core) receiveGrant(from task.Incarnation, g *pb.LendGrant, returned int) {
 	for k, r := range c.lending.requested {
 		if k.peer != from || r.id != g.GetRequest() {
@@ -150,7 +152,8 @@
 	c.after(usable, func() { c.pool.EndLoan(from, g.GetLoan()) })
 }
 
-// addReturns adds spare borrowed slots to a message to their lender.
+// addReturns adds the slots to be returned to a lender, among them spare ones, to a message
+// to it. A slot that has been used since returnSpare counted the spare ones is not returned.
 func (c *Core) addReturns(to task.Incarnation, m *pb.PeerMessage) {
 	for _, inst := range c.settings.Current().GetInstitutions() {
 		name := inst.GetName()
@@ -168,7 +171,7 @@
 	}
 }
 
-// scheduleReturn returns borrowed slots that stay unused for a while.
+// scheduleReturn sets a timer that returns the borrowed slots that stay unused until then.
 func (c *Core) scheduleReturn(inst *pb.Institution) {
 	name := inst.GetName()
 	if c.lending.returnPending || c.pool.Idle(name) == c.pool.IdleOwn(name) {
@@ -183,8 +186,8 @@
 	})
 }
 
-// returnSpare returns spare borrowed slots, to the peers with the most idle ones
-// first to save messages.
+// returnSpare sends messages to return spare borrowed slots, first to the lenders with the
+// most idle ones to save messages. send adds the slots to each message.
 func (c *Core) returnSpare(institution string, minBatch int) {
 	c.lending.spare[institution] = c.pool.SpareBorrowed(institution, false)
 	list := c.sortedPeers()
--- a/core/dispatch/lending.go
+++ b/core/dispatch/lending.go
@@ -14,35 +14,40 @@
 type Lending struct {
 	// Off disables borrowing by this process.
 	Off bool
-	// LoanDuration is how long a loan lasts on the lender's clock. The borrower
-	// starts tasks on it for half of that, so that they have ended when it expires.
+	// LoanDuration is how long a loan lasts on the lender's clock. The borrower starts
+	// tasks on the lent slots only during half of that time, counted from the arrival of
+	// the grant, so that these tasks have ended when the loan expires.
 	LoanDuration time.Duration
-	// Limits derives the limits from an institution's tolerance.
+	// Limits derives the limits from an institution's tolerance, which its settings
+	// declare as borrow_tolerance_ms.
 	Limits func(tolerance time.Duration) LendingLimits
 }
 
-// LendingLimits trade response time against messages.
+// LendingLimits trade response time against messages between entry processes: with higher
+// limits, tasks may wait longer for a slot and fewer messages are sent.
 type LendingLimits struct {
-	// Tolerance is how long a task of a typical job may wait for an own slot. The
-	// tasks of longer jobs may wait longer in proportion.
+	// Tolerance is how long a task may wait for an own slot before a slot is requested from
+	// peers, if the longest task of its job runs for the mean run time. For other jobs it is
+	// proportional to the run time of the longest task.
 	Tolerance time.Duration
-	// Slack bounds the additional wait of a task that is declared shorter than the
-	// longest of its job.
+	// Slack bounds the wait allowed beyond Tolerance to a task that is declared shorter than
+	// the longest of its job: it may wait longer by the difference of the two run times, but
+	// by no more than Slack.
 	Slack time.Duration
-	// SurplusPercent is the percentage of a lender's remaining idle slots that is
-	// requested beyond the need.
+	// SurplusPercent is the percentage of a peer's other idle slots, those that are not
+	// needed now, that is requested along with the needed ones.
 	SurplusPercent int
 	// MinSpeculativeWait is the minimum expected wait at which slots are requested
 	// from peers that are not known to have idle ones.
 	MinSpeculativeWait time.Duration
 	// ReturnDelay is how long a borrowed slot must be unused before it is returned.
 	ReturnDelay time.Duration
-	// MinReturnBatch is the minimum number of slots returned in a separate message.
-	// Fewer wait for a message that is sent anyway.
+	// MinReturnBatch is the minimum number of slots for which a message is sent only to
+	// return them. Fewer are returned with the next message sent for another reason.
 	MinReturnBatch int
 }
 
-// DefaultLending gave the best results; see docs/design/placement.md.
+// DefaultLending is the default configuration; see docs/design/placement.md.
 var DefaultLending = Lending{LoanDuration: 60 * time.Second, Limits: LendingLimitsFor}
 
 const (
@@ -51,28 +56,32 @@
 	baseReturnBatch     = 2
 	maxReturnBatch      = 8
 	maxSurplusPercent   = 60
-	// grantTimeout is how long to wait for a grant before another peer is asked.
+	// grantTimeout is how long requested slots count as about to be granted; after that,
+	// the tasks that need them may cause requests to other peers.
 	grantTimeout = 20 * time.Millisecond
-	// minRequestLifetime and maxRequestLifetime bound how long a request is served
-	// as slots become idle; within the bounds it is the borrower's expected wait
+	// minRequestLifetime and maxRequestLifetime bound how long a lender serves a request
+	// as its slots become idle. Within the bounds it is the borrower's expected wait
 	// divided by requestLifetimeDivisor.
 	minRequestLifetime     = 2 * time.Millisecond
 	maxRequestLifetime     = time.Second
 	requestLifetimeDivisor = 4
-	// queuedPeerBackoff is how long a peer that reported waiting tasks is not asked.
+	// queuedPeerBackoff is how long a peer that reported waiting tasks, and is not known to
+	// have idle slots, gets no request.
 	queuedPeerBackoff = 400 * time.Millisecond
 	// lostBorrowerGrace is how long slots stay lent after the connection with their
-	// borrower is lost. Reused at once, they could still be running tasks that the
-	// borrower started; never reclaimed, they would be lost.
+	// borrower is lost. If they were reused at once, tasks that the borrower started could
+	// still be running on them; if they were never reclaimed, they would be lost.
 	lostBorrowerGrace = time.Second
-	// minSlotInterval avoids division by zero when no run times are known.
+	// minSlotInterval is the minimum of slotInterval, so that the expected wait of a queue
+	// is never 0.
 	minSlotInterval = time.Microsecond
-	// runTimeMeanWindow is the inverse weight of a new run time in the running mean.
-	runTimeMeanWindow = 32
+	// runTimeMeanDivisor is the inverse of the weight of a new run time in the running mean:
+	// each run time has a weight of 1/32.
+	runTimeMeanDivisor = 32
 )
 
-// LendingLimitsFor derives the limits from an institution's tolerance: 0 minimises
-// response time, 20 ms and more minimises messages.
+// LendingLimitsFor derives the limits from an institution's tolerance. A tolerance of 0
+// favours short response times, one of 20 ms or more favours few messages.
 func LendingLimitsFor(tolerance time.Duration) LendingLimits {
 	ms := int(tolerance.Milliseconds())
 	return LendingLimits{
@@ -85,7 +94,7 @@
 	}
 }
 
-// lending is the state of slots lent to peers and of requests for slots.
+// lending is the state of the lending of slots with peers, in both directions.
 type lending struct {
 	lastLoan    uint64
 	lastRequest uint64
@@ -97,11 +106,15 @@
 	received  map[requestKey]*slotRequest
 	// reports are the latest slot reports of peers.
 	reports map[task.Incarnation]*slotReport
-	// mean is the running mean of the run times of an institution's tasks.
-	mean map[string]time.Duration
-	// spare is the number of borrowed slots that may be returned, by institution.
+	// meanRunTimes are the running means of the run times of tasks, by institution.
+	meanRunTimes map[string]time.Duration
+	// spare is the number of borrowed slots, by institution, that returnSpare found to have
+	// been unused for the whole ReturnDelay. addReturns adds them to messages to their
+	// lenders.
 	spare map[string]int
-	// quietUntil is the time until which no peer is worth asking.
+	// quietUntil is the time before which no slots are requested, because each peer either
+	// reported waiting tasks recently or has an open request. A peer's report of idle
+	// slots ends it at once.
 	quietUntil task.Time
 	// recheckPending is set while a timer to re-examine the waiting tasks is set.
 	recheckPending bool
@@ -116,59 +129,62 @@
 	institution string
 }
 
-// loan is a set of slots lent to a peer.
+// loan is a set of slots of this process lent to a peer.
 type loan struct {
 	borrower task.Incarnation
 	slots    []task.Slot
 }
 
-// slotRequest is a request for slots, sent or received.
+// slotRequest is a request for slots, sent to or received from a peer.
 type slotRequest struct {
 	id    uint64
+	// count is the number of slots that have not been granted yet.
 	count int
 	// at is when it was sent or received.
 	at task.Time
-	// wait is the borrower's expected wait.
+	// wait is the expected wait, at the borrower, of a task at the end of the queue.
 	wait time.Duration
 }
 
-// lifetime is how long a request is served. A short queue empties quickly, and slots
-// granted after that would be returned unused.
+// lifetime is how long the lender serves a request. A short queue empties quickly, and
+// slots granted after that would be returned unused.
 func (r *slotRequest) lifetime() time.Duration {
 	return min(max(r.wait/requestLifetimeDivisor, minRequestLifetime), maxRequestLifetime)
 }
 
-// slotReport is what the last status of a peer reported about its slots.
+// slotReport is what a peer's last status reported about its slots.
 type slotReport struct {
-	// idle are its idle slots by institution, minus those requested since.
+	// idle are the peer's idle slots by institution, minus those requested since.
 	idle map[string]int
-	// queued reports whether it had waiting tasks.
+	// queued reports whether the peer had waiting tasks.
 	queued bool
 	at     task.Time
 }
 
 func newLending() lending {
 	return lending{
-		granted:   make(map[uint64]*loan),
-		requested: make(map[requestKey]*slotRequest),
-		received:  make(map[requestKey]*slotRequest),
-		reports:   make(map[task.Incarnation]*slotReport),
-		mean:      make(map[string]time.Duration),
-		spare:     make(map[string]int),
+		granted:      make(map[uint64]*loan),
+		requested:    make(map[requestKey]*slotRequest),
+		received:     make(map[requestKey]*slotRequest),
+		reports:      make(map[task.Incarnation]*slotReport),
+		meanRunTimes: make(map[string]time.Duration),
+		spare:        make(map[string]int),
 	}
 }
 
 // recordRunTime adds the run time of a task to the institution's running mean.
 func (c *Core) recordRunTime(institution string, took time.Duration) {
-	old := c.lending.mean[institution]
+	old := c.lending.meanRunTimes[institution]
 	if old == 0 {
 		old = took
 	}
-	c.lending.mean[institution] = old + (took-old)/runTimeMeanWindow
+	c.lending.meanRunTimes[institution] = old + (took-old)/runTimeMeanDivisor
 }
 
+// meanRunTime is the running mean of the run times of an institution's tasks, or the
+// default run time before the first has ended.
 func (c *Core) meanRunTime(institution string) time.Duration {
-	if mean := c.lending.mean[institution]; mean > 0 {
+	if mean := c.lending.meanRunTimes[institution]; mean > 0 {
 		return mean
 	}
 	return queue.DefaultRunTime
@@ -186,7 +202,7 @@
 	return time.Duration(c.queue.Tasks(institution)) * c.slotInterval(institution)
 }
 
-// borrowRequested records a request, to be served as slots become idle.
+// borrowRequested records a peer's request, to be served as slots become idle.
 func (c *Core) borrowRequested(from task.Incarnation, r *pb.BorrowRequest) {
 	k := requestKey{from, r.GetInstitution()}
 	s := &slotRequest{
@@ -199,7 +215,8 @@
 	c.after(s.lifetime(), func() { removeRequest(c.lending.received, k, s) })
 }
 
-// removeRequest removes a request unless a newer one has replaced it.
+// removeRequest removes a request at the end of its lifetime. A newer request to or from the
+// same peer may have replaced it in the map and is left there.
 func removeRequest(m map[requestKey]*slotRequest, k requestKey, r *slotRequest) {
 	if m[k] == r {
 		delete(m, k)
@@ -232,8 +249,11 @@
 	return best, top != nil
 }
 
-// grant grants slots for a received request: first those borrowed from that peer,
-// then own ones. It reports false if there are none.
+// grant grants slots for a received request: first it returns those borrowed from that
+// peer, then it lends own ones. The returned slots are no part of the grant; send adds them
+// to the same message as Returns. If there are no others, the grant is sent without slots,
+// because its request number tells the borrower which request the returned slots serve.
+// grant reports false if there are no slots of either kind.
 func (c *Core) grant(k requestKey) bool {
 	r := c.lending.received[k]
 	givenBack := c.pool.ReturnIdle(k.peer, r.count)
@@ -261,8 +281,9 @@
 	return true
 }
 
-// endLoan reclaims the remaining slots of a loan. Without it the slots of a borrower
-// that crashed or forgot them would never be used again.
+// endLoan ends a loan when LoanDuration has passed, or lostBorrowerGrace after the loss of
+// the borrower's connection, and reclaims the slots not returned by then. Without it the
+// slots of a borrower that crashed or forgot them would never be used again.
 func (c *Core) endLoan(id uint64) {
 	l := c.lending.granted[id]
 	if l == nil {
@@ -276,7 +297,7 @@
 	}
 }
 
-// reclaimReturned takes back the slots returned in a message, and counts them.
+// reclaimReturned takes back the lent slots that a message returns, and counts them.
 func (c *Core) reclaimReturned(list []*pb.LendReturn) int {
 	n := 0
 	for _, r := range list {
@@ -290,7 +311,8 @@
 }
 
 // addIdleSlots adds to a status the idle slots that the peer could have: own ones and
-// those borrowed from it.
+// those borrowed from it. An institution with waiting tasks here reports none, because
+// place gives its idle slots to those tasks before it lends any.
 func (c *Core) addIdleSlots(to task.Incarnation, st *pb.PeerStatus) {
 	if c.draining {
 		return
@@ -308,12 +330,13 @@
 	}
 }
 
-// lendingPeerDown ends requests and loans with a peer that is unreachable.
+// lendingPeerDown drops the requests to and from a peer that is unreachable, and ends the
+// use of the slots borrowed from it. Loans to the peer end after lostBorrowerGrace.
 func (c *Core) lendingPeerDown(p task.Incarnation) {
 	delete(c.lending.reports, p)
-	other := func(k requestKey, _ *slotRequest) bool { return k.peer == p }
-	maps.DeleteFunc(c.lending.requested, other)
-	maps.DeleteFunc(c.lending.received, other)
+	withPeer := func(k requestKey, _ *slotRequest) bool { return k.peer == p }
+	maps.DeleteFunc(c.lending.requested, withPeer)
+	maps.DeleteFunc(c.lending.received, withPeer)
 	c.pool.LenderUnreachable(p)
 	for _, id := range slices.Sorted(maps.Keys(c.lending.granted)) {
 		if c.lending.granted[id].borrower == p {
--- a/core/topology/topology.go
+++ b/core/topology/topology.go
@@ -36,8 +36,8 @@
 	// gatewayCells is the number of other cells in which a VM connects with a seat: one of
 	// them may be cut off or lost together with the VM's own schedulers.
 	gatewayCells = 2
-	// maxWidenings limits the doublings; with it the seats include all VMs of any cell.
-	maxWidenings = 10
+	// maxSeatDoublings limits the doublings; with it the seats include all VMs of any cell.
+	maxSeatDoublings = 10
 )
 
 // Member is a registered entry process.
@@ -108,14 +108,14 @@
 
 // Seats lists the members of a cell that may schedule: those with more than half of the
 // highest CPU capacity in the cell, or more of them after a number of widenings.
-func (f *Fleet) Seats(cell string, widened int) []Member { return seats(f.members[cell], widened) }
+func (f *Fleet) Seats(cell string, doublings int) []Member { return seats(f.members[cell], doublings) }
 
 // HasSeat reports whether a member has one of the seats of its cell.
-func (f *Fleet) HasSeat(m Member, widened int) bool {
-	return contains(seats(f.CellMembers(m), widened), m)
+func (f *Fleet) HasSeat(m Member, doublings int) bool {
+	return contains(seats(f.CellMembers(m), doublings), m)
 }
 
-func seats(list []Member, widened int) []Member {
+func seats(list []Member, doublings int) []Member {
 	if len(list) == 0 {
 		return nil
 	}
@@ -123,18 +123,18 @@
 	for n < min(len(list), maxSeats) && (2*list[n].MilliCPU > list[0].MilliCPU || list[0].MilliCPU == 0) {
 		n++
 	}
-	if widened > 0 {
-		n = max(n, maxSeats) << min(widened-1, maxWidenings)
+	if doublings > 0 {
+		n = max(n, maxSeats) << min(doublings-1, maxSeatDoublings)
 	}
 	return list[:min(n, len(list))]
 }
 
 // Links lists the connections that a process needs, ordered by ID.
-func (f *Fleet) Links(self Member, widened int) []Link {
+func (f *Fleet) Links(self Member, doublings int) []Link {
 	if len(f.layout) == 0 {
 		return nil
 	}
-	links := f.linksWithinCell(self, widened)
+	links := f.linksWithinCell(self, doublings)
 	if f.layout.HasCells() {
 		links = append(links, f.linksToOtherCells(self)...)
 	}
@@ -144,9 +144,9 @@
 
 // linksWithinCell are the links within the own cell: with its seats, and from a seat with all
 // members. The later registered of two processes dials, since it surely knows the other.
-func (f *Fleet) linksWithinCell(self Member, widened int) []Link {
+func (f *Fleet) linksWithinCell(self Member, doublings int) []Link {
 	all := f.CellMembers(self)
-	top := seats(all, widened)
+	top := seats(all, doublings)
 	seated := contains(top, self)
 	var links []Link
 	for _, m := range all {
--- a/core/topology/topology_test.go
+++ b/core/topology/topology_test.go
@@ -33,10 +33,10 @@
 
 // degrees counts the connections of each process, and checks that exactly one side of each
 // pair dials.
-func degrees(g *WithT, f *Fleet, members []Member, widened int) map[string]int {
+func degrees(g *WithT, f *Fleet, members []Member, doublings int) map[string]int {
 	wanted := make(map[[2]string]int)
 	for _, m := range members {
-		for _, l := range f.Links(m, widened) {
+		for _, l := range f.Links(m, doublings) {
 			g.Expect(l.ID).NotTo(Equal(m.ID))
 			pair := [2]string{min(m.ID, l.ID), max(m.ID, l.ID)}
 			wanted[pair] += 0
@@ -100,8 +100,8 @@
 	g := NewWithT(t)
 	l, members := testFleet(5, 200)
 	f := New(l, false, members)
-	for widened, seats := range []int{3, 16, 32, 64, 128, 200, 200} {
-		g.Expect(f.Seats("d1", widened)).To(HaveLen(seats))
+	for doublings, seats := range []int{3, 16, 32, 64, 128, 200, 200} {
+		g.Expect(f.Seats("d1", doublings)).To(HaveLen(seats))
 	}
 	degrees(g, f, members, 1)
 	small := members[199]
