--- a/core/dispatch/admission.go
+++ b/core/dispatch/admission.go
@@ -10,28 +10,31 @@
 )
 
 const (
-	// infeasibleFactor is by how much the run time of a task may be overestimated
-	// before a task that is expected to end past the deadline is not started.
+	// infeasibleFactor is the factor by which the expected run time of a task may be too
+	// long. A task is not started if it would end past the deadline even after its expected
+	// run time is divided by this factor.
 	infeasibleFactor = 4
 	// percent is 100%, the default of an institution's CapacityPercent.
 	percent = 100
 )
 
-// AdmissionPolicy configures admission control, to compare policies.
+// AdmissionPolicy configures admission control. Its settings let policies be compared.
 type AdmissionPolicy struct {
-	// WaitPercent is the maximum expected wait, as a percentage of a job's time.
+	// WaitPercent is the maximum expected wait, as a percentage of the time until a job's
+	// deadline.
 	WaitPercent int
 	// OverloadAfter is how long tasks must have been waiting without a break for the
 	// overload to count as lasting; then OverloadWaitPercent replaces WaitPercent.
 	OverloadAfter       time.Duration
 	OverloadWaitPercent int
-	// AdmitAll admits every job for which the queue has room.
+	// AdmitAll disables the limits on the expected wait and the checks of team quotas at
+	// admission.
 	AdmitAll bool
 	// StartInfeasible starts tasks even if they cannot end before their deadline.
 	StartInfeasible bool
 }
 
-// DefaultAdmissionPolicy gave the best results; see docs/design/admission.md.
+// DefaultAdmissionPolicy is the default policy; see docs/design/admission.md.
 var DefaultAdmissionPolicy = AdmissionPolicy{WaitPercent: 50, OverloadAfter: time.Second, OverloadWaitPercent: 3}
 
 // admissionState is the state of admission control.
@@ -44,10 +47,11 @@
 	totals map[string]upstreamTotals
 	// inUse is the number of starts without a final result, by institution.
 	inUse map[string]int
+	// teams are the waiting tasks of each team; jobs without a team count under an empty name.
 	teams map[admission.Key]teamQueue
 	// lastEmpty is when an institution last had no task waiting.
 	lastEmpty map[string]task.Time
-	// placing is the institution whose teams allowTeam checks.
+	// placing is the institution whose tasks are being started; allowTeam checks its teams.
 	placing   string
 	allowTeam func(team string) bool
 }
@@ -64,10 +68,12 @@
 	}
 }
 
-// admit decides whether a job whose claim is held is admitted; nil means yes. Jobs
-// under a caller's own key are not checked again: admitKey admitted them before
-// their claim, a refusal now would leave the key used up, and no new ones are
-// admitted while draining.
+// admit decides whether a job whose claim is held is admitted; nil means yes.
+//
+// A job under a caller's own key is not checked against the limits again: admitKey did so
+// before its claim was written, and a refusal now would leave the key used up. It is not
+// refused while draining either: submitOwnKey begins no claim then, so this one was begun
+// earlier.
 func (c *Core) admit(sub *submission) *pb.Answer {
 	if c.draining && sub.id.Issued() {
 		return c.notRunAnswer(sub, pb.Reason_REASON_NOT_SERVING, "the process is stopping")
@@ -88,8 +94,8 @@
 }
 
 // admitKey checks admission for a request under the caller's own key before its
-// claim is written, so that the key can be used again after a refusal. It reports
-// whether the request was admitted.
+// claim is written, so that the key can be used again after a refusal. It replies to a
+// refused request, and reports whether the request was admitted.
 func (c *Core) admitKey(r *waiter, sub *submission) bool {
 	if sub.id.Issued() {
 		return true
@@ -185,7 +191,8 @@
 	c.admission.placing = institution
 	ref, ok := c.queue.Next(c.now, institution, c.admission.allowTeam)
 	if !ok {
-		// All remaining tasks wait for the quota of their team.
+		// All remaining tasks wait for the quota of their team. They take no slot from
+		// others and do not count as overload.
 		c.admission.lastEmpty[institution] = c.now
 	}
 	return ref, ok
@@ -208,7 +215,7 @@
 	return true
 }
 
-// shareQuotas updates the quota borrowed from and returned to peers.
+// shareQuotas updates the quota units requested of peers and returns unused borrowed ones.
 func (c *Core) shareQuotas() {
 	c.admission.quotas.Tick(c.now)
 }
--- a/core/dispatch/adopt.go
+++ b/core/dispatch/adopt.go
@@ -63,16 +63,18 @@
 	c.succession.adopted[holder] = &adopted{claim.Restore(blocks, until), until}
 }
 
-// answerAdopted answers for an ended incarnation. Its answer may have been handed over
-// while the claim of the same key was being written here. An id that it had not used
-// will never be used: its process closed admission before the handover.
+// answerAdopted answers a request for an ended incarnation whose successor this process
+// is. The answer may have been handed over while the claim of the same key was being written
+// here. An id that the incarnation had not used will never be used: it closed admission
+// before the handover.
 func (c *Core) answerAdopted(r *waiter, holder task.Incarnation) {
 	if retained := c.answers.Get(r.id); retained != nil {
 		c.replyRetained(r, retained)
 		return
 	}
-	// The record of the holder may have expired here before the notice of its
-	// successor, which has since handed over to this process.
+	// There is no record of the holder if the record has expired, while the notice that
+	// names the holder's successor is still valid here and that successor has handed over
+	// to this process.
 	a := c.succession.adopted[holder]
 	if a != nil && r.id.Issued() && a.issuer.State(c.now, r.id.Number) == claim.Fresh {
 		result := answerFor(r.id, r.digest, pb.Outcome_OUTCOME_NOT_RUN, pb.Reason_REASON_HOLDER_GONE, "the process that issued the id stopped before it was used")
@@ -122,7 +124,7 @@
 	}
 }
 
-// handedAdopted lists the incarnations that this process has adopted.
+// handedAdopted lists the incarnations that this process has adopted, for its own handover.
 func (c *Core) handedAdopted() []*pb.HandedHolder {
 	var list []*pb.HandedHolder
 	for _, holder := range c.adoptedHolders() {
--- a/core/dispatch/answer.go
+++ b/core/dispatch/answer.go
@@ -5,7 +5,8 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// defaultRetryAfterMs is the minimum retry delay if no better estimate exists.
+// defaultRetryAfterMs is the minimum retry delay if no better estimate exists; retryAfter
+// adds a random time of up to the same length.
 const defaultRetryAfterMs = 200
 
 // minRetryAfterMs is the shortest retry delay; 0 would mean "do not retry".
--- a/core/dispatch/cancel.go
+++ b/core/dispatch/cancel.go
@@ -7,9 +7,9 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// cancel ends a submission at the request of its caller, here or at its holder. An
-// ended submission retains its answer. An unknown one is sealed, because a
-// cancellation may overtake the submission that it is for.
+// cancel ends a submission at the request of its caller, here or at its holder. An ended
+// submission retains its answer. An unknown one is sealed, which means that none of its
+// tasks ever starts: a cancellation may overtake the submission that it is for.
 func (c *Core) cancel(from requester, institution string, wire *pb.SubmissionId) {
 	id := task.IDOf(institution, wire)
 	r := c.openRequest(from, id, nil, task.Digest{}, c.allowedWait(institution, nil))
@@ -29,8 +29,9 @@
 }
 
 // cancelKnown ends a job in progress. While its claim is not settled, another process
-// may turn out to hold it, so the submission is only marked. If this incarnation
-// obtains the claim, the job is sealed and never runs, whatever is submitted later.
+// may turn out to hold it, so the submission is only marked as cancelled. If this
+// incarnation obtains the claim, the job is sealed and never runs, whatever is submitted
+// later.
 func (c *Core) cancelKnown(r *waiter, sub *submission) {
 	c.attach(r, sub)
 	if sub.phase == claiming {
--- a/core/dispatch/capacity.go
+++ b/core/dispatch/capacity.go
@@ -35,7 +35,8 @@
 	return totals
 }
 
-// teamQueue counts the waiting tasks of a team, and since when there have been any.
+// teamQueue counts the waiting tasks of a team. since is when the first of them arrived after
+// the team had none waiting.
 type teamQueue struct {
 	tasks int
 	since task.Time
@@ -78,11 +79,12 @@
 // usableUnits returns how many tasks a quota or ceiling lets run at this process,
 // and whether the limit is binding.
 //
-// Unused units are lent to processes that ask for them and return within a second
-// or two when they are needed here. If only the units present were counted, an idle
-// process that has lent its units would refuse jobs while slots are idle. Tasks that
-// have been waiting for longer than that show that the units are not available;
-// until then the whole limit counts.
+// A unit of a quota or ceiling is the right to use one slot. Unused units are lent to
+// processes that request them, and return within a second or two when they are needed
+// here. If only the units present were counted, an idle process that has lent its units
+// would refuse jobs while slots are idle, so the whole limit counts at first. Once tasks
+// have been waiting for OverloadAfter (overloaded), the units are evidently not available
+// and only those present count.
 func (c *Core) usableUnits(key admission.Key, overloaded bool) (int, bool) {
 	units, binding := c.admission.quotas.Usable(c.now, key)
 	if binding && !overloaded {
@@ -116,9 +118,9 @@
 	if limit := c.admission.quotas.MaxSlots(name, sub.request.GetTeam()); limit > 0 && (maxSlots == 0 || limit < maxSlots) {
 		maxSlots = limit
 	}
-	// Lent slots are returned as soon as their borrower does not need them. Without
-	// them a process that has lent most of its slots would estimate half a minute
-	// for a short queue, and refuse jobs for as long.
+	// Lent slots count as idle, because they are returned as soon as their borrower does
+	// not need them. If they did not count, a process that has lent most of its slots would
+	// expect a wait of half a minute for a short queue, and refuse jobs for as long.
 	idle := c.pool.Idle(name) + c.pool.Lent(name)
 	for _, s := range c.lending.reports {
 		idle += s.idle[name]
--- a/core/dispatch/claimqueue.go
+++ b/core/dispatch/claimqueue.go
@@ -13,7 +13,8 @@
 type claimQueue struct {
 	waiting  []*submission
 	inFlight []*submission
-	batch    uint64
+	// batch is the number of the latest write.
+	batch uint64
 	// failures counts the consecutive writes without a reply.
 	failures int
 	// notBefore is the earliest start of the next write.
@@ -40,9 +41,9 @@
 	return batch
 }
 
-// writeClaims begins the next write. An interval between writes keeps all entry
-// processes together within the rate limit of the table service. While the service
-// does not answer, a backoff keeps an outage from causing a storm of writes.
+// writeClaims begins the next write. An interval between writes keeps all entry processes
+// together within the rate limit of the table service. While the service does not answer, a
+// backoff prevents writes from being repeated at that rate for the whole outage.
 func (c *Core) writeClaims() {
 	if c.claims.inFlight != nil || c.claims.timer != nil || len(c.claims.waiting) == 0 {
 		return
@@ -77,10 +78,10 @@
 	return max(c.cfg.ClaimInterval, time.Duration(len(c.view.List().Nodes))*c.cfg.ClusterClaimInterval)
 }
 
-// claimResult settles the claims of a write. A write whose reply was lost may have
-// taken effect; it is repeated, and the conflicting rows are then this incarnation's
-// own. A result that is not for the write in flight is late or a duplicate; it says
-// nothing about the claims in flight and is dropped.
+// claimResult settles the claims of a write, which means that it is then known who holds
+// each. A write whose reply was lost may have taken effect; it is repeated, and the
+// conflicting rows are then this incarnation's own. A result that is not for the write in
+// flight is late or a duplicate. It does not concern the claims in flight and is dropped.
 func (c *Core) claimResult(e ClaimResult) {
 	if e.Batch != c.claims.batch || c.claims.inFlight == nil {
 		c.stats.LateResults++
--- a/core/dispatch/command.go
+++ b/core/dispatch/command.go
@@ -34,13 +34,13 @@
 	Start    task.StartID
 	Upstream string
 	Name     string
-	// UpstreamRun is the run of the upstream known when the task was sent. An
-	// answer from another run says nothing about the start.
+	// UpstreamRun is the run of the upstream known when the task was sent. An answer from
+	// another run does not settle the start.
 	UpstreamRun string
 }
 
-// StopTask tells an upstream that the result of a task is no longer needed. It
-// produces no result of its own besides that of the start.
+// StopTask informs an upstream that the result of a task is no longer needed. It produces no
+// result of its own besides that of the start.
 type StopTask struct {
 	Start    task.StartID
 	Upstream string
--- a/core/dispatch/counters.go
+++ b/core/dispatch/counters.go
@@ -9,8 +9,8 @@
 // statusOnlyKind is the kind of a message that carries nothing but a status.
 const statusOnlyKind = "status"
 
-// Counters is the input of the metrics. Its cost does not depend on the number of
-// submissions in progress.
+// Counters are the inputs of the metrics. Reading them costs the same however many
+// submissions are in progress.
 type Counters struct {
 	Summary Dump
 	// Submissions and RunningStarts are current numbers.
--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -30,7 +30,8 @@
 	Seed uint64
 	// IDValidity is how long an issued id can be used.
 	IDValidity time.Duration
-	// MaxQueuedTasks bounds the waiting tasks of all institutions together.
+	// MaxQueuedTasks bounds the waiting tasks. Each institution may have the part of it that
+	// its CapacityPercent states, 0 counting as 100.
 	MaxQueuedTasks int
 	// MaxRetainedAnswerBytes bounds the answers retained for resubmissions, per
 	// institution.
@@ -51,14 +52,14 @@
 	// MaxHolders bounds the remembered claim rows of other processes, and
 	// separately the remembered unsettled claims.
 	MaxHolders int
-	// StatusInterval is how often a peer gets a status with changed contents if
-	// nothing else is sent to it, IdleStatusInterval an unchanged one.
+	// StatusInterval is how often a peer gets a status with changed contents if nothing
+	// else is sent to it; IdleStatusInterval is how often it gets an unchanged one.
 	StatusInterval     time.Duration
 	IdleStatusInterval time.Duration
 	// Lending configures the lending of slots between processes.
 	Lending Lending
 
-	// Health configures upstream health, AdmissionPolicy admission control.
+	// Health configures the tracking of upstream health, AdmissionPolicy admission control.
 	Health          health.Config
 	AdmissionPolicy AdmissionPolicy
 	// Order configures the order of service.
@@ -122,7 +123,7 @@
 	// holders caches the claim rows of other processes.
 	holders *claim.Holders
 	// unsettledClaims are the abandoned claims that may have been written or that were
-	// cancelled.
+	// cancelled, and of which it is not known who holds them.
 	unsettledClaims *claim.UnsettledSet
 
 	peers      map[task.Incarnation]*peer
--- a/core/dispatch/forward.go
+++ b/core/dispatch/forward.go
@@ -89,8 +89,8 @@
 		c.submit(req, f.GetInstitution(), s, wait)
 		return
 	}
-	// The claim row names another incarnation. This process may be its successor
-	// after a planned stop, but must not treat the submission as a new one.
+	// The claim row names another incarnation. This process may be the successor of that
+	// incarnation after a planned stop, but must not treat the submission as a new one.
 	id := task.IDOf(f.GetInstitution(), s.GetId())
 	r := c.openRequest(req, id, s, task.DigestOf(s), wait)
 	if r == nil || c.answerKnown(r) {
@@ -141,8 +141,8 @@
 	c.cancel(requester{from, f.GetRequest()}, f.GetInstitution(), f.GetId())
 }
 
-// receiveForwardAnswer passes on the answer of a holder. An answer that does not match
-// the request that it names is dropped: a kitchen would get the label of another one.
+// receiveForwardAnswer passes on the answer of a holder. An answer that does not match the
+// request that it names is dropped: it would give a caller the results of another's job.
 func (c *Core) receiveForwardAnswer(from task.Incarnation, fa *pb.ForwardAnswer) {
 	r := c.forwarding.forwards[fa.GetRequest()]
 	if r == nil || r.holder != from || !answerMatches(r, fa.GetAnswer()) {
@@ -159,11 +159,11 @@
 	return r.isCancel() || string(a.GetDigest()) == string(r.digest[:])
 }
 
-// answerLostForwards answers the requests forwarded to a peer when its connection is
-// lost. It does so at once, because the state of the peer is unknown until it is
-// reachable again, and a caller that retries after the delay either reaches it or
-// learns that it is gone. Sending the requests again over a later connection would
-// block their callers for the duration of a network partition.
+// answerLostForwards answers the requests forwarded to a peer when its connection is lost.
+// It does so at once, because the state of the peer is unknown until it is reachable again.
+// A caller that retries after the delay either reaches the peer or gets the answer that it
+// has ended. Sending the requests again over a later connection would block their callers
+// for the duration of a network partition.
 func (c *Core) answerLostForwards(p task.Incarnation) {
 	for _, n := range slices.Sorted(maps.Keys(c.forwarding.forwards)) {
 		if r := c.forwarding.forwards[n]; r.holder == p {
--- a/core/dispatch/holder_gone.go
+++ b/core/dispatch/holder_gone.go
@@ -24,7 +24,8 @@
 type succession struct {
 	// latestRuns is the latest run of each entry VM that connected.
 	latestRuns map[string]knownRun
-	// requested is when a holder that was not connected was first requested.
+	// requested is when the first request for a holder arrived, for holders that were not
+	// connected then.
 	requested map[task.Incarnation]task.Time
 	// adopted are the incarnations whose successor is this process, successors the
 	// peers that are the successors of others.
@@ -56,18 +57,18 @@
 
 // holderGone reports whether it is certain that no process will ever answer for an
 // incarnation. Neither silence nor the platform's list proves it: a holder that is
-// partitioned or paused may still finish its jobs, and a caller who was told that a job
-// failed might submit it again and have it done twice. The proof is a later run of
-// the same entry VM, while every listed entry VM is connected and has not adopted the
-// ended run.
+// partitioned or paused may still finish its jobs, and a caller who was answered that a job
+// failed might submit it again and have it done twice. The proof is a later run of the same
+// entry VM, while every listed entry VM is connected and has not adopted the ended run.
 func (c *Core) holderGone(holder task.Incarnation) bool {
 	return c.hasLaterRun(holder) && c.allNodesReporting()
 }
 
-// hasLaterRun reports whether another run of the holder's entry VM is certainly later
-// than the holder. Runs are random numbers without an order: the run known here may be
-// the earlier one whose end has not been detected yet. So the other run must have been
-// heard from well after the holder was first requested, when the holder existed.
+// hasLaterRun reports whether another run of the holder's entry VM is certainly later than
+// the holder. Runs are random numbers without an order: the run known here may be an earlier
+// one whose end has not been detected yet. The first request for the holder shows that the
+// holder had started by then, and that any earlier run had ended. So a run that is heard from
+// well after that request is a later one.
 func (c *Core) hasLaterRun(holder task.Incarnation) bool {
 	requested, requestedBefore := c.succession.requested[holder]
 	if !requestedBefore && len(c.succession.requested) < maxRequestedHolders {
--- a/core/dispatch/lending.go
+++ b/core/dispatch/lending.go
@@ -137,7 +137,7 @@
 
 // slotRequest is a request for slots, sent to or received from a peer.
 type slotRequest struct {
-	id    uint64
+	id uint64
 	// count is the number of slots that have not been granted yet.
 	count int
 	// at is when it was sent or received.
--- a/core/dispatch/members.go
+++ b/core/dispatch/members.go
@@ -18,7 +18,7 @@
 	pullInterval = 500 * time.Millisecond
 )
 
-// pull records when a peer was last asked for settings or for the list.
+// pull records when a peer was last asked for settings or for the list of VMs.
 type pull struct {
 	asked bool
 	at    task.Time
@@ -44,9 +44,9 @@
 	c.emit(SettingsInForce{s})
 }
 
-// platformMembersRead takes the list as read from the platform by this process. Only
-// such a list counts for quotas: one that a peer passes on does not tell how long ago
-// the peer read it.
+// platformMembersRead takes the list of VMs as read from the platform by this process. Only
+// such a list counts for quotas: a list that a peer passes on does not show how long ago the
+// peer read it.
 func (c *Core) platformMembersRead(m task.Members) {
 	c.admission.quotas.SetMembers(c.now, m)
 	c.offerMembers(m)
--- a/core/dispatch/ownkey.go
+++ b/core/dispatch/ownkey.go
@@ -9,9 +9,9 @@
 // the table service holds its claim in the name of this incarnation.
 func (c *Core) submitOwnKey(r *waiter) {
 	if !r.from.local() {
-		// The peer that forwarded it has read a row that names this incarnation, so
-		// the claim was held here and its answer is no longer retained: starting
-		// it now would be a second run.
+		// The peer that forwarded it has read a row that names this incarnation, so the
+		// claim was held here. Unless the claim is unsettled, its answer is no longer
+		// retained, and starting the job now would be a second run.
 		if !c.hasUnsettledClaim(r) {
 			c.reply(r, failedAnswer(r, pb.Reason_REASON_ID_EXPIRED, "the answer isn't kept any more"))
 			return
@@ -42,7 +42,8 @@
 	return known
 }
 
-// beginClaim queues the claim of a submission for the next write.
+// beginClaim queues the claim of a submission for the next write. If an earlier submission of
+// the same key left its claim unsettled, that claim is resumed under its number.
 func (c *Core) beginClaim(sub *submission, r *waiter) {
 	if u, known := c.unsettledClaims.Take(sub.id); known {
 		sub.number = u.Number
@@ -101,8 +102,8 @@
 		// An earlier write of this claim took effect and its reply was lost. The
 		// claim was never settled here in between, so nothing has started. A row
 		// with another number belongs to a submission that was answered and whose
-		// answer is no longer retained: taking it for this claim would pay a
-		// settlement twice.
+		// answer is no longer retained: taking it for this claim would run the job,
+		// a payment for instance, twice.
 		c.claimWritten(sub)
 		return
 	}
--- a/core/dispatch/peers.go
+++ b/core/dispatch/peers.go
@@ -59,8 +59,8 @@
 	c.send(e.Peer, &pb.PeerMessage{})
 }
 
-// peerDown handles a lost connection. Requests that wait for the peer are answered at
-// once, because its state is unknown until it is reachable again.
+// peerDown handles a lost connection. Requests that wait for the peer are answered at once,
+// because the state of the peer is unknown until it is reachable again.
 func (c *Core) peerDown(p task.Incarnation) {
 	c.recordAbsence(p)
 	delete(c.peers, p)
@@ -150,7 +150,7 @@
 	return st
 }
 
-// sendStatus sends a status to each peer that has got no message for an interval.
+// sendStatus sends a status to each peer to which no message was sent for its interval.
 func (c *Core) sendStatus() {
 	for _, p := range c.sortedPeers() {
 		if c.now-c.peers[p].lastSent >= c.statusIntervalFor(p) {
--- a/core/dispatch/results.go
+++ b/core/dispatch/results.go
@@ -126,8 +126,8 @@
 	})
 }
 
-// stopRunning tells upstreams that the results of an ended job are not needed, with
-// one message per running task.
+// stopRunning sends one StopTask per running task of an ended job, whose results are not
+// needed any more.
 func (c *Core) stopRunning(sub *submission) {
 	ids := slices.Sorted(maps.Keys(sub.running))
 	for _, id := range ids {
--- a/core/dispatch/stop.go
+++ b/core/dispatch/stop.go
@@ -7,8 +7,8 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// drain begins the planned stop: it stops taking new work, notifies the peers and
-// lets the work in progress finish.
+// drain begins the planned stop: the process accepts no new work, notifies the peers and
+// finishes the work in progress.
 func (c *Core) drain() {
 	if c.draining {
 		return
--- a/core/dispatch/submission.go
+++ b/core/dispatch/submission.go
@@ -111,10 +111,10 @@
 	}
 }
 
-// rejectConflict rejects a request whose payload differs from that of the first use
-// of the id, for instance a new revision of a recipe sheet under the old id.
-// Without the check its caller would get the result for the old payload. A
-// submission that was cancelled before its payload was known conflicts with none.
+// rejectConflict rejects a request whose payload differs from that of the first use of the
+// id, for instance a new revision of a document under the old id. Without the check its
+// caller would get the result for the old payload. A submission that was cancelled before
+// its payload was known conflicts with none.
 func (c *Core) rejectConflict(r *waiter, digest task.Digest) bool {
 	if r.isCancel() || digest == (task.Digest{}) || r.digest == digest {
 		return false
@@ -290,8 +290,8 @@
 	c.end(sub, a)
 }
 
-// end gives the final answer: it seals the job, drops its waiting tasks, tells the
-// upstreams of its running tasks to stop and replies to all waiters.
+// end gives the final answer: it seals the job, so that no more of its tasks start, drops
+// its waiting tasks, stops its running ones and replies to all waiters.
 func (c *Core) end(sub *submission, a *pb.Answer) {
 	if sub.phase == ended {
 		panic("dispatch: second end of " + sub.id.String())
@@ -329,9 +329,9 @@
 	c.expireRequested()
 }
 
-// assertMayStart panics if a task must not start. A start without a claim could be
-// the second start that claims prevent; one past the deadline runs for a caller who
-// has already been told that the job is over.
+// assertMayStart panics if a task must not start. A start without a claim could be the
+// second start that claims prevent. One past the deadline runs for a caller who has already
+// been answered that the job is over.
 func (c *Core) assertMayStart(sub *submission) {
 	switch {
 	case sub.phase != held || !sub.claimed:
