--- a/core/dispatch/admission_test.go
+++ b/core/dispatch/admission_test.go
@@ -57,7 +57,8 @@
 	return c.requests
 }
 
-// takeSorted takes the commands since the last call, sorted by kind.
+// takeSorted takes the commands since the last call: answers by request, task starts, and the
+// number of claim writes.
 func (c *admissionCore) takeSorted() (answers map[uint64]*pb.Answer, starts []StartTask, writes int) {
 	answers = make(map[uint64]*pb.Answer)
 	for _, cmd := range c.TakeCommands() {
@@ -97,8 +98,8 @@
 	c.g.Expect(last).To(gomega.BeNumerically("<", 30_000))
 }
 
-// A job of many tasks makes others wait briefly, but they still finish in time. Jobs may
-// be refused only if tasks have been waiting for a while, as under lasting overload.
+// A job of many tasks makes others wait briefly, but these still finish in time. Jobs may be
+// refused only if tasks have been waiting for a while, as under lasting overload.
 func TestShortQueueCausesNoRefusals(t *testing.T) {
 	c := newAdmissionCore(t, nil)
 	c.submit("", "", 12, 200)
@@ -116,9 +117,9 @@
 	c.g.Expect(answers[n].GetReason()).To(gomega.Equal(pb.Reason_REASON_OVERLOADED))
 }
 
-// A settlement under the caller's own key arrives during a burst. A refusal after its
-// claim was written would use up the key, and the settlement could never be made; so it
-// must be refused before the claim.
+// A job under the caller's own key arrives during a burst. A refusal after its claim was
+// written would use up the key, and the job could never be done; so it must be refused before
+// the claim.
 func TestOwnKeyIsRefusedBeforeItsClaim(t *testing.T) {
 	c := newAdmissionCore(t, nil)
 	for range 100 {
@@ -139,7 +140,7 @@
 	c.g.Expect(writes).To(gomega.Equal(1))
 }
 
-// Some jobs can never run. A caller who was told to retry would do so for ever, so the
+// Some jobs can never run. A caller that gets a retry delay would retry for ever, so the
 // answer must give the reason and no retry delay.
 func TestJobsThatCanNeverRunAreRefusedWithTheReason(t *testing.T) {
 	for name, job := range map[string]struct {
@@ -167,8 +168,8 @@
 	}
 }
 
-// Two teams share the upstreams and one has more work than its quota. The other's tasks
-// must not wait behind it, and the dump must name the quota.
+// Two teams share the upstreams and one has more work than its quota. The other's tasks must
+// not wait behind that work, and the dump must name the quota.
 func TestTeamAtItsQuotaDoesNotDelayOthers(t *testing.T) {
 	c := newAdmissionCore(t, nil)
 	c.submit("", "kitchens", 3, 200)
--- a/core/dispatch/handover_test.go
+++ b/core/dispatch/handover_test.go
@@ -36,8 +36,8 @@
 }
 
 // An entry VM is replaced in a rolling restart. Callers that lost the answer to a finished
-// job, or hold ids not used yet, ask through other entry VMs. Without the handover they
-// are told "failed, may have run" and must check the printer by hand.
+// job, or hold ids not used yet, ask through other entry VMs. Without the handover they would
+// be answered "failed, may have run" and would have to check by hand what was done.
 func TestPlannedStopHandsItsAnswersOver(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newWorld(1, 3, false, t.Fatalf)
@@ -60,8 +60,8 @@
 }
 
 // An entry VM is replaced while two others are partitioned, and the one that adopted its
-// answers is unreachable. The other one knows the new run, but must not conclude that the
-// old one is gone: its caller would submit the job again.
+// answers is unreachable from the other. The other one is connected with the new run, but must
+// not conclude that the old run is gone: its caller would submit the job again.
 func TestHolderIsNotGoneWhileItsSuccessorMayBeCutOff(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newWorld(3, 3, false, t.Fatalf)
@@ -81,9 +81,9 @@
 	g.Expect(w.outcomesOf(w.entries[1], jobs)).To(gomega.HaveKey(pb.Outcome_OUTCOME_COMPLETE))
 }
 
-// A client loses its answer and resubmits five times, through every entry VM in turn,
-// while the holder of the claim is paused beyond every timeout, resumed and finally
-// killed. The settlement must be paid once, and no entry may answer that it was not run.
+// A client loses its answer and resubmits five times, through every entry VM in turn, while
+// the holder of the claim is paused beyond every timeout, resumed and finally killed. Each
+// task must start at most once, and no entry may answer that the job was not run.
 func TestFiveResubmissionsWhileTheHolderIsPausedAndKilled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, id := range []func(w *world) *pb.SubmissionId{
@@ -113,8 +113,8 @@
 	}
 }
 
-// An entry VM stopped long ago. The peer that had adopted it has since handed over to this
-// process, when its record of the first holder had expired. A request for an id of the
+// An entry VM stopped and handed over to a peer. That peer has since handed over to this
+// process, without the first holder, whose record had expired. A request for an id of the
 // first holder must still be answered; the process panicked instead.
 func TestExpiredAdoptedHolderIsAnswered(t *testing.T) {
 	g := gomega.NewWithT(t)
--- a/core/dispatch/holder_gone.go
+++ b/core/dispatch/holder_gone.go
@@ -67,8 +67,8 @@
 // hasLaterRun reports whether another run of the holder's entry VM is certainly later than
 // the holder. Runs are random numbers without an order: the run known here may be an earlier
 // one whose end has not been detected yet. The first request for the holder shows that the
-// holder had started by then, and that any earlier run had ended. So a run that is heard from
-// well after that request is a later one.
+// holder existed by then, in place of any earlier run. So another run counts as later only if
+// it has been heard from predecessorGoneAfter after that request.
 func (c *Core) hasLaterRun(holder task.Incarnation) bool {
 	requested, requestedBefore := c.succession.requested[holder]
 	if !requestedBefore && len(c.succession.requested) < maxRequestedHolders {
--- a/core/dispatch/lending_test.go
+++ b/core/dispatch/lending_test.go
@@ -55,8 +55,8 @@
 	g.Expect(allReturned(w)).To(BeTrue())
 }
 
-// A VM crashes while it holds borrowed slots. If they stayed lent, the lenders' failure
-// domain would keep fewer slots than it has, and its callers would wait.
+// A VM crashes while it holds borrowed slots. If they stayed lent, the lenders' failure domain
+// could use fewer slots than it has, and its callers would wait.
 func TestSlotsOfADeadBorrowerComeBack(t *testing.T) {
 	g := NewWithT(t)
 	w := lendingWorld(t)
@@ -73,9 +73,9 @@
 	}
 }
 
-// A VM crashes that has lent slots. The borrower's tasks on them keep running and their
-// job must still complete, but no further task may be started on them: the next list
-// assigns the slots to another VM.
+// A VM that has lent slots crashes. The borrower's tasks on them keep running and their job
+// must still complete, but no further task may be started on them: the next list assigns the
+// slots to another VM.
 func TestLoansOfADeadLenderEnd(t *testing.T) {
 	g := NewWithT(t)
 	w := lendingWorld(t)
@@ -92,8 +92,7 @@
 }
 
 // Two failure domains are partitioned while one uses slots of the other. Each must keep
-// serving: at once with its own slots, and with the lent ones as soon as the loan can no
-// longer be in use.
+// serving: at once with its own slots, and with the lent ones after lostBorrowerGrace.
 func TestCutDomainsServeWithTheirOwnSlots(t *testing.T) {
 	g := NewWithT(t)
 	w := lendingWorld(t)
@@ -116,8 +115,8 @@
 }
 
 // Two VMs get the list at different times, and for a while both own a slot. The upstream
-// refuses the second use. If the slot were reused at once, refusals would continue until
-// the lists agree.
+// refuses the second use. If the slot were reused at once, refusals would continue until both
+// have the same list.
 func TestRefusedSlotIsNotReusedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	w := lendingWorld(t)
--- a/core/dispatch/oracle_test.go
+++ b/core/dispatch/oracle_test.go
@@ -11,11 +11,11 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// maxReplyDelay is how late a reply may be in virtual time.
+// maxReplyDelay is how long after its deadline a reply may be sent, in virtual time.
 const maxReplyDelay = 20 * ms
 
-// oracle records what was requested, run and answered over all incarnations, and fails
-// the test at the first violated guarantee.
+// oracle records what was requested, run and answered over all runs of the entry processes,
+// and fails the test at the first violated guarantee.
 type oracle struct {
 	w        *world
 	fail     func(format string, args ...any)
--- a/core/dispatch/ownkey_test.go
+++ b/core/dispatch/ownkey_test.go
@@ -43,10 +43,11 @@
 	return list
 }
 
-// A settlement was paid and answered, and newer answers have displaced its answer. The
-// caller, who lost the answer, submits again. The reply of the table service to the new
-// claim is lost, and its second write finds the row of the first claim. If that row were
-// taken for the new claim's own, the settlement would be paid twice.
+// A job under the caller's own key was done and answered, and newer answers have displaced
+// its answer. The caller, who lost the answer, submits again. The reply of the table service
+// to the new claim is lost, and its second write finds the row of the first claim. If that
+// row were taken for the new claim's own, the job, a payment for instance, would be done
+// twice.
 func TestRowOfForgottenClaimStartsNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := readyCore(func(cfg *Config) { cfg.MaxRetainedAnswerBytes = 1 })
@@ -68,9 +69,8 @@
 	g.Expect(all[0].(Reply).Answer.GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_FAILED))
 }
 
-// A buyer cancels a bid while its claim is being written, and the store is so slow that
-// the answer is "unknown". When the client automatically submits again, the bid must not
-// be placed.
+// A caller cancels a job while its claim is being written, and the store is so slow that the
+// answer is "unknown". When the client automatically submits again, the job must not run.
 func TestCancelledWhileClaimingNeverRuns(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := readyCore(func(*Config) {})
@@ -89,9 +89,8 @@
 	g.Expect(all[len(all)-1].(Reply).Answer.GetOutcome()).To(gomega.Equal(pb.Outcome_OUTCOME_NOT_RUN))
 }
 
-// The table service is down for ten seconds while buyers keep submitting. If each
-// submission began a write at once, the storm of writes would overload the service again
-// when it comes back.
+// The table service is down for ten seconds while callers keep submitting. If each submission
+// began a write at once, the writes would overload the service again when it comes back.
 func TestClaimWritesBackOffDuringOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := readyCore(func(*Config) {})
@@ -110,9 +109,9 @@
 	g.Expect(c.stateSizes()["requests"]).To(gomega.BeZero())
 }
 
-// The service has grown from seven entry VMs to a hundred, and all take settlements at
-// once. If each wrote as often as before, the table service would fall behind and no
-// settlement would be answered in time.
+// The deployment has grown from seven entry VMs to a hundred, and all take jobs under own keys
+// at once. If each process wrote as often as before, the table service would fall behind and no
+// such job would be answered in time.
 func TestClaimWritesOfAllProcessesStayWithinTheBudget(t *testing.T) {
 	const nodes, writesPerSecond = 100, 250
 	g := gomega.NewWithT(t)
@@ -141,8 +140,8 @@
 	g.Expect(writes * nodes).To(gomega.BeNumerically("<=", 10*writesPerSecond+nodes))
 }
 
-// An entry VM begins its planned stop while the claim of a bid is being written. The bid
-// was accepted, so it must be placed and answered before the stop.
+// An entry VM begins its planned stop while a claim is being written. The job was accepted,
+// so it must run and be answered before the stop.
 func TestPlannedStopServesAClaimUnderWay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := readyCore(func(*Config) {})
--- a/core/dispatch/random_test.go
+++ b/core/dispatch/random_test.go
@@ -376,8 +376,8 @@
 	})
 }
 
-// Operators replay recorded runs to explain late labels. A replay gives the same
-// commands only if the core neither reads a clock nor depends on map order.
+// Operators replay recorded runs to explain late jobs. A replay gives the same commands only if
+// the core neither reads a clock nor depends on map order.
 func TestSameEventsGiveSameCommands(t *testing.T) {
 	p, broken := runSeed(7, 400, true)
 	if broken != nil {
--- a/core/dispatch/upstreams.go
+++ b/core/dispatch/upstreams.go
@@ -9,8 +9,8 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// overdueFactor is the multiple of its expected run time after which a failed task
-// that was told to stop still counts against its upstream.
+// overdueFactor is the multiple of its expected run time that a task of an ended job must
+// have run for its failure to count against the upstream.
 const overdueFactor = 4
 
 // upstream is the state of one upstream.
@@ -75,9 +75,9 @@
 	c.applyWeights()
 }
 
-// outcomeOf derives the health outcome of an upstream from a result; false if the
-// result says nothing about the upstream. A task of an ended job was told to stop
-// and fails for that reason, so its failure counts only if it was long overdue.
+// outcomeOf derives the health outcome of an upstream from a result; false if the result
+// allows no conclusion about the upstream. A task of an ended job was told to stop and fails
+// for that reason, so its failure counts only if it was long overdue.
 func outcomeOf(s *start, r task.Result, took time.Duration) (health.Outcome, bool) {
 	jobOpen := s.sub.phase == held
 	switch r.Verdict {
