--- a/core/admission/lending.go
+++ b/core/admission/lending.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// updateRequest doubles the number of requested units as long as task starts are refused.
+// updateRequest doubles the number of requested units at each tick while task starts are refused,
+// from 1 and a quarter of the units in use to the whole limit.
 func (q *Quotas) updateRequest(l *limit) {
 	if !l.blocked {
 		l.requested = 0
@@ -65,7 +66,7 @@
 	l.requested = min(max(2*l.requested, 1+l.held/4), l.total)
 }
 
-// returnSurplus returns borrowed units that haven't been used since the last tick.
+// returnSurplus returns the borrowed units that weren't needed at the peak since the last tick.
 func (q *Quotas) returnSurplus(l *limit, now task.Time) {
 	if l.requested > 0 {
 		return
@@ -134,7 +135,7 @@
 }
 
 // renew reports a loan to its borrower. It extends the loan unless this process needs the units or
-// doesn't own them any more.
+// doesn't own them any more. clock is the borrower's latest clock reading, which the report echoes.
 func (q *Quotas) renew(l *limit, out *loan, now task.Time, clock uint64) *pb.QuotaLoan {
 	w := &pb.QuotaLoan{
 		Institution: l.key.Institution,
@@ -233,8 +234,9 @@
 	}
 }
 
-// lend gives units that aren't needed here to a peer that requests some. The peer requests them of
-// all processes, so it gets its request divided by the number of peers at most.
+// lend gives units that aren't needed here to a peer that requests some. It retains as many as were
+// in use at the peak since the last tick, and a quarter of those in use now. The peer requests units
+// of all processes, so it gets at most its request divided by the number of peers.
 func (q *Quotas) lend(now task.Time, to task.Incarnation, wanted []*pb.HeldSlots) {
 	for _, w := range wanted {
 		l := q.limits[Key{w.GetInstitution(), w.GetTeam()}]
--- a/core/admission/quota.go
+++ b/core/admission/quota.go
@@ -18,8 +18,9 @@
 	// may use the units that the list assigns to it.
 	MaxListAge = 5 * time.Second
 	// remainderWait is how long newly assigned units stay unused in case a former owner that
-	// can't be reached still uses them: the delay of the list at that owner, MaxListAge, and
-	// the loans that it has made.
+	// can't be reached still uses them. One MaxListAge is the delay with which the list may
+	// reach that owner, and the other is how long that owner uses the units by the list that it
+	// has read. 2*LoanValidity is for the loans of these units that it has made.
 	remainderWait = 2*MaxListAge + 2*LoanValidity
 	// StatusInterval is the time between two statuses sent to a peer.
 	StatusInterval = 500 * time.Millisecond
@@ -39,7 +40,8 @@
 
 // loan is the units lent to or borrowed from one process.
 type loan struct {
-	units  int
+	units int
+	// serial identifies the state of the loan. The lender changes it with the number of units.
 	serial uint64
 	// until is when the loan expires. The borrower stops using the units then. The lender's value
 	// is a time by which the borrower must have stopped.
@@ -69,11 +71,11 @@
 
 // Quotas enforces quotas and ceilings across all entry processes, without a message per job.
 //
-// Each limit is divided by the declared number of entry VMs. Every process owns that part, the
-// floor, even if it is disconnected from all others. The remaining units are assigned by rendezvous
-// hashing over the platform's member list, and are used only while the list is recent. A process
-// lends the units that it doesn't use. A loan expires by the borrower's clock before it expires by
-// the lender's.
+// A limit of n slots consists of n units; each running task holds one. Each limit is divided by the
+// declared number of entry VMs. Every process owns that part, the floor, even if it is disconnected
+// from all others. The remaining units are assigned by rendezvous hashing over the platform's member
+// list, and are used only while the list is recent. A process lends the units that it doesn't use. A
+// loan expires by the borrower's clock before it expires by the lender's.
 //
 // Quotas isn't safe for concurrent use.
 type Quotas struct {
@@ -86,12 +88,13 @@
 	maxTaskOverrun time.Duration
 	peers          map[task.Incarnation]*quotaPeer
 	list           memberList
-	demand         []*pb.HeldSlots
-	serial         uint64
+	// demand is the units requested of the peers, as sent with each status until the next Tick.
+	demand []*pb.HeldSlots
+	serial uint64
 	// floorUsableFrom is when all units lent by a former run of this node must have been
 	// returned.
 	floorUsableFrom task.Time
-	// noPredecessorLoans: no peer holds such units any more.
+	// noPredecessorLoans: no peer holds units lent by a former run of this node any more.
 	noPredecessorLoans bool
 }
 
@@ -301,8 +304,8 @@
 type LimitState struct {
 	Institution string `json:"institution"`
 	Team        string `json:"team,omitempty"`
-	// Limit applies over all processes. This process may use Own less Lent, and Borrowed. Held
-	// is the number in use.
+	// Limit applies over all processes. This process may use Own - Lent + Borrowed units.
+	// Held is the number in use.
 	Limit    int `json:"limit_slots"`
 	Own      int `json:"own_slots"`
 	Lent     int `json:"lent_slots"`
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -1,10 +1,11 @@
 // Package membership combines the platform's list of VMs, which lags behind the actual state,
-// with the connections and messages that a process observes, and determines which nodes and
-// upstreams are live.
+// with the connections and messages that a process observes, and determines which nodes
+// (entry processes) and upstreams are live.
 //
 // A node is live while it is listed, isn't leaving and is connected, or was connected until
-// AbsenceGrace ago. The list in force is never replaced by an older one, and it stays in force
-// for as long as no newer one can be read: a process that is cut off from the platform
+// AbsenceGrace ago. An upstream is live while it is listed, isn't leaving and hasn't itself
+// sent notice that it leaves. The list in force is never replaced by an older one, and it stays
+// in force for as long as no newer one can be read: a process that is cut off from the platform
 // continues with its latest list.
 package membership
 
@@ -17,8 +18,8 @@
 const (
 	// AbsenceGrace is how long a node stays live after its connection was lost, or after it
 	// was first listed. Without it, the replacement of a connection would move the ownership
-	// of slots back and forth, and two nodes that start together would each take ownership of
-	// all slots, which shows only in a burst of refused starts.
+	// of slots back and forth. Two nodes that start together would each take ownership of all
+	// slots, which shows only in a burst of refused starts.
 	AbsenceGrace = 2 * time.Second
 	// LeavingNoticeTTL is how long an upstream's own notice that it leaves overrides a list
 	// that doesn't show it yet.
@@ -29,7 +30,9 @@
 type presence struct {
 	// incarnations holds the connected incarnations, and for each whether it is stopping.
 	incarnations map[uint64]bool
-	absentSince  task.Time
+	// absentSince is when the last incarnation disconnected, or when the node was first
+	// listed. It applies while no incarnation is connected.
+	absentSince task.Time
 }
 
 // View is one process's view of the members.
@@ -43,8 +46,8 @@
 	leaving map[string]task.Time
 
 	live task.Members
-	// dirty is set when live must be recomputed, and recomputeAt is when it must be without
-	// any further event; 0 if never.
+	// dirty is set when live must be recomputed. recomputeAt is when it must be recomputed
+	// even without a further event; 0 if never.
 	dirty       bool
 	recomputeAt task.Time
 }
--- a/core/topology/topology.go
+++ b/core/topology/topology.go
@@ -2,9 +2,9 @@
 //
 // A connection costs both sides a dozen messages a second for as long as it exists. If each
 // process connected with every other, or with all that may schedule, the cost for a VM would
-// grow with the fleet. Therefore only a few VMs of each cell may schedule: they have the
-// cell's seats. A process connects with the seats of its own cell and with a fixed number of
-// seats in other cells, which take its jobs while its own cell has no room or no scheduler:
+// grow with the fleet. Therefore only a few VMs of each cell may schedule; they are said to
+// have a seat. Every process connects with the seats of its own cell, and with a fixed number
+// of seats in other cells, which take its jobs while its own cell has no room or no scheduler:
 //
 //	a VM                        | connects with
 //	----------------------------|---------------------------------------------
@@ -14,8 +14,8 @@
 //	                            | that have chosen it
 //	in a fleet with stored jobs | all seats of all cells
 //
-// A process that reaches no scheduler widens the number of seats that it assumes, by
-// doubling. It never connects with all at once: if the schedulers of a large fleet were
+// A process that reaches no scheduler assumes more seats, and doubles their number until it
+// reaches one. It never connects with all at once: if the schedulers of a large fleet were
 // unreachable for a second, connecting would keep every VM busy and the schedulers
 // unreachable.
 package topology
@@ -30,11 +30,11 @@
 )
 
 const (
-	// maxSeats limits the VMs of a cell that may schedule: schedulers for 480 runners, and
-	// as many in reserve.
+	// maxSeats limits the VMs of a cell that may schedule, before any doubling: schedulers
+	// for 480 runners, and as many in reserve.
 	maxSeats = 16
-	// gatewayCells is the number of other cells in which a VM connects with a seat: one of
-	// them may be cut off or lost together with the VM's own schedulers.
+	// gatewayCells is the number of other cells in which a VM connects with a seat. There are
+	// two, because one of them may be cut off or lost together with the VM's own schedulers.
 	gatewayCells = 2
 	// maxSeatDoublings limits the doublings; with it the seats include all VMs of any cell.
 	maxSeatDoublings = 10
@@ -60,14 +60,15 @@
 	stored bool
 	// cellByDomain caches the cell of each failure domain.
 	cellByDomain map[string]string
-	// members lists those of each cell in the order of seats, and cellNames the cells in
-	// order.
+	// members lists the members of each cell in the order in which they get seats: by
+	// descending CPU capacity, then in the order of registration. cellNames lists the cells
+	// by name.
 	members   map[string][]Member
 	cellNames []string
 }
 
-// New returns a fleet. The layout is nil while it is unknown: then no process can lead, and
-// none connects. Members register one by one as a fleet starts; without this rule the first
+// New returns a fleet. The layout is nil while it is unknown: then no process can lead, and no
+// process connects. Members register one by one as a fleet starts; without this rule the first
 // ones, which have no seats, would connect with each other.
 func New(l layout.Layout, stored bool, members []Member) *Fleet {
 	f := &Fleet{
@@ -106,11 +107,12 @@
 // CellMembers lists the members of a member's cell in the order of seats.
 func (f *Fleet) CellMembers(m Member) []Member { return f.members[f.cellByDomain[m.Domain]] }
 
-// Seats lists the members of a cell that may schedule: those with more than half of the
-// highest CPU capacity in the cell, or more of them after a number of widenings.
+// Seats lists the members of a cell that may schedule. Without doublings these are the members
+// with more than half of the highest CPU capacity in the cell, at most maxSeats. The first
+// doubling raises their number to maxSeats, and each further one doubles it.
 func (f *Fleet) Seats(cell string, doublings int) []Member { return seats(f.members[cell], doublings) }
 
-// HasSeat reports whether a member has one of the seats of its cell.
+// HasSeat reports whether a member has one of the seats of its cell, after the given doublings.
 func (f *Fleet) HasSeat(m Member, doublings int) bool {
 	return contains(seats(f.CellMembers(m), doublings), m)
 }
--- a/core/topology/topology_test.go
+++ b/core/topology/topology_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// The schedulers of all cells are unreachable, and every VM looks for others. It doubles its
-// seats each time and never connects with all VMs at once.
+// The schedulers of all cells are unreachable, and every VM assumes more seats to find others.
+// The number of seats doubles each time, and no VM connects with all others at once.
 func TestWideningIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	l, members := testFleet(5, 200)
