--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -14,7 +14,8 @@
 
 const (
 	// estimateErrorFactor is the factor by which expected run times may be too long. A job is
-	// refused as too large or never runnable only if it still doesn't fit after division by it.
+	// refused as too large or never runnable because of its run times only if it still doesn't fit
+	// after they are divided by this factor.
 	estimateErrorFactor = 4
 	// maxRetryAfter limits the retry time given to a refused caller.
 	maxRetryAfter = 30 * time.Second
@@ -33,7 +34,7 @@
 
 // Capacity describes the resources and the backlog of an institution.
 type Capacity struct {
-	// Slots is the number of slots that this process can use at present.
+	// Slots is the number of slots that this process can use at present, including busy ones.
 	Slots int
 	// MaxSlots is the largest number of slots that the job could ever use at once, 0 if unknown.
 	MaxSlots int
--- a/core/admission/members.go
+++ b/core/admission/members.go
@@ -19,8 +19,8 @@
 	slots map[string]int
 	// readAt is when the list was last read, changedAt when these nodes were first read.
 	readAt, changedAt task.Time
-	// agreed: all declared entry processes are listed, and each has reported that it uses the
-	// same nodes and is within its limits.
+	// agreed: all declared entry processes are listed, and each has reported that it uses a list
+	// with the same nodes and is within its limits.
 	agreed bool
 }
 
@@ -66,7 +66,7 @@
 // remainderUsable reports whether the remainder units that the list assigns to this process may be
 // used.
 //
-// A process that is disconnected from the platform doesn't learn that it was removed from the list
+// A process that is disconnected from the platform can't read that it was removed from the list
 // and its units were reassigned. It stops using them when its last reading is older than
 // MaxListAge. The new owners wait for remainderWait plus maxTaskOverrun, unless all processes have
 // reported that they use the same list.
--- a/core/dispatch/command.go
+++ b/core/dispatch/command.go
@@ -8,7 +8,7 @@
 // Command is an output of the core. The node executes commands in order.
 type Command interface{ command() }
 
-// Reply answers a caller's request. Each request gets exactly one.
+// Reply answers a caller's request. There is exactly one for each request.
 type Reply struct {
 	Request uint64
 	Answer  *pb.Answer
--- a/core/dispatch/handover_test.go
+++ b/core/dispatch/handover_test.go
@@ -48,7 +48,7 @@
 	}
 	g.Expect(w.outcomesOf(w.entries[0], done)).To(gomega.Equal(map[pb.Outcome]int{pb.Outcome_OUTCOME_COMPLETE: 6}))
 	// There are two planned stops in a row: the second process hands on what it has
-	// adopted from the first, and the third learns of both.
+	// adopted from the first, and the third gets notice of both.
 	for i := range 2 {
 		w.entries[i].post(0, Drain{})
 		w.advance(8 * time.Second)
--- a/core/dispatch/lending.go
+++ b/core/dispatch/lending.go
@@ -252,7 +252,7 @@
 // grant grants slots for a received request: first it returns those borrowed from that
 // peer, then it lends own ones. The returned slots are no part of the grant; send adds them
 // to the same message as Returns. If there are no others, the grant is sent without slots,
-// because its request number tells the borrower which request the returned slots serve.
+// because its request number identifies the request that the returned slots serve.
 // grant reports false if there are no slots of either kind.
 func (c *Core) grant(k requestKey) bool {
 	r := c.lending.received[k]
@@ -283,7 +283,7 @@
 
 // endLoan ends a loan when LoanDuration has passed, or lostBorrowerGrace after the loss of
 // the borrower's connection, and reclaims the slots not returned by then. Without it the
-// slots of a borrower that crashed or forgot them would never be used again.
+// slots of a borrower that crashed or failed to return them would never be used again.
 func (c *Core) endLoan(id uint64) {
 	l := c.lending.granted[id]
 	if l == nil {
--- a/core/dispatch/submission.go
+++ b/core/dispatch/submission.go
@@ -279,7 +279,7 @@
 	c.giveUp(sub, pb.Reason_REASON_DEADLINE, "the deadline passed")
 }
 
-// giveUp ends a job that cannot complete; the answer says whether it may have run.
+// giveUp ends a job that cannot complete; the answer states whether it may have run.
 func (c *Core) giveUp(sub *submission, reason pb.Reason, detail string) {
 	if !sub.assembly.MayHaveRun() {
 		c.end(sub, c.notRunAnswer(sub, reason, detail))
--- a/core/topology/topology.go
+++ b/core/topology/topology.go
@@ -145,7 +145,8 @@
 }
 
 // linksWithinCell are the links within the own cell: with its seats, and from a seat with all
-// members. The later registered of two processes dials, since it surely knows the other.
+// members. Of two processes the one that registered later dials, because the other was already
+// registered then.
 func (f *Fleet) linksWithinCell(self Member, doublings int) []Link {
 	all := f.CellMembers(self)
 	top := seats(all, doublings)
--- a/core/topology/topology_test.go
+++ b/core/topology/topology_test.go
@@ -119,7 +119,7 @@
 }
 
 // A fleet starts, and its members register one by one. No process can lead before the layout
-// is known. If processes that know only a few small VMs connected with them, they would have
+// is known. If processes whose list has only a few small VMs connected with them, they would have
 // connections that are never needed.
 func TestNoLinksBeforeLayoutIsKnown(t *testing.T) {
 	g := NewWithT(t)
