--- a/core/dispatch/capacity.go
+++ b/core/dispatch/capacity.go
@@ -111,6 +111,8 @@
 	return c.queue.Work(institution) / time.Duration(tasks) * time.Duration(rest)
 }
 
+// capacity returns the slots and the backlog of a submission's institution, from which
+// admission.Decide derives the expected wait.
 func (c *Core) capacity(sub *submission) admission.Capacity {
 	name := sub.id.Institution
 	s := c.admission.totals[name]
--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -3,8 +3,10 @@
 // deterministic: the same events at the same times give the same commands.
 //
 // It combines the other core packages: which process may start a submission's
-// tasks (claim), the order of service (queue), the slots (slots), retries
-// (retry), the assembly of results (job) and the settings in force (settings).
+// tasks (claim), which jobs are accepted (admission), the order of service
+// (queue), the slots (slots), the live members (membership), the health of
+// upstreams (health), retries (retry), the assembly of results (job) and the
+// settings in force (settings).
 package dispatch
 
 import (
@@ -30,8 +32,8 @@
 	Seed uint64
 	// IDValidity is how long an issued id can be used.
 	IDValidity time.Duration
-	// MaxQueuedTasks bounds the waiting tasks. Each institution may have the part of it that
-	// its CapacityPercent states, 0 counting as 100.
+	// MaxQueuedTasks bounds the waiting tasks of all institutions together. Each of them may
+	// have the percentage of it that its CapacityPercent states, where 0 counts as 100.
 	MaxQueuedTasks int
 	// MaxRetainedAnswerBytes bounds the answers retained for resubmissions, per
 	// institution.
--- a/core/dispatch/forward.go
+++ b/core/dispatch/forward.go
@@ -12,8 +12,11 @@
 // forwarding tracks the requests forwarded to the holders of their claims, and the
 // numbers of those received from peers.
 type forwarding struct {
-	forwards        map[uint64]*waiter
-	lastForward     uint64
+	// forwards are the forwarded requests without an answer, by the numbers under which they
+	// were forwarded.
+	forwards    map[uint64]*waiter
+	lastForward uint64
+	// highestReceived is the highest number received from each peer, by node name.
 	highestReceived map[string]highestForward
 }
 
--- a/core/dispatch/handover.go
+++ b/core/dispatch/handover.go
@@ -24,6 +24,7 @@
 // is in progress and admission is closed for good, so the transferred state is final:
 // the peer answers from it and starts nothing.
 type handover struct {
+	// to is the peer that receives the messages; tried are this and earlier ones.
 	to       task.Incarnation
 	messages []*pb.Handover
 	next     int
--- a/core/dispatch/lending.go
+++ b/core/dispatch/lending.go
@@ -24,7 +24,7 @@
 }
 
 // LendingLimits trade response time against messages between entry processes: with higher
-// limits, tasks may wait longer for a slot and fewer messages are sent.
+// values fewer messages are sent, and tasks here or at the lenders may wait longer for a slot.
 type LendingLimits struct {
 	// Tolerance is how long a task may wait for an own slot before a slot is requested from
 	// peers, if the longest task of its job runs for the mean run time. For other jobs it is
--- a/core/dispatch/peers.go
+++ b/core/dispatch/peers.go
@@ -12,12 +12,14 @@
 // peer is a connected entry process.
 type peer struct {
 	failureDomain string
-	status        *pb.PeerStatus
-	lastHeard     task.Time
-	lastSent      task.Time
-	settingsPull  pull
-	membersPull   pull
-	announced     announced
+	// status is the latest status received, nil before the first.
+	status *pb.PeerStatus
+	// lastHeard is when the last message was received, lastSent when the last was sent.
+	lastHeard    task.Time
+	lastSent     task.Time
+	settingsPull pull
+	membersPull  pull
+	announced    announced
 }
 
 func compareIncarnations(a, b task.Incarnation) int {
--- a/core/dispatch/place.go
+++ b/core/dispatch/place.go
@@ -20,13 +20,15 @@
 
 // start is one start of one task.
 type start struct {
-	id      task.StartID
-	sub     *submission
-	index   int
-	slot    task.Slot
-	name    string
-	sent    task.Time
+	id    task.StartID
+	sub   *submission
+	index int
+	slot  task.Slot
+	name  string
+	sent  task.Time
+	// attempt is the number of earlier starts of the task, none of which ran it.
 	attempt int
+	// settles is how often the upstream was asked for the outcome.
 	settles int
 	// run is the run of the upstream known when the task was sent.
 	run string
--- a/core/dispatch/results.go
+++ b/core/dispatch/results.go
@@ -11,8 +11,8 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// maxSettles is how often an upstream is asked about a lost start before the start
-// is given up as unknown.
+// maxSettles is how often an upstream is asked about a start without a final result, whose
+// verdict is Lost or Running, before the start is given up as unknown.
 const maxSettles = 10
 
 // startResult handles the result of a start. Results of closed starts are late or
@@ -103,9 +103,9 @@
 	c.scheduleRetry(s)
 }
 
-// scheduleSettle asks the upstream for the outcome of a start whose connection
-// stopped responding. The task may be running, so it must not be started again
-// until the upstream confirms that it never will run.
+// scheduleSettle asks the upstream for the outcome of a start whose connection stopped
+// responding, or of which a former answer was that it is still running. The task may be
+// running, so it must not be started again until the upstream confirms that it never will run.
 func (c *Core) scheduleSettle(s *start) {
 	s.settles++
 	c.stats.Settles++
--- a/core/dispatch/timers.go
+++ b/core/dispatch/timers.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// NextTimer returns the time of the next Tick call; false if no timer is set.
+// NextTimer returns the time at which Tick must be called next; false if no timer is set.
 func (c *Core) NextTimer() (task.Time, bool) {
 	if len(c.timers) == 0 {
 		return 0, false
--- a/core/dispatch/upstreams.go
+++ b/core/dispatch/upstreams.go
@@ -15,6 +15,7 @@
 
 // upstream is the state of one upstream.
 type upstream struct {
+	// run identifies the run of its process that gave the latest result; empty if none is known.
 	run string
 }
 
