--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -3,8 +3,10 @@
 // deterministic: the same events at the same times give the same commands.
 //
 // It combines the other core packages: which process may start a submission's
-// tasks (claim), the order of service (queue), the slots (slots), retries
-// (retry), the assembly of results (job) and the settings in force (settings).
+// tasks (claim), which jobs are accepted (admission), the order of service
+// (queue), the slots (slots), the live members (membership), the health of
+// upstreams (health), retries (retry), the assembly of results (job) and the
+// settings in force (settings).
 package dispatch
 
 import (
@@ -30,7 +32,8 @@
 	Seed uint64
 	// IDValidity is how long an issued id can be used.
 	IDValidity time.Duration
-	// MaxQueuedTasks bounds the waiting tasks of all institutions together.
+	// MaxQueuedTasks bounds the waiting tasks of all institutions together. Each of them may
+	// have the percentage of it that its CapacityPercent states, where 0 counts as 100.
 	MaxQueuedTasks int
 	// MaxRetainedAnswerBytes bounds the answers retained for resubmissions, per
 	// institution.
@@ -51,14 +54,14 @@
 	// MaxHolders bounds the remembered claim rows of other processes, and
 	// separately the remembered unsettled claims.
 	MaxHolders int
-	// StatusInterval is how often a peer gets a status with changed contents if
-	// nothing else is sent to it, IdleStatusInterval an unchanged one.
+	// StatusInterval is how often a peer gets a status with changed contents if nothing
+	// else is sent to it; IdleStatusInterval is how often it gets an unchanged one.
 	StatusInterval     time.Duration
 	IdleStatusInterval time.Duration
 	// Lending configures the lending of slots between processes.
 	Lending Lending
 
-	// Health configures upstream health, AdmissionPolicy admission control.
+	// Health configures the tracking of upstream health, AdmissionPolicy admission control.
 	Health          health.Config
 	AdmissionPolicy AdmissionPolicy
 	// Order configures the order of service.
@@ -122,7 +125,7 @@
 	// holders caches the claim rows of other processes.
 	holders *claim.Holders
 	// unsettledClaims are the abandoned claims that may have been written or that were
-	// cancelled.
+	// cancelled, and of which it is not known who holds them.
 	unsettledClaims *claim.UnsettledSet
 
 	peers      map[task.Incarnation]*peer
--- a/core/dispatch/peers.go
+++ b/core/dispatch/peers.go
@@ -12,12 +12,14 @@
 // peer is a connected entry process.
 type peer struct {
 	failureDomain string
-	status        *pb.PeerStatus
-	lastHeard     task.Time
-	lastSent      task.Time
-	settingsPull  pull
-	membersPull   pull
-	announced     announced
+	// status is the latest status received, nil before the first.
+	status *pb.PeerStatus
+	// lastHeard is when the last message was received, lastSent when the last was sent.
+	lastHeard    task.Time
+	lastSent     task.Time
+	settingsPull pull
+	membersPull  pull
+	announced    announced
 }
 
 func compareIncarnations(a, b task.Incarnation) int {
@@ -59,8 +61,8 @@
 	c.send(e.Peer, &pb.PeerMessage{})
 }
 
-// peerDown handles a lost connection. Requests that wait for the peer are answered at
-// once, because its state is unknown until it is reachable again.
+// peerDown handles a lost connection. Requests that wait for the peer are answered at once,
+// because the state of the peer is unknown until it is reachable again.
 func (c *Core) peerDown(p task.Incarnation) {
 	c.recordAbsence(p)
 	delete(c.peers, p)
@@ -150,7 +152,7 @@
 	return st
 }
 
-// sendStatus sends a status to each peer that has got no message for an interval.
+// sendStatus sends a status to each peer to which no message was sent for its interval.
 func (c *Core) sendStatus() {
 	for _, p := range c.sortedPeers() {
 		if c.now-c.peers[p].lastSent >= c.statusIntervalFor(p) {
--- a/core/topology/topology_test.go
+++ b/core/topology/topology_test.go
@@ -33,10 +33,10 @@
 
 // degrees counts the connections of each process, and checks that exactly one side of each
 // pair dials.
-func degrees(g *WithT, f *Fleet, members []Member, widened int) map[string]int {
+func degrees(g *WithT, f *Fleet, members []Member, doublings int) map[string]int {
 	wanted := make(map[[2]string]int)
 	for _, m := range members {
-		for _, l := range f.Links(m, widened) {
+		for _, l := range f.Links(m, doublings) {
 			g.Expect(l.ID).NotTo(Equal(m.ID))
 			pair := [2]string{min(m.ID, l.ID), max(m.ID, l.ID)}
 			wanted[pair] += 0
@@ -94,14 +94,14 @@
 	}
 }
 
-// The schedulers of all cells are unreachable, and every VM looks for others. It doubles its
-// seats each time and never connects with all VMs at once.
+// The schedulers of all cells are unreachable, and every VM assumes more seats to find others.
+// The number of seats doubles each time, and no VM connects with all others at once.
 func TestWideningIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	l, members := testFleet(5, 200)
 	f := New(l, false, members)
-	for widened, seats := range []int{3, 16, 32, 64, 128, 200, 200} {
-		g.Expect(f.Seats("d1", widened)).To(HaveLen(seats))
+	for doublings, seats := range []int{3, 16, 32, 64, 128, 200, 200} {
+		g.Expect(f.Seats("d1", doublings)).To(HaveLen(seats))
 	}
 	degrees(g, f, members, 1)
 	small := members[199]
@@ -119,7 +119,7 @@
 }
 
 // A fleet starts, and its members register one by one. No process can lead before the layout
-// is known. If processes that know only a few small VMs connected with them, they would have
+// is known. If processes whose list has only a few small VMs connected with them, they would have
 // connections that are never needed.
 func TestNoLinksBeforeLayoutIsKnown(t *testing.T) {
 	g := NewWithT(t)
