--- a/core/leader/leader.go
+++ b/core/leader/leader.go
@@ -5,10 +5,15 @@
 // obey only the highest fencing token that they have seen, so leader election affects speed
 // and not safety.
 //
-// The oldest of the processes with the most CPU leads. It remains leader for as long as it
-// lives, and is leader again when a network partition that had hidden it heals, so that
-// leadership doesn't change without need. A process that was frozen while it led is demoted:
-// by age alone it would take the lead back, and freeze again.
+// The oldest process leads: the one that registered first and so has the lowest Report.Number.
+// Age is preceded by class, the criteria of compareClass: a process that is about to end, can't
+// reach the store, was demoted or has at most half of another's CPU ranks behind that one,
+// however old it is.
+//
+// A process remains the oldest for as long as it lives, so the leader doesn't change without
+// need. A network partition that hides the oldest process from others makes them elect another
+// leader among themselves; when it heals they follow the oldest again. A process that was frozen
+// while it led is demoted: by age alone it would take the lead back, and freeze again.
 //
 // A large deployment is divided into shards, each with its own leader. With several shards
 // in a cell, leaders are assigned by rendezvous hashing instead of age: the shards spread
@@ -42,18 +47,20 @@
 	HeartbeatTimeout = 450 * time.Millisecond
 	// settlePeriod is how long a new process listens before it may lead, counted from when
 	// it knows which other processes exist. Connecting with them takes about 50 ms, or 80 ms
-	// if all start at once. The wait is skipped once all have reported that they can lead.
+	// if all start at once. The wait is skipped once all have reported; see allReported.
 	settlePeriod = 150 * time.Millisecond
-	// maxSettlePeriod is how long a new process waits to learn which other processes exist,
-	// and for older processes that refuse its connections because they haven't read its
-	// registration yet. If it led during that time, it would take the runners of a scheduler
-	// that it has no connection with, and delay that scheduler's jobs.
+	// maxSettlePeriod is how long a new process listens instead while it doesn't know yet
+	// which other processes exist, or while an older process refuses its connections because
+	// that one hasn't read its registration yet. If it led during that time, it would acquire
+	// the runners of a scheduler that it has no connection with, by a higher fencing token,
+	// and delay that scheduler's jobs.
 	maxSettlePeriod = 2 * time.Second
 	// yieldTimeout is how long a leader continues while the process that should lead
 	// hasn't reported that it does.
 	yieldTimeout = 300 * time.Millisecond
 	// StallThreshold is the pause between two ticks of a process after which it considers
-	// itself to have been frozen. By then the others have missed its heartbeats.
+	// itself to have been frozen. By then the others have missed its heartbeats, and count it
+	// as lost if the last one was sent more than 50 ms before the pause (HeartbeatTimeout).
 	StallThreshold = 400 * time.Millisecond
 )
 
@@ -67,15 +74,16 @@
 	shards []int
 	// peersKnown: the set of other processes is known; listenSince counts from then on.
 	peersKnown bool
-	// allVMsReachable: heartbeats arrive from a process of each VM of the deployment.
+	// allVMsReachable: heartbeats arrive from a process of each VM of the cell.
 	allVMsReachable bool
 	// olderPeerPending: an older process exists that could lead and hasn't reported yet.
 	olderPeerPending bool
 	// yieldSince is, by shard, when this process as leader began to wait for another
-	// process to take over; 0 if it doesn't.
+	// process to take over; 0 if it isn't waiting.
 	yieldSince []Time
 	peers      map[ID]*peer
-	// claimants are, by shard, the processes that report that they lead it.
+	// claimants are, by shard, the other processes that report that they lead it. RecordContact
+	// adds them, and removeClaims removes them.
 	claimants map[int][]ID
 }
 
@@ -98,8 +106,9 @@
 func (v *View) SetMilliCPU(milliCPU int) { v.own.MilliCPU = milliCPU }
 
 // SetLayout sets the cells of the shards and the cell of this process. A process whose settle
-// period has passed begins a new one: nobody could lead before the layout was known, and
-// without the wait every process would lead all shards at once.
+// period has passed begins a new one. Without the layout no process is able to schedule, so no
+// report received so far is that of a candidate: without the wait every process would consider
+// itself the only one, and lead all shards at once.
 func (v *View) SetLayout(now Time, l layout.Layout, cell string) {
 	v.layout = l
 	v.own.Cell = cell
@@ -112,7 +121,7 @@
 }
 
 // SetAble sets whether the process is able to schedule, and if so whether it is only a
-// standby for better placed processes.
+// standby for better placed processes. A process that hasn't registered is never able.
 func (v *View) SetAble(able, standby bool) {
 	able = able && v.own.Number > 0
 	v.own.Able, v.own.Standby = able && !standby, able && standby
@@ -121,7 +130,8 @@
 // CanSchedule reports whether the process is able to schedule, as a candidate or a standby.
 func (v *View) CanSchedule() bool { return v.own.Able || v.own.Standby }
 
-// PeersDiscovered records that the set of other processes is known.
+// PeersDiscovered records that the set of other processes is known, and restarts the settle
+// period the first time.
 func (v *View) PeersDiscovered(now Time) {
 	if !v.peersKnown {
 		v.peersKnown, v.listenSince = true, now
@@ -138,28 +148,32 @@
 }
 
 // SetOlderPeerPending sets whether an older process that could lead exists and hasn't
-// reported yet.
+// reported yet; see maxSettlePeriod.
 func (v *View) SetOlderPeerPending(pending bool) { v.olderPeerPending = pending }
 
-// SetAllVMsReachable sets whether heartbeats arrive from a process of each VM.
+// SetAllVMsReachable sets whether heartbeats arrive from a process of each VM of the cell.
 func (v *View) SetAllVMsReachable(allVMsReachable bool) { v.allVMsReachable = allVMsReachable }
 
-// SetStoreStatus sets whether the process leads, needs the store and can't reach it
-// (trouble), and whether it was asked to probe the store and reaches it.
+// SetStoreStatus sets what the process reports of the store. trouble: it leads a shard, stored
+// jobs there wait for the store, and its calls to the store have failed for a while; by
+// reporting this it asks the others to probe the store. reached: the process was asked to probe
+// the store, by another or by its own trouble, and reached it recently.
 func (v *View) SetStoreStatus(trouble, reached bool) {
 	v.own.StoreTrouble, v.own.StoreReached = trouble, reached
 }
 
-// SetStoreLost sets whether the process was asked to probe the store and can't reach it, so
-// that a process that does reach it should lead instead.
+// SetStoreLost sets whether the process can't reach the store and should leave the lead to one
+// that can. This is reported by a process that was asked to probe the store and failed, and by a
+// leader in trouble once another process has reached the store; see SetStoreStatus.
 func (v *View) SetStoreLost(lost bool) { v.own.StoreLost = lost }
 
 // Demote ranks the process behind those with fewer demotions, so that it doesn't take the
-// lead back.
+// lead back. Demotions precede CPU capacity and starvations in rank; see compareClass. Neither
+// counter is reset while the process lives.
 func (v *View) Demote() { v.own.Demotions++ }
 
-// RecordStarvation counts a CPU starvation. It ranks the process behind those of similar CPU
-// capacity with fewer.
+// RecordStarvation counts a CPU starvation. It ranks the process behind those with fewer, but
+// only among processes of similar CPU capacity and with as many demotions.
 func (v *View) RecordStarvation() { v.own.Starvations++ }
 
 // HasIdleSuccessor reports whether another process ranks at least as high, apart from
@@ -184,7 +198,7 @@
 
 // RecordStall records that the process itself stood still for a while. Its data about the
 // others is as old as the pause, so none is counted as lost, and a new settle period begins.
-// A leader is demoted.
+// A process that led is demoted, as by Demote.
 func (v *View) RecordStall(now Time, leading bool) {
 	if leading {
 		v.own.Demotions++
@@ -199,18 +213,24 @@
 type Choice struct {
 	// Leader is "" if there is none.
 	Leader ID
-	// Reachable is false if other processes follow the leader, but this one has no
-	// contact with it.
+	// Reachable is false if there is no leader, or if other processes follow the leader but
+	// this one has no contact with it.
 	Reachable bool
 }
 
 // Choose returns the leader that this process follows in a shard; leading tells whether this
 // process leads the shard now.
 //
-// The reachable candidate that ranks first should lead. Until it reports that it does, the
-// present leader continues for up to yieldTimeout. Otherwise there would be moments without
-// a leader, or with the wrong one, at a planned stop and while connections come back one by
-// one after a network partition.
+// Three processes may differ. preferred is the reachable candidate that ranks first and should
+// lead. claimingLeader is the highest ranking of the other processes that report that they do
+// lead. The result, Choice.Leader, is the one to hand jobs in to.
+//
+// Until the preferred process reports that it leads, the present leader continues for up to
+// yieldTimeout. Otherwise there would be moments without a leader, or with the wrong one, at a
+// planned stop and while connections come back one by one after a network partition.
+//
+// A process that is itself preferred doesn't lead while other processes follow a leader that it
+// has no contact with; see leaderFollowedByPeers. It follows that leader, with Reachable false.
 //
 // In a shard of another cell, this process never leads. It follows the process that reports
 // that it does.
@@ -225,17 +245,17 @@
 	}
 	if preferred == v.self {
 		if other := v.leaderFollowedByPeers(now, shard); other != "" {
-			return v.yield(now, shard, leading, Choice{Leader: other})
+			return v.yieldAfterTimeout(now, shard, leading, Choice{Leader: other})
 		}
 		v.yieldSince[shard] = 0
 		return Choice{Leader: v.self, Reachable: true}
 	}
 	if leading && leader != preferred && (leader == "" || v.ranksBefore(v.self, leader, shard)) {
-		return v.yield(now, shard, true, Choice{Leader: preferred, Reachable: true})
+		return v.yieldAfterTimeout(now, shard, true, Choice{Leader: preferred, Reachable: true})
 	}
 	v.yieldSince[shard] = 0
-	// A process that should lead and doesn't report it may not know it yet; a job
-	// handed in there would only wait.
+	// A process that should lead and doesn't report that it does may not know yet that it
+	// should; a job handed in there would only wait.
 	return Choice{Leader: leader, Reachable: leader != ""}
 }
 
@@ -243,8 +263,9 @@
 // it over.
 func (v *View) Yields(shard int) bool { return v.yieldSince[shard] > 0 }
 
-// yield lets a leader continue for up to yieldTimeout before it follows another process.
-func (v *View) yield(now Time, shard int, leading bool, other Choice) Choice {
+// yieldAfterTimeout lets a process that leads continue for up to yieldTimeout, and then follow
+// another. A process that doesn't lead follows the other at once.
+func (v *View) yieldAfterTimeout(now Time, shard int, leading bool, other Choice) Choice {
 	if !leading {
 		return other
 	}
@@ -269,7 +290,7 @@
 	return distribute(candidates, v.shards)[shard]
 }
 
-// candidates lists the processes of the cell that may lead and that no other process
+// candidates lists the processes of the cell that are able to lead and that no other of them
 // precedes by class, ordered by ID.
 func (v *View) candidates(now Time) []ID {
 	var able []ID
@@ -287,9 +308,10 @@
 	})
 }
 
-// allReported reports whether each VM has a process that has reported, since the settle
-// period began, that it can lead or stand by. Then the leader can be chosen at once, since no
-// older process is still to be heard from.
+// allReported reports whether a process of each VM of the cell is reachable, and all reachable
+// processes of the cell have reported that they can lead or stand by, and been in contact since
+// the settle period began. Then the leader can be chosen at once, since no older process is
+// still to report.
 //
 // Reports from before a pause of this process don't count. With them it would lead again as
 // it wakes up, with jobs in its queue that have long been handed to another scheduler.
@@ -309,7 +331,7 @@
 }
 
 // claimingLeader is the highest ranking of the other processes that report that they lead
-// a shard.
+// a shard (claimants); "" if none does. Several may, for instance after a network partition.
 func (v *View) claimingLeader(now Time, shard int) ID {
 	best := ID("")
 	for _, id := range v.claimants[shard] {
@@ -320,9 +342,14 @@
 	return best
 }
 
-// leaderFollowedByPeers finds a leader that this process has no contact with but that a
-// reachable process follows. If this process led at the same time, the two would take the
-// runners from each other in turns.
+// leaderFollowedByPeers finds a leader that this process has no contact with but that another
+// process follows. If this process led at the same time, the two would acquire the runners from
+// each other in turns, each with a higher fencing token.
+//
+// The leader counts for as long as the follower's last contact with it is no older than
+// HeartbeatTimeout: the age that the follower reported, and the time since the follower was
+// last in contact with this process. Of several, the one with the smallest ID is returned, so
+// that the result doesn't depend on the order of the map.
 func (v *View) leaderFollowedByPeers(now Time, shard int) ID {
 	found := ID("")
 	for id, p := range v.peers {
@@ -362,7 +389,8 @@
 }
 
 // OwnReport is the report to send, given the leader that the process follows in each shard.
-// It covers only the shards of this process's cell.
+// It covers only the shards of this process's cell. The caller sets Term, which isn't part of
+// the view.
 func (v *View) OwnReport(now Time, choices []Choice) Report {
 	r := v.own
 	r.Follows = make([]Follow, len(choices))
--- a/core/leader/peers.go
+++ b/core/leader/peers.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// The state of the other processes.
+// The reports of the other processes, and when each was last in contact.
 
 type peer struct {
 	report      Report
 	lastContact Time
 }
 
-// RecordContact takes a heartbeat's report, or with a nil report any other message.
+// RecordContact records that a message of a process has arrived. r is the report of a
+// heartbeat, and nil for any other message.
 func (v *View) RecordContact(now Time, id ID, r *Report) {
 	p := v.peers[id]
 	if p == nil {
@@ -36,7 +37,7 @@
 	}
 }
 
-// RemovePeer removes a process that has closed its connection.
+// RemovePeer removes a process that has ended.
 func (v *View) RemovePeer(id ID) { v.remove(id) }
 
 func (v *View) remove(id ID) {
--- a/core/leader/report.go
+++ b/core/leader/report.go
@@ -7,37 +7,41 @@
 
 // Report is the state that a process reports of itself in a heartbeat.
 type Report struct {
-	// Number is assigned in the order of registration; 0 if not registered.
+	// Number is assigned in the order of registration, so that a lower one means an older
+	// process; 0 if not registered. A process without a number can't lead.
 	Number uint64
 	// Able: the process may lead.
 	Able bool
 	// Standby: it could lead, but leaves that to better placed VMs.
-	Standby  bool
+	Standby bool
+	// Stopping: it is about to end.
 	Stopping bool
 	// Cell is the part of the deployment whose shards it may lead; "" if the
 	// runners are pooled.
 	Cell string
-	// Demotions counts the times that the process was frozen while it led.
+	// Demotions counts the times that the process was frozen while it led, or gave up the
+	// lead to a process that reaches the store.
 	Demotions uint32
 	// Starvations counts the times that it gave up the lead because of CPU starvation.
 	Starvations uint32
-	// StoreTrouble: it leads, needs the store and can't reach it.
+	// StoreTrouble, StoreReached and StoreLost are explained at View.SetStoreStatus and
+	// View.SetStoreLost.
 	StoreTrouble bool
-	// StoreReached: it was asked to probe the store, and reaches it.
 	StoreReached bool
-	// StoreLost: it was asked to probe the store, and can't reach it.
-	StoreLost bool
+	StoreLost    bool
 	// Term is the highest scheduler term that it knows.
 	Term uint64
 	// MilliCPU is the CPU capacity of its VM, in thousandths of a core.
 	MilliCPU int
 	// Shards is the number of shards in its layout; 0 if it knows none.
 	Shards int
-	// Follows is the leader that it follows in each shard.
+	// Follows is the leader that it follows in each shard: itself in the shards that it
+	// leads, and "" in shards of other cells.
 	Follows []Follow
 }
 
-// Follow is the leader of a shard, and the time since the reporting process last heard from it.
+// Follow is the leader of a shard, and the time since the reporting process last received a
+// message from it.
 type Follow struct {
 	Leader ID
 	Age    time.Duration
