--- a/core/fleet/message.go
+++ b/core/fleet/message.go
@@ -16,12 +16,14 @@
 // Message is a message from one process to another.
 type Message interface{ message() }
 
-// Heartbeat is the state that a process reports of itself.
+// Heartbeat is the state that a process reports of itself, to each connected process every
+// leader.HeartbeatInterval.
 type Heartbeat struct {
 	Report             leader.Report
 	DeclarationVersion uint64
 	// RunnersRevision is the revision of the sender's list of runners. RunnersStale: the
-	// sender leads and can't read the list at present.
+	// sender leads the cell's first shard, reads the list for the cell, and hasn't been able
+	// to for a while; a process that can sends it its own.
 	RunnersRevision uint64
 	RunnersStale    bool
 	// RunnersDigest is equal for lists with the same runners in the same states, while
@@ -36,31 +38,35 @@
 	// for the waiting work.
 	BacklogTime time.Duration
 	// UncertainFor is the remaining time in which the sender assumes that some VM may be
-	// unreachable from all other processes.
+	// unreachable from all other processes. Callers of that VM may send jobs again, to other
+	// cells, of which tasks have already run; see uncertainty.go.
 	UncertainFor time.Duration
 	// Evacuations are the failure domains in which no new tasks are started, as known to
 	// the sender.
 	Evacuations routing.Evacuations
 }
 
-// Layout sends the division of the runners into shards to a process that doesn't have it.
+// Layout sends the division of the runners into shards to a process whose heartbeat reports that
+// it doesn't know the layout.
 type Layout struct{ layout.Layout }
 
-// HandIn passes a job to a scheduler.
+// HandIn passes a caller's job from its entry process to the scheduler of a shard.
 type HandIn struct{ gateway.HandIn }
 
-// Verdict is a scheduler's decision on a job.
+// Verdict is a scheduler's decision on a job, sent to the entry process that handed it in: the
+// job has ended with an outcome, was accepted if it is stored, or is refused.
 type Verdict struct{ gateway.Verdict }
 
-// DropJob tells a scheduler to drop a job because its caller has left or, if HandedOver,
-// because another scheduler gets it.
+// DropJob tells a scheduler to drop a job that was handed in to it, because the job's caller has
+// left or was answered or, if HandedOver, because another scheduler gets it.
 type DropJob struct {
 	Shard      int
 	Job        workload.JobID
 	HandedOver bool
 }
 
-// JobQuery requests a job's state, or with Cancel its cancellation.
+// JobQuery requests a stored job's state, or with Cancel its cancellation, from the leader of
+// the shard that the job belongs to.
 type JobQuery struct {
 	Request uint64
 	Job     workload.JobID
@@ -76,22 +82,26 @@
 	State   schedule.JobState
 }
 
-// JobMove transfers a stored job to the owner of another shard.
+// JobMove transfers an accepted stored job that is stalled in its shard to the leader of another
+// shard, where it would start sooner. It is sent again until JobTaken arrives.
 type JobMove struct {
 	Shard int
 	schedule.MovedJob
 }
 
-// JobTaken reports that a transferred job is stored in the rows of the other shard.
+// JobTaken reports to the sender of a JobMove that the job is stored in the rows of the other
+// shard. Shard is the shard that the job has left.
 type JobTaken struct {
 	Shard int
 	Job   workload.JobID
 }
 
-// Declaration sends a configuration.
+// Declaration sends the configuration in force to a process whose heartbeat reports an older
+// version.
 type Declaration struct{ *routing.Declaration }
 
-// RunnerList is the platform's list of runners at a revision.
+// RunnerList is the platform's list of runners of a cell at a revision or, with Handover, a list
+// of other runners that the receiver has to know of.
 type RunnerList struct {
 	Revision uint64
 	// Runners are in the order of their ids.
@@ -99,7 +109,9 @@
 	// Unreadable are entries that name no usable runner. They aren't sent to others.
 	Unreadable []workload.RunnerID
 	// Handover: the sender is about to pass on jobs that another scheduler had, and
-	// Runners are those on which that scheduler may have started them.
+	// Runners are those on which that scheduler may have started them. Some may no longer be
+	// on the platform's list. The receiver adds them to the runners that it knows; they
+	// don't replace its list.
 	Handover bool
 }
 
--- a/core/fleet/moved.go
+++ b/core/fleet/moved.go
@@ -10,7 +10,8 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Stored jobs that move to another shard because their own has no runners.
+// Stored jobs that move to another shard: their own has no runners for them, or nothing waits in
+// the other. Queries for such a job are forwarded there.
 
 const (
 	// maxHops bounds how often a query is forwarded: shards whose ownership is uncertain
@@ -55,7 +56,7 @@
 	m := JobMove{Shard: c.To, MovedJob: c.MovedJob}
 	switch to := n.leaderOf(c.To); to {
 	case "":
-		// The scheduler issues the command again.
+		// The scheduler issues the command again until the job has arrived.
 	case n.Self():
 		n.receiveMovedJob(now, to, m)
 	default:
@@ -103,7 +104,8 @@
 	n.handleQuery(now, q, m.Job)
 }
 
-// handleMovedQuery answers a query for a job that has moved to another shard, or forwards it.
+// handleMovedQuery answers a query for a job that moves to the shard to, or forwards the query.
+// arrived: the job is stored in the rows of that shard.
 func (n *Node) handleMovedQuery(now Time, q pendingQuery, id workload.JobID, to int, arrived bool) {
 	q.shard, q.hops = to, q.hops+1
 	owner := n.leaderOf(to)
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -40,20 +40,20 @@
 	gateway     *gateway.Gateway
 	domain      string
 	// layout is unknown, and shards and own are empty, until ApplyLayout is called. cell
-	// is the part of the deployment to which this process belongs, and own are the shards
-	// of that cell.
+	// is the part of the deployment to which this process belongs, "" if the runners are
+	// pooled, and own are the shards of that cell.
 	layout layout.Layout
 	cell   string
 	shards []*shard
 	own    []*shard
-	// members are the registered processes, member is this one. fleet is nil until
-	// both are known.
+	// members are the registered processes, and member is this one. fleet, which decides the
+	// connections, is nil until both are known.
 	members []topology.Member
 	member  topology.Member
 	fleet   *topology.Fleet
 	// seated reports whether this VM has a seat: within a cell, VMs with seats schedule
-	// before the others. seatDoublings is how often the number of seats was doubled
-	// because no scheduler was reachable.
+	// before the others; see package topology. seatDoublings is how often the number of
+	// seats that this process assumes was doubled because no scheduler was reachable.
 	seated        bool
 	seatDoublings int
 	// links are the connections requested by the last Connect command.
@@ -65,7 +65,8 @@
 
 	lastTick Time
 	// leadersReachedAt is when the leaders of all shards of the cell were last reachable,
-	// or when no process could have led yet.
+	// or when no process could have led yet. lastArrival is when a caller's request last
+	// arrived, and stopStartedAt when a planned stop began; 0 if never.
 	leadersReachedAt Time
 	lastArrival      Time
 	stopStartedAt    Time
@@ -75,31 +76,40 @@
 	cpuDemotedAt Time
 	// becameLeaderAt is when it last became the leader of a shard.
 	becameLeaderAt Time
-	// earlyRequests arrived before the shards were known.
+	// earlyRequests are callers' requests that arrived before the shards were known.
 	earlyRequests []earlyRequest
 	// backlogTime is how long the runners would need for the work that waits in the
-	// shards led here.
+	// shards led here; the longest if there are several.
 	backlogTime time.Duration
-	// pending holds, by leader, the pending jobs of each queue that it last reported.
+	// pending holds, by leader, the number of jobs of each queue of which no task has
+	// started, as the leader last reported it.
 	pending map[leader.ID]map[string]int
 
+	// runners is the list of runners in use: those of the cell that are registered in the
+	// store, and those that are retained on it as lapsed; see lapsed.go.
 	runners RunnerList
 	// listKnown: a list of runners was read from the store or received from another
 	// process.
 	listKnown bool
-	// digest is the digest of runners, and sentDigest that of the list which was last
-	// sent to each process on its current connection.
+	// digest is the digest of runners, see digestOf, and sentDigest that of the list which
+	// was last sent to each process on its current connection: a list of equal content isn't
+	// sent again.
 	digest     uint64
 	sentDigest map[leader.ID]uint64
+	// listReadAt is when the list was last read from the store. listStale: this process
+	// reads it for the cell, and hasn't been able to for staleAfter.
 	listReadAt Time
 	listStale  bool
-	// staleLeaders are the connected leaders that can't read the list of runners.
+	// staleLeaders are the connected processes of the cell that report listStale. They lead
+	// the cell's first shard. While there are any, this process reads the list frequently
+	// and sends it to them.
 	staleLeaders map[leader.ID]bool
 	// storeFailedAt is when a call to the store last failed; 0 if none has failed.
 	storeFailedAt Time
-	// lapsedSince holds the runners that are retained on the list after their entries
-	// lapsed, with the time at which this was noticed.
-	lapsedSince    map[workload.RunnerID]Time
+	// lapsedSince holds the runners that are retained on the list although their entries
+	// lapsed, with the time at which this was noticed; see lapsed.go.
+	lapsedSince map[workload.RunnerID]Time
+	// removedRunners are the runners that left the list recently; see removedRetention.
 	removedRunners []removedRunner
 	// queries are the queries of this process's callers that were sent to a leader.
 	queries map[uint64]bool
@@ -109,17 +119,18 @@
 	lastRelayID uint64
 	// cellVMs are the VMs of the cell, this one included; nil until they are known.
 	cellVMs []string
-	// unreachableSince holds the VMs of the cell from which no process has sent a
-	// heartbeat on a live connection, with the time since when.
+	// unreachableSince holds the VMs of the cell of which no connected process has sent a
+	// heartbeat, with the time since when.
 	unreachableSince map[string]Time
-	// othersReachableSince is since when all of cellVMs are reachable except those that
-	// are presumed gone; never if some aren't.
+	// othersReachableSince is since when all of cellVMs have been reachable except those
+	// that are presumed gone; never if some aren't.
 	othersReachableSince Time
 	store                storeWatch
 	storedJobs           StoredJobs
-	// lostVMs are VMs whose processes fell silent and haven't reconnected, with the time
-	// of the loss. Until uncertainUntil some VM of the fleet may be unreachable from all
-	// other processes.
+	// lostVMs are the VMs of processes from which no message arrived for HeartbeatTimeout,
+	// with the time at which that was noticed. A VM is removed when a process of it connects
+	// again, or by updateUncertainty after schedule.UnreachableTimeout. Until uncertainUntil
+	// some VM of the fleet may be unreachable from all other processes; see uncertainty.go.
 	lostVMs        map[string]Time
 	uncertainUntil Time
 
@@ -358,8 +369,8 @@
 	}
 }
 
-// stalled gives up the lead after a pause. Another process has taken over the runners
-// meanwhile, and jobs or runs that this one considers expired may have been taken over.
+// stalled gives up the lead after a pause of this process. Another process has taken over the
+// runners meanwhile, and may continue jobs and runs whose timeouts have expired here.
 func (n *Node) stalled(now Time, pause time.Duration) {
 	n.warn("process-stalled", Field{"pause", ms(pause)}, Field{"leading", n.Leads()})
 	n.view.RecordStall(now, n.Leads())
--- a/core/fleet/peers.go
+++ b/core/fleet/peers.go
@@ -9,7 +9,11 @@
 	"sapphirepoint.example/sapphirepoint/core/schedule"
 )
 
-// PeerUp handles a new connection with a process.
+// PeerUp handles a new connection with a process. It may replace an earlier connection for
+// which PeerDown wasn't called, so the end of that one is handled first: jobs that the process
+// handed in on it are dropped, unless they are stored or have started. Both processes then hand
+// in again the jobs that the other has and whose callers still wait; see
+// gateway.Gateway.Reconnected.
 func (n *Node) PeerUp(now Time, id leader.ID) {
 	n.detectStall(now)
 	n.connected[id] = true
@@ -24,8 +28,10 @@
 	n.gateway.Reconnected(now, id)
 }
 
-// PeerDown handles the end of a connection. ended: the other process reported that it
-// ends. Otherwise it may be alive, and counts as lost only after missed heartbeats.
+// PeerDown handles the end of a connection. ended: the other process closed it because that
+// process ends, and is removed at once. Otherwise it may be alive: only those of its jobs are
+// dropped that aren't stored and haven't started, and the process counts as lost (peerLost) once
+// no message has arrived from it for leader.HeartbeatTimeout.
 func (n *Node) PeerDown(now Time, id leader.ID, ended bool) {
 	n.detectStall(now)
 	delete(n.connected, id)
@@ -40,9 +46,11 @@
 	n.updateLeaders(now)
 }
 
-// peerLost drops what was in flight for a process, and closes its connection. If only one
-// direction of it failed, the other process would still receive messages from this one, and
-// would continue jobs that are being passed to another process.
+// peerLost handles the loss of a process: it drops what that process has in flight here, and
+// closes the connection with it. If only one direction of the connection failed, the other
+// process would still receive messages from this one, and would continue jobs that are being
+// passed to another process. ended: the process has ended; otherwise its VM may be alive beyond
+// a network partition.
 func (n *Node) peerLost(now Time, id leader.ID, ended bool) {
 	n.warn("peer-lost", Field{"peer", string(id)}, Field{"ended", ended})
 	n.emit(Disconnect{Peer: id})
@@ -58,9 +66,10 @@
 	}
 }
 
-// disconnectAll closes all connections after a pause. The other processes have closed them
-// already or are about to, and those that have ended meanwhile couldn't report it. Messages
-// that are still buffered may be outdated, and jobs in them may have been passed to others.
+// disconnectAll closes all connections after a stall of this process. The other processes have
+// closed them already or are about to, since they received no heartbeat meanwhile, and those that
+// have ended during the stall couldn't report it to this one. Messages that are still buffered
+// may be outdated, and jobs in them may have been passed to others.
 func (n *Node) disconnectAll(now Time) {
 	for _, id := range n.peers() {
 		delete(n.connected, id)
@@ -81,7 +90,8 @@
 	n.submit(now, from, c)
 }
 
-// Receive handles a message. A nil message only shows that the sender is alive.
+// Receive handles a message; message.go explains the kinds. A nil message only shows that the
+// sender is alive.
 func (n *Node) Receive(now Time, from leader.ID, m Message) {
 	n.detectStall(now)
 	for _, s := range n.own {
@@ -96,6 +106,8 @@
 	case HandIn:
 		n.receiveHandIn(now, from, m.HandIn)
 	case Verdict:
+		// From isn't encoded in the message. HandleVerdict compares it with the scheduler that
+		// has the job.
 		m.From = from
 		n.gateway.HandleVerdict(now, m.Verdict)
 	case DropJob:
@@ -118,9 +130,12 @@
 		n.ApplyLayout(now, m.Layout)
 	case RunnerList:
 		if m.Handover {
+			// This isn't the platform's list, which it doesn't replace; see RunnerList.
 			n.addUnlistedRunners(now, m.Runners)
 			return
 		}
+		// Each process uses the runners of its own cell only. Until the layout is known, the
+		// cell isn't either, and a list is accepted from any process.
 		if n.LayoutKnown() && !n.inCell(from) {
 			return
 		}
@@ -133,9 +148,12 @@
 	before := n.view.Report(from)
 	n.view.RecordContact(now, from, &h.Report)
 	if before.Number == 0 {
+		// This is its first report; until then updateUnreachable doesn't count its VM as
+		// reachable.
 		n.updateUnreachable(now)
 	}
 	if h.Report.Shards == 0 && n.LayoutKnown() {
+		// The sender doesn't know the layout yet.
 		n.emit(Send{To: from, Message: Layout{n.layout}})
 	}
 	n.learnStoredJobs(now, h.StoredJobs)
@@ -156,7 +174,8 @@
 	}
 	if now-n.heartbeatSentAt[from] >= leader.HeartbeatInterval/2 {
 		// Sent now, this process's heartbeat carries the connection's acknowledgement of
-		// the one received, which would otherwise need a datagram of its own: one in four.
+		// the one received. Otherwise the acknowledgement would need a datagram of its own,
+		// one in four of all datagrams.
 		n.sendHeartbeat(now, from)
 	}
 	delete(n.staleLeaders, from)
@@ -171,13 +190,18 @@
 		if h.Report.Leader(s.index) != n.Self() || before.Leader(s.index) == n.Self() {
 			continue
 		}
+		// The sender follows this process in the shard from now on. Runners that had accepted a
+		// higher token of the sender were left to it, and are now reacquired.
 		if before.Leader(s.index) == from {
-			// It led on the other side of a network partition and has yielded.
+			// The sender reported until now that it leads the shard, on the other side of a
+			// network partition, and has yielded. TakeOverRunners also requests the lists of
+			// all other runners, since jobs that the sender had may be handed in here while
+			// their tasks run.
 			s.schedule.TakeOverRunners(now)
 			continue
 		}
-		// It may have led for a moment without this process learning of it, as happens
-		// when two processes start at the same time.
+		// The sender may have led the shard for a moment without reporting it to this process,
+		// as happens when two processes start at the same time.
 		s.schedule.ReacquireRunners(now)
 	}
 }
@@ -188,7 +212,9 @@
 // peers lists the connected processes in the order of their ids.
 func (n *Node) peers() []leader.ID { return slices.Sorted(maps.Keys(n.connected)) }
 
-// sendDueHeartbeats sends heartbeats at equal intervals; a tick may be slightly early.
+// sendDueHeartbeats sends heartbeats at equal intervals, each at the tick that is nearest to
+// HeartbeatInterval after the one before. A tick may be up to half a TickInterval early: waiting
+// for the next one would make the interval longer.
 func (n *Node) sendDueHeartbeats(now Time) {
 	for _, id := range n.peers() {
 		if now-n.heartbeatSentAt[id] >= leader.HeartbeatInterval-TickInterval/2 {
@@ -217,6 +243,7 @@
 	if n.listKnown {
 		h.RunnersDigest = n.digest
 	}
+	// The view doesn't know the terms, which the shards' schedulers keep.
 	h.Report.Term = n.term()
 	h.UncertainFor = max(0, n.uncertainUntil-now)
 	if n.Leads() {
--- a/core/fleet/runners.go
+++ b/core/fleet/runners.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	// staleAfter is the age of the list at which the leader requests those of other
-	// processes: two failed reads.
+	// staleAfter is the age of the list at which the process that reads it for the cell
+	// reports that it can't, and so requests the lists of other processes: two failed reads.
 	staleAfter = 1500 * time.Millisecond
 	// removedRetention is how long runners are remembered after they left the list: as
-	// long as runs that another scheduler must be told of may be alive on them.
+	// long as runs may be alive on them that must be reported to another scheduler; see
+	// reportPossibleRuns.
 	removedRetention = 3 * time.Second
 )
 
@@ -43,14 +44,14 @@
 func (n *Node) inCell(id leader.ID) bool { return n.view.Report(id).Cell == n.cell }
 
 // One process of a cell reads the list frequently, and sends it to the others when its
-// content changes. The rows change with every heartbeat of a runner; if all leaders read
-// them, that would be most of their load on the store.
+// content changes: the leader of the cell's first shard. The rows change with every heartbeat
+// of a runner; if all leaders read them, that would be most of their load on the store.
 
-// readsForCell reports whether this process is that one: it leads the cell's first shard.
+// readsForCell reports whether this process reads the list for its cell.
 func (n *Node) readsForCell() bool { return len(n.own) > 0 && n.own[0].leading() }
 
 // ShouldPollRunners reports whether this process should read the list frequently: for its
-// cell, or for a leader that can't read it.
+// cell, or in place of a process that reads it for the cell and can't at present.
 func (n *Node) ShouldPollRunners() bool { return n.readsForCell() || len(n.staleLeaders) > 0 }
 
 // ReceivesRunnerList reports whether this process needn't read the list because the one that
@@ -71,6 +72,7 @@
 	n.listStale = n.readsForCell() && now-n.listReadAt > staleAfter
 }
 
+// setListKnown records that a list of runners is known, which scheduling requires.
 func (n *Node) setListKnown() {
 	if !n.listKnown {
 		n.listKnown = true
@@ -112,9 +114,9 @@
 	}
 }
 
-// updateRunners sends the list to a process whose own list is older and has other content.
-// That process needs it when it becomes the leader, and when it passes jobs to another
-// scheduler.
+// updateRunners sends the list to a process whose own list, as its heartbeat reports, is older
+// and has other content. That process needs it when it becomes the leader, and when it passes
+// jobs to another scheduler.
 //
 // Sending each change when it is read isn't enough: a process that reads of a new runner
 // and becomes the leader only a moment later has sent it to nobody. If that process is then
@@ -125,7 +127,8 @@
 	}
 }
 
-// sendRunners sends the list to a process, unless that was last sent the same content.
+// sendRunners sends the list to a process, unless a list of the same content was the last that
+// was sent to it on the current connection.
 func (n *Node) sendRunners(id leader.ID) {
 	if n.sentDigest[id] == n.digest {
 		return
@@ -145,6 +148,7 @@
 	return h.Sum64()
 }
 
+// recordRemoved records which of the present runners a new list lacks; see removedRetention.
 func (n *Node) recordRemoved(now Time, list RunnerList) {
 	listed := make(map[workload.RunnerID]bool, len(list.Runners))
 	for _, r := range list.Runners {
@@ -160,8 +164,9 @@
 	}
 }
 
-// reportPossibleRuns tells the new leader of a shard on which runners the previous one may
-// have started the jobs that this process is about to pass on again.
+// reportPossibleRuns reports to the new leader of a shard, which may be this process, on which
+// runners the previous one may have started the jobs that this process is about to hand in
+// again.
 func (n *Node) reportPossibleRuns(now Time, s *shard) {
 	if s.choice.Leader == n.Self() {
 		s.schedule.AddUnlistedRunners(now, n.recentRunners(s))
@@ -170,7 +175,7 @@
 	n.sendPossibleRunners(s)
 }
 
-// sendPossibleRunners sends to a shard's leader the runners on which its jobs may run.
+// sendPossibleRunners sends to a shard's leader the runners on which the shard's jobs may run.
 func (n *Node) sendPossibleRunners(s *shard) {
 	n.emit(Send{To: s.choice.Leader, Message: RunnerList{Revision: n.runners.Revision, Runners: n.recentRunners(s), Handover: true}})
 }
--- a/core/fleet/shards.go
+++ b/core/fleet/shards.go
@@ -15,7 +15,8 @@
 	index    int
 	choice   leader.Choice
 	schedule *schedule.Scheduler
-	// ledger stores the shard's stored jobs.
+	// ledger stores the shard's stored jobs: it claims the ownership of their rows in the
+	// store, and reads and writes them.
 	ledger *ledger.Ledger
 	// pendingQueries wait for a job's end or for its state to become certain.
 	pendingQueries map[workload.JobID][]pendingQuery
@@ -46,7 +47,7 @@
 	n.sendHeartbeats(now)
 }
 
-// openShard makes a shard one that this process may lead.
+// openShard creates the state of a shard of the own cell, which this process may lead.
 func (n *Node) openShard(s *shard) {
 	s.schedule, s.ledger = schedule.New(n.cfg), ledger.New()
 	s.pendingQueries = make(map[workload.JobID][]pendingQuery)
@@ -98,7 +99,7 @@
 	return n.shards[index]
 }
 
-// runnersOfShard lists the runners of a shard.
+// runnersOfShard selects the runners of a shard from a list.
 func (n *Node) runnersOfShard(s *shard, list []workload.Runner) []workload.Runner {
 	var own []workload.Runner
 	for _, r := range list {
@@ -109,6 +110,7 @@
 	return own
 }
 
+// setRunners passes the list of runners to the schedulers of the own shards.
 func (n *Node) setRunners(now Time) {
 	for _, s := range n.own {
 		s.schedule.ObserveVersion(n.runners.Revision)
@@ -136,7 +138,7 @@
 }
 
 // updateLeaders acts on changes of leaders. Only a change of what this process leads is
-// reported to all others at once; whom it follows they learn from its next heartbeat. If
+// reported to all others at once; which other leaders it follows is in its next heartbeat. If
 // each change were reported at once, each report would cause the next, since a leader
 // receives reports from all that follow it.
 func (n *Node) updateLeaders(now Time) {
@@ -174,7 +176,8 @@
 	return true
 }
 
-// leadOrRetire acts on a change of the leader of a shard of the own cell.
+// leadOrRetire acts on a change of the leader of a shard of the own cell; before is the leader
+// until now.
 func (n *Node) leadOrRetire(now Time, s *shard, before leader.ID) {
 	c := s.choice
 	if c.Reachable && c.Leader == n.Self() {
@@ -212,6 +215,7 @@
 	clear(s.pendingQueries)
 }
 
+// choices lists the leader that this process follows in each shard.
 func (n *Node) choices() []leader.Choice {
 	list := make([]leader.Choice, len(n.shards))
 	for i, s := range n.shards {
--- a/core/fleet/uncertainty.go
+++ b/core/fleet/uncertainty.go
@@ -10,8 +10,10 @@
 // A caller whose entry VM has died or is cut off resubmits its job, possibly to another
 // cell. The schedulers of that cell don't notice the loss of the VM, and would answer that no
 // task of the job was run, which they can't know. Therefore heartbeats report that a VM is
-// unreachable or was until recently. This reaches all cells over the connections between them
-// before the caller resubmits:
+// unreachable or was until recently (Heartbeat.UncertainFor). Processes in all cells then treat
+// it as uncertain whether a new job has run elsewhere, and a job that isn't run ends with the
+// outcome GaveUp instead of NotRun. The report reaches all cells over the connections between
+// them before the caller resubmits:
 //
 //	the VM counts as lost in its cell      450 ms after its last message, and a tick
 //	heartbeats within and between cells    150 ms each, four of them at most
@@ -42,7 +44,7 @@
 	return now < n.uncertainUntil
 }
 
-// extendUncertainty applies the remaining uncertainty that another process reports.
+// extendUncertainty applies the remaining time of uncertainty that another process reports.
 func (n *Node) extendUncertainty(now Time, remaining time.Duration) {
 	n.uncertainUntil = max(n.uncertainUntil, now+remaining-relayedUncertaintyDecay)
 }
