--- a/core/fleet/denial_test.go
+++ b/core/fleet/denial_test.go
@@ -9,9 +9,9 @@
 	"sapphirepoint.example/sapphirepoint/core/leader"
 )
 
-// Guards against a denial of an accepted job by a leader that doesn't know its rival. A VM's
+// Guards against a denial of an accepted job by a leader that doesn't know of another one. A VM's
 // process is killed and restarts before this is noticed. The others don't know the new
-// process yet, since their watch of the store is stuck, and refuse its connections. It
+// process yet, since their reads of the list of members hang, and refuse its connections. It
 // reaches nobody, leads, and accepts a stored job. The caller queries another VM, whose
 // leader still counts all VMs as reachable.
 func TestAcceptedJobIsntDeniedByAnEarlierLeader(t *testing.T) {
--- a/core/fleet/gone.go
+++ b/core/fleet/gone.go
@@ -7,8 +7,11 @@
 	"sapphirepoint.example/sapphirepoint/core/schedule"
 )
 
-// A VM that was removed stays on the list of members. It no longer blocks stored jobs once
-// the store refuses it the ownership of the shard's rows; see ledger.Ledger.Exclude.
+// A VM that was removed stays on the list of members, and is never reachable again. While a VM
+// of the cell is unreachable it may have taken over a shard's rows, so the owner of the rows has
+// to prove its ownership by calls to the store, and stored jobs stop whenever the store is
+// unavailable. A VM that is presumed gone no longer has that effect once the store refuses it the
+// ownership of the shard's rows; see ledger.Ledger.Exclude.
 
 // never stands for the time of an event that hasn't happened.
 const never = Time(math.MaxInt64)
@@ -37,8 +40,8 @@
 }
 
 // rivalsReachableSince is since when every VM that could take over a shard's rows has been
-// reachable. VMs in gone don't count if the owner has excluded them: the store refuses them
-// the rows.
+// reachable. VMs in gone, those presumed to be removed, don't count if the owner of the rows has
+// excluded them: the store refuses them the rows.
 func (n *Node) rivalsReachableSince(now Time, s *shard, gone []string) (since Time, all bool) {
 	if n.othersReachableSince == never || len(gone) == 0 {
 		return n.othersReachableSince, n.othersReachableSince != never
--- a/core/fleet/jobs.go
+++ b/core/fleet/jobs.go
@@ -22,6 +22,7 @@
 	if !job.Stored && !n.timeToServe(now, job) {
 		outcome := workload.NotRun
 		if now < n.uncertainUntil {
+			// A copy of the job may have run in another cell; see uncertainty.go.
 			outcome = workload.GaveUp
 		}
 		n.emit(Answer{gateway.Reply{Request: request, Job: job, Outcome: outcome, RetryAfter: stopRetryAfter, Reason: "this process is about to end"}})
@@ -57,6 +58,7 @@
 	n.emit(Send{To: leader.ID(a.Entry), Message: Verdict{v}})
 }
 
+// decisionFields are the fields of the notice of a scheduler's decision.
 func decisionFields(d schedule.Decision) []Field {
 	var f []Field
 	if d.Job != "" {
@@ -77,6 +79,7 @@
 	return append(f, Field{"age", ms(d.Age)})
 }
 
+// dropJob passes an entry process's DropJob to the shard's scheduler.
 func (n *Node) dropJob(now Time, from leader.ID, m DropJob) {
 	s := n.ownShard(m.Shard)
 	if s == nil {
@@ -89,6 +92,7 @@
 	s.schedule.Abandon(now, schedule.EntryID(from), m.Job)
 }
 
+// submit passes a job that its entry process hands in to the shard's scheduler.
 func (n *Node) submit(now Time, from leader.ID, c gateway.HandIn) {
 	s := n.ownShard(c.Shard)
 	if s == nil {
--- a/core/fleet/lapsed.go
+++ b/core/fleet/lapsed.go
@@ -7,10 +7,10 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// While the store is unavailable runners can't renew their entries, and some entries lapse
-// although the runners are healthy. They are renewed within two seconds of the store's
-// return; without them jobs would be refused until then for lack of capacity. Therefore
-// entries that disappear around an outage are retained and marked as lapsed:
+// While the store is unavailable runners can't renew their entries on the platform's list, and
+// some entries lapse (expire) although the runners are healthy. They are renewed within two
+// seconds of the store's return; without them jobs would be refused until then for lack of
+// capacity. Therefore entries that disappear around an outage are retained and marked as lapsed:
 //
 //	the entry                                     | retained
 //	----------------------------------------------|-----------------------------------------
--- a/core/fleet/members.go
+++ b/core/fleet/members.go
@@ -10,9 +10,10 @@
 )
 
 const (
-	// widenInterval is how long no scheduler of the cell must have been reachable until
-	// the process doubles the number of seats that it assumes, and doubles it again
-	// after each further interval. It is longer than a change of leaders takes.
+	// widenInterval is how long the leader of some shard of the cell must have been
+	// unreachable until the process doubles the number of seats that it assumes, and doubles
+	// it again after each further interval. A seat is a VM's place among those that may
+	// schedule; see package topology. The interval is longer than a change of leaders takes.
 	widenInterval = time.Second
 	// servedWidenInterval replaces widenInterval while schedulers of other cells accept
 	// the process's jobs.
@@ -69,9 +70,10 @@
 	n.updateAble()
 }
 
-// widenSeats increases the number of assumed seats while no scheduler of the cell is
-// reachable. Before the configuration and the shards are known no process can lead, so
-// more connections would not find a scheduler.
+// widenSeats increases the number of assumed seats while the leader of some shard of the cell
+// is unreachable, and returns to the usual number when all are reachable. Before the
+// configuration and the shards are known no process can lead, so more connections would not
+// find a scheduler.
 func (n *Node) widenSeats(now Time) {
 	if n.ReachesAllLeaders() || !n.view.CanSchedule() {
 		n.leadersReachedAt = now
@@ -113,8 +115,8 @@
 	}
 }
 
-// SeatDoublings is how often the number of seats was doubled; 0 while a scheduler is
-// reachable.
+// SeatDoublings is how often the number of seats was doubled; 0 while the leaders of all shards
+// of the cell are reachable.
 func (n *Node) SeatDoublings() int { return n.seatDoublings }
 
 // updateUnreachable updates unreachableSince. An unreachable VM may be alive on the other
@@ -139,8 +141,8 @@
 }
 
 // hasUnreportedElder reports whether an older process that could lead this one's cell is
-// alive, as connections with it show, but hasn't sent a heartbeat. It refuses connections
-// from this process until it has read of it in the list of members.
+// alive, as attempts to connect with it show, but hasn't sent a heartbeat. That process refuses
+// connections from this one until it has read this one's registration in the list of members.
 func (n *Node) hasUnreportedElder(now Time) bool {
 	if n.fleet == nil {
 		return false
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -53,7 +53,8 @@
 	fleet   *topology.Fleet
 	// seated reports whether this VM has a seat: within a cell, VMs with seats schedule
 	// before the others; see package topology. seatDoublings is how often the number of
-	// seats that this process assumes was doubled because no scheduler was reachable.
+	// seats that this process assumes was doubled because leaders of the cell's shards were
+	// unreachable.
 	seated        bool
 	seatDoublings int
 	// links are the connections requested by the last Connect command.
@@ -72,8 +73,9 @@
 	stopStartedAt    Time
 	// cpuWaitHigh: the last call of RecordCPUWait reported a wait above the threshold.
 	cpuWaitHigh bool
-	// cpuDemotedAt is when this process last gave up the lead because of CPU starvation.
-	cpuDemotedAt Time
+	// starvationRecordedAt is when this process last gave up the lead because of CPU
+	// starvation; 0 if never.
+	starvationRecordedAt Time
 	// becameLeaderAt is when it last became the leader of a shard.
 	becameLeaderAt Time
 	// earlyRequests are callers' requests that arrived before the shards were known.
--- a/core/fleet/queries.go
+++ b/core/fleet/queries.go
@@ -10,7 +10,7 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// Query requests a job's state or, with cancel, its cancellation. A StateAnswer with the
+// Query requests a stored job's state or, with cancel, its cancellation. A StateAnswer with the
 // request's number follows.
 func (n *Node) Query(now Time, request uint64, id workload.JobID, cancel bool) {
 	n.detectStall(now)
@@ -33,6 +33,8 @@
 // ForgetQuery drops the query of a caller that has disconnected.
 func (n *Node) ForgetQuery(request uint64) { delete(n.queries, request) }
 
+// receiveJobAnswer handles the answer to a query that was sent to a leader, for a caller of this
+// process or as the forwarded query of another process.
 func (n *Node) receiveJobAnswer(m JobAnswer) {
 	if r, ok := n.relays[m.Request]; ok {
 		delete(n.relays, m.Request)
@@ -73,7 +75,8 @@
 	awaitsSave bool
 }
 
-// handleQuery answers a query, or queues it to be answered later.
+// handleQuery answers a query, or queues it until the job has ended, its state is certain, or
+// the query's time is up.
 func (n *Node) handleQuery(now Time, q pendingQuery, id workload.JobID) {
 	// Callers query only stored jobs, and the process that accepted the first one may
 	// not be reachable from here.
--- a/core/fleet/random_test.go
+++ b/core/fleet/random_test.go
@@ -115,8 +115,8 @@
 		w.after(w.randomDuration(500, 3000), func() { w.boot(fresh) })
 	},
 	"restart": func(w *world) { w.kill(randomNode(w), w.randomDuration(10, 300)) },
-	// The others don't know the new process for a while, since their watch of the store is
-	// stuck.
+	// The others don't know the new process for a while, since their reads of the list of
+	// members hang.
 	"unknown restart": func(w *world) {
 		n := randomNode(w)
 		w.kill(n, w.randomDuration(10, 300))
--- a/core/fleet/start_test.go
+++ b/core/fleet/start_test.go
@@ -72,7 +72,7 @@
 
 // Guards against a restarted process that leads besides the current leader. The others don't
 // know it yet and refuse its connections, so it receives no heartbeat, though it notices that
-// they are alive. It took their runners, and running tasks stalled for half a second.
+// they are alive. It acquired their runners, and running tasks stalled for half a second.
 func TestAProcessThatOthersDontKnowDoesntLead(t *testing.T) {
 	for name, w := range map[string]*world{"pooled": deployment(1, 1), "cells": cellDeployment(1, 1)} {
 		g := NewWithT(t)
--- a/core/fleet/stop.go
+++ b/core/fleet/stop.go
@@ -13,9 +13,9 @@
 	// stopQuietPeriod is how long no request must have arrived before the process ends
 	// ahead of its grace period.
 	stopQuietPeriod = 700 * time.Millisecond
-	// A job that arrives during a planned stop must have stopEstimateFactor times its
-	// estimate left, which one job in twenty exceeds, and stopMargin for finding a
-	// runner.
+	// A job that arrives during a planned stop is served only if the time left exceeds
+	// stopEstimateFactor times its estimate, which one job in twenty takes longer than, and
+	// stopMargin for finding a runner.
 	stopEstimateFactor = 2
 	stopMargin         = 200 * time.Millisecond
 	// stopReserve is how long before the platform kills it the process ends.
--- a/core/fleet/storewatch.go
+++ b/core/fleet/storewatch.go
@@ -12,13 +12,15 @@
 	// it asks the others: a few attempts, and longer than a slow answer takes.
 	storeLostAfter = 500 * time.Millisecond
 	// probeInterval is how often a process probes the store while it is asked to, and
-	// probeFresh the maximum age of its last success.
+	// probeFresh the age up to which its last success counts as reaching the store.
 	probeInterval = 300 * time.Millisecond
 	probeFresh    = time.Second
 )
 
 // storeWatch is the state of this process's probes of the store.
 type storeWatch struct {
+	// probing: a probe is in flight. probedAt is when the last one began, and reachedAt when
+	// one last succeeded.
 	probing   bool
 	probedAt  Time
 	reachedAt Time
@@ -43,8 +45,8 @@
 	}
 }
 
-// watchStore asks other processes for probes of the store, probes it when asked, and gives
-// up the lead to a process that reaches the store.
+// watchStore asks other processes for probes of the store, by the field StoreTrouble of its
+// reports, probes it when asked, and gives up the lead to a process that reaches the store.
 func (n *Node) watchStore(now Time) {
 	trouble := n.storeTrouble(now)
 	asked := trouble
