--- a/core/fleet/early.go
+++ b/core/fleet/early.go
@@ -8,9 +8,9 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// earlyTimeout is how long requests wait until the shards are known. After a restart that
-// takes a tenth of a second from the first accepted connection, and callers of the
-// shortest jobs wait for 1.5 s.
+// earlyTimeout is how long requests wait for the shards to become known. After a restart they
+// are known a tenth of a second after the first caller's connection is accepted, and callers of
+// the shortest jobs wait for 1.5 s.
 const earlyTimeout = 300 * time.Millisecond
 
 // earlyRequest is a request that arrived before the shards were known.
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -24,8 +24,9 @@
 // Time is a reading of the process's monotonic clock.
 type Time = task.Time
 
-// TickInterval is the interval at which Tick must be called. It bounds how late a
-// timeout is noticed; the shortest timeout is that of a stop, 70 ms.
+// TickInterval is the interval at which Tick must be called. It bounds how late a timeout is
+// noticed. The shortest one is 70 ms: a run that was ordered to stop is over by then, by the
+// default of schedule.Config.StopTimeout and a margin.
 const TickInterval = 20 * time.Millisecond
 
 // Node is the state of one entry process. It isn't safe for concurrent use.
@@ -186,8 +187,10 @@
 	return out
 }
 
+// emit adds a command to those that Ready returns next.
 func (n *Node) emit(c Command) { n.out = append(n.out, c) }
 
+// notice logs an event, and warn one that may need an operator's attention.
 func (n *Node) notice(event string, fields ...Field) {
 	n.emit(Notice{Event: event, Fields: fields})
 }
@@ -334,6 +337,8 @@
 	n.expireRelays(now)
 	n.gateway.Tick(now)
 	n.updateUnreachable(now)
+	// gone are the VMs of the cell that are presumed to be removed; missing: another one is
+	// unreachable and may be alive.
 	gone, missing := n.presumedGone(now), n.anyMissing(now)
 	n.updateOthersReachable(now, gone)
 	n.backlogTime = 0
--- a/core/leader/distribute.go
+++ b/core/leader/distribute.go
@@ -28,4 +28,5 @@
 	return owners
 }
 
+// score is a process's rendezvous score for a shard.
 func score(id ID, shard int) uint64 { return rendezvous.Score(string(id), "shard", uint32(shard)) }
--- a/core/leader/leader.go
+++ b/core/leader/leader.go
@@ -56,7 +56,7 @@
 	// and delay that scheduler's jobs.
 	maxSettlePeriod = 2 * time.Second
 	// yieldTimeout is how long a leader continues while the process that should lead
-	// hasn't reported that it does.
+	// hasn't reported that it does; see Choose.
 	yieldTimeout = 300 * time.Millisecond
 	// StallThreshold is the pause between two ticks of a process after which it considers
 	// itself to have been frozen. By then the others have missed its heartbeats, and count it
@@ -66,8 +66,10 @@
 
 // View is what one process knows of the other processes.
 type View struct {
-	self        ID
-	own         Report
+	self ID
+	// own is the report on this process itself.
+	own Report
+	// listenSince is when the settle period began.
 	listenSince Time
 	// layout has the cell of each shard; shards lists those of this process's cell.
 	layout layout.Layout
@@ -138,7 +140,7 @@
 	}
 }
 
-// settled reports whether the settle period is over.
+// settled reports whether the settle period is over; see settlePeriod and maxSettlePeriod.
 func (v *View) settled(now Time) bool {
 	wait := settlePeriod
 	if !v.peersKnown || v.olderPeerPending {
@@ -381,6 +383,7 @@
 	return compareClass(v.reportOf(x), v.reportOf(y))
 }
 
+// reportOf is the latest report of this process or of a peer that is known.
 func (v *View) reportOf(id ID) *Report {
 	if id == v.self {
 		return &v.own
--- a/core/leader/peers.go
+++ b/core/leader/peers.go
@@ -29,6 +29,7 @@
 	}
 }
 
+// removeClaims removes a process from the claimants of all shards.
 func (v *View) removeClaims(id ID) {
 	for shard, f := range v.peers[id].report.Follows {
 		if f.Leader == id {
