--- a/core/fleet/processes_test.go
+++ b/core/fleet/processes_test.go
@@ -33,6 +33,7 @@
 	w.storeLoop(n, incarnation)
 }
 
+// register registers a process in the store, as soon as the store is reachable.
 func (w *world) register(n *fakeNode, incarnation int) {
 	w.after(5*time.Millisecond, func() {
 		if n.incarnation != incarnation {
@@ -70,6 +71,8 @@
 	w.execute(n)
 }
 
+// tickLoop calls a process's Tick periodically, and ends the process when its planned stop is
+// complete.
 func (w *world) tickLoop(n *fakeNode, incarnation int) {
 	w.after(fleet.TickInterval, func() {
 		if n.incarnation != incarnation || n.node == nil {
@@ -219,6 +222,7 @@
 	return l
 }
 
+// execute carries out the commands that a process has issued.
 func (w *world) execute(n *fakeNode) {
 	for _, c := range n.node.Ready() {
 		switch c := c.(type) {
@@ -261,6 +265,7 @@
 	return nil
 }
 
+// send delivers a message unless the connection ends before it arrives.
 func (w *world) send(n *fakeNode, c fleet.Send) {
 	if !n.connections[c.To] {
 		return
@@ -279,6 +284,7 @@
 	})
 }
 
+// disconnect closes a connection. The other process notices it if it is reachable.
 func (w *world) disconnect(n *fakeNode, id leader.ID) {
 	delete(n.connections, id)
 	from := n.id
@@ -341,11 +347,13 @@
 	})
 }
 
+// freeze suspends a process for a while: it handles no events and doesn't tick.
 func (w *world) freeze(n *fakeNode, d time.Duration) {
 	n.frozen = w.now + d
 	w.lastWakeAt = max(w.lastWakeAt, n.frozen)
 }
 
+// leader returns a process that leads a shard; nil if there is none.
 func (w *world) leader() *fakeNode {
 	for _, n := range w.nodes {
 		if n.node != nil && n.node.Leads() {
--- a/core/fleet/runner_test.go
+++ b/core/fleet/runner_test.go
@@ -30,10 +30,15 @@
 	// started counts the runs started.
 	started int
 
-	token        uint64
-	leaseEnd     int64
-	runs         map[workload.RunKey]*fakeRun
-	sealed       map[workload.TaskName]int
+	// token is the highest fencing token accepted, and leaseEnd is when the lease expires by
+	// the runner's clock.
+	token    uint64
+	leaseEnd int64
+	runs     map[workload.RunKey]*fakeRun
+	// sealed is, by task, the highest number of a run that was stopped or has ended. Starts
+	// with that number or a lower one are refused as outdated.
+	sealed map[workload.TaskName]int
+	// ends are the unacknowledged ends, and lastEnd is the number of the latest end.
 	ends         []fakeEnd
 	lastEnd      uint64
 	waitingHolds []*waitingHold
@@ -52,6 +57,7 @@
 	stopped bool
 }
 
+// waitingHold is a Hold that is answered when a run ends, or when its wait is over.
 type waitingHold struct {
 	done   bool
 	answer func(schedule.HoldResult)
@@ -195,6 +201,7 @@
 	r.w.after(c.Wait, func() { r.answerHold(h) })
 }
 
+// answerHold answers a Hold with the unacknowledged ends and the runs.
 func (r *fakeRunner) answerHold(h *waitingHold) {
 	if h.done || r.down {
 		return
--- a/core/fleet/start_test.go
+++ b/core/fleet/start_test.go
@@ -15,6 +15,7 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
+// answers returns the answers to callers among the commands that a node has issued.
 func answers(n *fleet.Node) []fleet.Answer {
 	var list []fleet.Answer
 	for _, c := range n.Ready() {
