--- a/core/fleet/start_test.go
+++ b/core/fleet/start_test.go
@@ -15,6 +15,7 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
+// answers returns the answers to callers among the commands that a node has issued.
 func answers(n *fleet.Node) []fleet.Answer {
 	var list []fleet.Answer
 	for _, c := range n.Ready() {
@@ -72,7 +73,7 @@
 
 // Guards against a restarted process that leads besides the current leader. The others don't
 // know it yet and refuse its connections, so it receives no heartbeat, though it notices that
-// they are alive. It took their runners, and running tasks stalled for half a second.
+// they are alive. It acquired their runners, and running tasks stalled for half a second.
 func TestAProcessThatOthersDontKnowDoesntLead(t *testing.T) {
 	for name, w := range map[string]*world{"pooled": deployment(1, 1), "cells": cellDeployment(1, 1)} {
 		g := NewWithT(t)
