--- a/entry/process.go
+++ b/entry/process.go
@@ -300,8 +300,8 @@
 }
 
 // PeerDown implements peer.Handler.
-func (p *Process) PeerDown(id string, ended bool, _ error) {
-	p.post(func(now Time) { p.node.PeerDown(now, leader.ID(id), ended) })
+func (p *Process) PeerDown(id string, stopping bool, _ error) {
+	p.post(func(now Time) { p.node.PeerDown(now, leader.ID(id), stopping) })
 }
 
 // PeerMessage implements peer.Handler.
--- a/entry/starvation.go
+++ b/entry/starvation.go
@@ -45,7 +45,7 @@
 		begin := time.Now()
 		runtime.Gosched()
 		end := time.Now()
-		if median, whole := meter.add(end, end.Sub(begin)); whole {
+		if median, complete := meter.add(end, end.Sub(begin)); complete {
 			p.post(func(now Time) { p.node.RecordCPUWait(now, median) })
 		}
 	}
--- a/entry/starvation_test.go
+++ b/entry/starvation_test.go
@@ -17,7 +17,7 @@
 		var list []time.Duration
 		for _, w := range wait {
 			now = now.Add(starvationSampleInterval + w)
-			if median, whole := m.add(now, w); whole {
+			if median, complete := m.add(now, w); complete {
 				list = append(list, median)
 			}
 		}
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -13,24 +13,33 @@
 
 const (
 	// storeRetryInterval is the pause after a failed call to the store. It is short
-	// compared to the two seconds within which a change must be in force, and long
-	// enough not to add load to a failing store.
+	// compared to the two seconds within which a change in the store, such as a new
+	// configuration, must be in force, and long enough not to add load to a failing
+	// store.
 	storeRetryInterval = 300 * time.Millisecond
-	// leaderReadInterval is how often a leader reads the list of runners: a draining
-	// runner must get no new tasks from 2 s after the list shows its state.
-	// followerReadInterval is for other processes, which need the list if they become
-	// leaders.
-	leaderReadInterval   = 600 * time.Millisecond
-	followerReadInterval = 6 * time.Second
+	// runnersPollInterval is how often the list of runners is read by a process that
+	// must see its changes soon, see fleet.Node.ShouldPollRunners: a draining runner must
+	// get no new tasks from 2 s after the list shows its state. All other processes check
+	// at the same interval whether they now have to read the list.
+	runnersPollInterval = 600 * time.Millisecond
+	// runnersRefreshInterval is how often the list is read by a process that neither
+	// polls it nor receives it from another process. It needs the list if it becomes a
+	// leader.
+	runnersRefreshInterval = 6 * time.Second
 	// layoutReadInterval is how often a process reads the layout until it is known.
 	layoutReadInterval = 600 * time.Millisecond
 	// pausePerMember, times the number of members, is the pause after a change of the
-	// members. While a fleet starts, every registration is a change for all processes;
-	// with this pause a large fleet makes as many calls a second as a small one.
+	// members. While a fleet starts, every registration is a change that all processes
+	// read. With this pause the processes of a fleet of any size together begin at most
+	// one read per pausePerMember, so a large fleet makes as many calls a second as a
+	// small one.
 	pausePerMember = 2 * time.Millisecond
 )
 
-// register publishes this process in the store and retries until that succeeds.
+// register publishes this process in the store and retries until that succeeds. The store
+// assigns the process number: the version of the process's row, which is higher than the
+// numbers of all earlier registrations. Each write of the row, also a repeated one, gives
+// it a new number.
 func (p *Process) register(ctx context.Context) {
 	m := peer.Member{
 		Member:      topology.Member{VM: p.cfg.Node, Domain: p.cfg.Domain, MilliCPU: p.cfg.MilliCPU},
@@ -45,19 +54,20 @@
 	if ctx.Err() != nil {
 		return
 	}
-	p.registered(m, number)
+	p.setRegistration(m, number)
 }
 
-// registered adopts the id and number that the store has assigned to this process.
-func (p *Process) registered(m peer.Member, number uint64) {
+// setRegistration sets this process's number and the id derived from it, also in the node.
+func (p *Process) setRegistration(m peer.Member, number uint64) {
 	m.Number = number
 	m.ID = MemberID(m.VM, number)
 	p.self = m
 	p.post(func(now Time) { p.node.Registered(now, leader.ID(m.ID), number) })
 }
 
-// retry calls f until it succeeds or the context ends. It logs when the store becomes
-// unavailable and when it is available again.
+// retry calls f until it succeeds or the context ends, and reports each failure to the
+// node. It logs the first failure, and the success after failures. call names the
+// operation in the log and in the metrics.
 func (p *Process) retry(ctx context.Context, call string, f func() error) {
 	failed := time.Time{}
 	for ctx.Err() == nil {
@@ -78,6 +88,7 @@
 	}
 }
 
+// pause waits for a time or until the context ends.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -85,6 +96,8 @@
 	}
 }
 
+// watchMembers passes the list of registered processes to the mesh and the node, once at
+// the start and after each change. Store.Members blocks until there is a change.
 func (p *Process) watchMembers(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.retry(ctx, "members", func() error {
@@ -101,6 +114,7 @@
 	}
 }
 
+// setMembers passes the members to the node, without their addresses and fingerprints.
 func (p *Process) setMembers(list []peer.Member) {
 	members := make([]topology.Member, len(list))
 	for i, m := range list {
@@ -109,19 +123,22 @@
 	p.post(func(now Time) { p.node.SetMembers(now, members) })
 }
 
-// checkOwnRow compares this process's row in the store with its registration.
+// checkOwnRow compares this process's row in the store with its registration. A row with a
+// higher number has been written since, in one of two ways:
 //
-// A write whose answer was lost may have been repeated and applied twice; the row then
-// has a higher number than this process knows. Or a late write of an earlier lifetime
-// on this VM has replaced the row; the other processes would then close their
-// connections to this one, as it isn't registered any more.
+// A write of this process whose answer was lost was repeated, and the store has applied
+// both. The row has this process's fingerprint, and the process takes over its number.
+//
+// A late write of an earlier lifetime on this VM has replaced the row. Neither the id nor
+// the fingerprint of this process is in the list any more, and the other processes would
+// close their connections to it, so it registers again.
 func (p *Process) checkOwnRow(ctx context.Context, list []peer.Member) {
 	for _, m := range list {
 		if m.VM != p.cfg.Node || m.Number <= p.self.Number {
 			continue
 		}
 		if m.Fingerprint == p.identity.Fingerprint() {
-			p.registered(m, m.Number)
+			p.setRegistration(m, m.Number)
 			continue
 		}
 		p.log.Warn().Uint64("number", m.Number).Msg("registration-replaced")
@@ -129,6 +146,8 @@
 	}
 }
 
+// watchOperatorSettings applies what the operator has written to the store, once at the
+// start and after each change. Store.OperatorSettings blocks until there is a change.
 func (p *Process) watchOperatorSettings(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.retry(ctx, "configuration", func() error {
@@ -142,6 +161,10 @@
 	}
 }
 
+// applyOperatorSettings passes the operator's settings to the node. If the configuration
+// is missing or invalid, the one in force stays in force. The evacuations are in rows of
+// their own and apply in any case. The argument "store" is the source that the node logs,
+// since it may receive both from other processes too.
 func (p *Process) applyOperatorSettings(o OperatorSettings) {
 	if o.Declaration == nil {
 		p.log.Warn().Msg("configuration-unreadable")
@@ -154,9 +177,9 @@
 	})
 }
 
-// watchLayout reads how the runners are divided into shards until that is known. No
-// process connects to others before, so this waits neither for the registration nor
-// for the list of runners.
+// watchLayout reads the layout, i.e. how the runners are divided into shards, until it is
+// known. A process connects to no others before it knows the layout; watchLayout
+// therefore waits neither for the registration nor for the list of runners.
 func (p *Process) watchLayout(ctx context.Context) {
 	for ctx.Err() == nil && !p.layoutKnown.Load() {
 		p.retry(ctx, "layout", func() error { return p.readLayout(ctx, nil) })
@@ -164,10 +187,12 @@
 	}
 }
 
-// watchRunners reads the list of runners, and often if this process reads it for others.
+// watchRunners reads the list of runners: at runnersPollInterval if this process polls it,
+// and otherwise at runnersRefreshInterval. While another process sends the list to this
+// one, it is read only on request.
 func (p *Process) watchRunners(ctx context.Context) {
 	for ctx.Err() == nil {
-		if p.receivesRunnerList.Load() && !p.awaitReadRequest(ctx, leaderReadInterval) {
+		if p.receivesRunnerList.Load() && !p.awaitReadRequest(ctx, runnersPollInterval) {
 			continue
 		}
 		p.retry(ctx, "runners", func() error {
@@ -186,8 +211,8 @@
 // as complete: when a deployment first starts, its runners register one by one.
 const runnersSettleTime = 2 * time.Second
 
-// proposeLayout proposes how to divide the runners into shards, when a deployment first
-// starts and its list of runners is complete.
+// proposeLayout proposes a layout for the runners while none is known, as when a
+// deployment first starts, and the list of runners is complete.
 func (p *Process) proposeLayout(ctx context.Context, runners []workload.Runner) error {
 	if p.layoutKnown.Load() {
 		return nil
@@ -203,24 +228,26 @@
 }
 
 // readLayout reads the layout. If none is stored and there is a proposal, it stores that.
+// It passes the layout to the node, and also whether the deployment has stored jobs, i.e.
+// whether any shard has records in the store.
 func (p *Process) readLayout(ctx context.Context, proposal layout.Layout) error {
 	l, err := p.store.Layout(ctx, proposal)
 	if err != nil || len(l) == 0 {
 		return err
 	}
-	recordsExist, err := p.store.HasRecords(ctx)
+	hasRecords, err := p.store.HasRecords(ctx)
 	if err != nil {
 		return err
 	}
 	p.post(func(now Time) {
-		p.node.StoredJobsRead(now, recordsExist)
+		p.node.StoredJobsRead(now, hasRecords)
 		p.node.ApplyLayout(now, l)
 	})
 	return nil
 }
 
-// awaitReadRequest waits for at most the given time, and reports whether the list of
-// runners is to be read at once.
+// awaitReadRequest waits for at most the given time for a request to read the list of
+// runners at once, and reports whether there was one.
 func (p *Process) awaitReadRequest(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -231,16 +258,19 @@
 	return false
 }
 
-// awaitNextRead waits until the list of runners is due to be read.
+// awaitNextRead waits until the list of runners is due to be read: after
+// runnersRefreshInterval; after one runnersPollInterval if this process polls the list or
+// the layout isn't known yet; or at once on request.
 func (p *Process) awaitNextRead(ctx context.Context) {
-	for waited := time.Duration(0); waited < followerReadInterval; waited += leaderReadInterval {
-		if p.awaitReadRequest(ctx, leaderReadInterval) || ctx.Err() != nil || p.shouldPollRunners.Load() || !p.layoutKnown.Load() {
+	for waited := time.Duration(0); waited < runnersRefreshInterval; waited += runnersPollInterval {
+		if p.awaitReadRequest(ctx, runnersPollInterval) || ctx.Err() != nil || p.shouldPollRunners.Load() || !p.layoutKnown.Load() {
 			return
 		}
 	}
 }
 
-// requestRunnersRead makes watchRunners read the list at once.
+// requestRunnersRead makes watchRunners read the list at once. It also sets
+// shouldPollRunners, since publish updates that only at the next tick.
 func (p *Process) requestRunnersRead() {
 	p.shouldPollRunners.Store(true)
 	select {
