--- a/entry/calls.go
+++ b/entry/calls.go
@@ -7,7 +7,7 @@
 	"sapphirepoint.example/sapphirepoint/core/schedule"
 )
 
-// Orders to runners. Each one runs on a goroutine of Process.calls, and its result
+// Orders to runners. Each one is sent on a goroutine of Process.calls, and its result
 // goes back to the loop as an event.
 
 func (p *Process) startTask(ctx context.Context, shard int, c schedule.Start) {
@@ -56,10 +56,14 @@
 	})
 }
 
+// clockReading returns the runner's clock and, on the process's clock, the times at which
+// the order was sent and the answer was received.
 func (p *Process) clockReading(sent time.Time, a CallAnswer) schedule.ClockReading {
 	return schedule.ClockReading{Milliseconds: a.Clock, ReceivedAt: p.clock.now(), SentAt: p.clock.at(sent), Born: a.Born}
 }
 
+// recordCall counts an order by kind and outcome, and logs why there is no usable answer.
+// The durations of holds, which include schedule.Hold.Wait, aren't recorded.
 func (p *Process) recordCall(kind string, sent time.Time, a CallAnswer) {
 	p.metrics.calls.WithLabelValues(kind, a.Outcome.String()).Inc()
 	if kind != "hold" {
--- a/entry/clock.go
+++ b/entry/clock.go
@@ -41,13 +41,13 @@
 	return time.Since(c.start) + time.Duration(c.suspended.Load())
 }
 
-// at converts a time of Go's clock.
+// at converts a time of Go's clock to one of this clock.
 func (c *clock) at(t time.Time) Time {
 	return t.Sub(c.start) + time.Duration(c.suspended.Load())
 }
 
-// adjust detects suspensions. Between a suspension and the next call the clock is
-// behind, which is the safe side: leases on the runners' clocks seem to have less
+// adjust detects suspensions and advances the clock by their length. Between a suspension
+// and the next call of adjust the clock is behind, which is the safe side: leases on the runners' clocks seem to have less
 // time left, and silent runners seem to be alive for longer.
 func (c *clock) adjust() {
 	boot, ok := bootTime()
--- a/entry/ledgers.go
+++ b/entry/ledgers.go
@@ -11,7 +11,8 @@
 	"sapphirepoint.example/sapphirepoint/core/ledger"
 )
 
-// callStore executes a call of a shard's ledger and posts the result to the loop.
+// callStore executes a store call of a shard's ledger, i.e. of the core's bookkeeping of
+// the shard's stored jobs, and posts the result to the loop.
 func (p *Process) callStore(ctx context.Context, c fleet.StoreCall, owner string) {
 	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout(c.Call))
 	defer cancel()
@@ -51,9 +52,9 @@
 }
 
 const (
-	// ledgerWriteTimeout bounds a call that concerns few rows. It takes a few
-	// milliseconds, and up to half a second if the store is slow. A store that doesn't
-	// answer this process alone must be detected while callers still wait.
+	// ledgerWriteTimeout bounds a call that concerns few rows. Such a call takes a few
+	// milliseconds, and up to half a second if the store is slow. If the store answers
+	// other processes but not this one, that must be detected while callers still wait.
 	ledgerWriteTimeout = 700 * time.Millisecond
 	// ledgerReadTimeout bounds the reading of all records of a shard, some thousand.
 	ledgerReadTimeout = 3 * time.Second
@@ -66,6 +67,8 @@
 	return ledgerWriteTimeout
 }
 
+// storeOutcome returns the outcome of a store call. Any error other than the two below
+// counts as no answer: the store may have executed the call.
 func storeOutcome(err error) ledger.Outcome {
 	switch {
 	case err == nil:
@@ -81,7 +84,8 @@
 // probeTimeout bounds a probe of the store; other processes wait for its result.
 const probeTimeout = 500 * time.Millisecond
 
-// probeStore checks whether the store is reachable from this process.
+// probeStore checks whether the store is reachable from this process. It reads any small
+// row, that of shard 0, and ignores the content.
 func (p *Process) probeStore(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -88,6 +88,7 @@
 // Metrics returns the registry of the process's metrics.
 func (p *Process) Metrics() *prometheus.Registry { return p.metrics.registry }
 
+// update sets the gauges from the node's state.
 func (m *metrics) update(n *fleet.Node) {
 	m.leading.Set(0)
 	if n.Leads() {
--- a/entry/ports.go
+++ b/entry/ports.go
@@ -19,8 +19,9 @@
 	"sapphirepoint.example/sapphirepoint/peer"
 )
 
-// Runners sends orders to runners. Calls may be concurrent; each returns when the
-// runner has answered or the context has ended.
+// Runners sends orders to runners: Start starts a run of a task, Stop stops one, and Hold
+// renews the lease of all runs on a runner and lists them, see schedule.Hold. Calls may be
+// concurrent; each returns when the runner has answered or the context has ended.
 type Runners interface {
 	Start(context.Context, schedule.Start) CallAnswer
 	Stop(context.Context, schedule.Stop) CallAnswer
@@ -39,7 +40,8 @@
 	Cause error
 }
 
-// HoldAnswer is a runner's answer to a Hold.
+// HoldAnswer is a runner's answer to a Hold: its running runs, their last checkpoints and
+// the ended runs that weren't acknowledged.
 type HoldAnswer struct {
 	CallAnswer
 	Running     []workload.RunKey
@@ -75,13 +77,15 @@
 
 // LedgerStore stores the records of the shards' jobs.
 type LedgerStore interface {
-	// Claim takes ownership of a shard's rows, or renews it. It returns ErrSuperseded if
-	// a renewal finds another owner, and ErrRejected also if the owner has excluded the
-	// VM or if another process was faster.
+	// Claim takes ownership of a shard's rows, or renews it, by a write to the shard's
+	// ownership row, which names the owner. It returns ErrSuperseded if a renewal finds
+	// another owner. It returns ErrRejected if the owner has excluded the VM, if another
+	// process was faster, or if the store has rejected the call.
 	Claim(ctx context.Context, shard int, owner string, c ledger.Claim) (ledger.Ownership, error)
 	// HasRecords reports whether any shard has records.
 	HasRecords(ctx context.Context) (bool, error)
-	// OwnershipVersion returns the version of a shard's ownership row.
+	// OwnershipVersion returns the version of a shard's ownership row, which changes with
+	// each claim and renewal.
 	OwnershipVersion(ctx context.Context, shard int) (uint64, error)
 	// Records reads all records of a shard.
 	Records(ctx context.Context, shard int) ([]ledger.Record, error)
--- a/entry/process.go
+++ b/entry/process.go
@@ -22,15 +22,16 @@
 type Time = task.Time
 
 const (
-	// pendingInterval is how often the counts of waiting jobs are published. They
-	// come with heartbeats and may be up to two seconds old.
+	// pendingInterval is how often the counts of waiting jobs are copied from the node
+	// for Pending. The counts of other leaders come to the node with their heartbeats.
+	// What Pending returns may be up to two seconds old.
 	pendingInterval = 200 * time.Millisecond
 	// gaugeInterval is how often gauges are updated.
 	gaugeInterval = time.Second
 	// configurationTimeout is how long requests wait for the first configuration. A
 	// process accepts connections some 20 ms before it has read the configuration.
 	configurationTimeout = 300 * time.Millisecond
-	// eventQueueSize bounds the events that wait for the loop.
+	// eventQueueSize bounds the events that wait for the loop, see post.
 	eventQueueSize = 8192
 )
 
@@ -67,12 +68,16 @@
 	// pendingAt is when the counts of waiting jobs were last published.
 	pendingAt Time
 
-	// The fields below are shared with other goroutines.
-	ready             atomic.Bool
-	layoutKnown       atomic.Bool
-	stopping          atomic.Bool
+	// The fields below are shared with other goroutines. Most are copies of the node's
+	// state, which publish updates.
+	ready       atomic.Bool
+	layoutKnown atomic.Bool
+	stopping    atomic.Bool
+	// shouldPollRunners is set while this process reads the list of runners frequently,
+	// see fleet.Node.ShouldPollRunners.
 	shouldPollRunners atomic.Bool
-	// receivesRunnerList is set while another process sends the list of runners to this one.
+	// receivesRunnerList is set while this process needn't read the list of runners,
+	// since another one sends it, see fleet.Node.ReceivesRunnerList.
 	receivesRunnerList atomic.Bool
 	leads              atomic.Bool
 	// readNow makes watchRunners read the list of runners at once.
@@ -143,6 +148,8 @@
 	}
 }
 
+// loop passes events and ticks to the node and executes the node's commands. Only it uses
+// the node. It ends with the context or when a planned stop is complete.
 func (p *Process) loop(ctx context.Context) {
 	defer close(p.ended)
 	ticker := time.NewTicker(fleet.TickInterval)
@@ -198,6 +205,7 @@
 	}
 }
 
+// executeOrder sends an order to a runner, on a goroutine of its own.
 func (p *Process) executeOrder(ctx context.Context, c fleet.Order) {
 	switch o := c.Order.(type) {
 	case schedule.Start:
@@ -211,6 +219,8 @@
 	}
 }
 
+// send queues a message for another process. A message to a process without a connection
+// is dropped and counted.
 func (p *Process) send(c fleet.Send) {
 	m := encode(c.Message)
 	if !p.mesh.Send(string(c.To), m) {
@@ -220,6 +230,7 @@
 	p.metrics.messages.WithLabelValues("sent", kindOf(m)).Inc()
 }
 
+// logNotice logs an event of the node and counts it.
 func (p *Process) logNotice(n fleet.Notice) {
 	p.metrics.events.WithLabelValues(n.Event).Inc()
 	e := p.log.Info()
--- a/entry/requests.go
+++ b/entry/requests.go
@@ -53,7 +53,8 @@
 }
 
 // finalReply returns the reply to a request that was waiting when the process
-// ended: the one that was sent to it, or else that the job did not run.
+// ended: the one that was sent to it, or, if the request came too late for the loop to
+// handle it, that the job did not run.
 func finalReply(done <-chan Reply) Reply {
 	select {
 	case r := <-done:
@@ -63,6 +64,8 @@
 	}
 }
 
+// deliverReply passes the final answer to the Submit that waits for it, if its caller
+// hasn't left.
 func (p *Process) deliverReply(c gateway.Reply) {
 	p.metrics.requests.WithLabelValues(c.Job.Queue, c.Outcome.String()).Inc()
 	p.metrics.requestSeconds.WithLabelValues(c.Outcome.String()).Observe(c.Elapsed.Seconds())
@@ -104,6 +107,7 @@
 	}
 }
 
+// deliverState passes a job's state to the State call that waits for it.
 func (p *Process) deliverState(a fleet.StateAnswer) {
 	done := p.queries[a.Request]
 	delete(p.queries, a.Request)
--- a/entry/starvation.go
+++ b/entry/starvation.go
@@ -10,8 +10,8 @@
 const (
 	// starvationSampleInterval is the pause between two measurements of how long a
 	// runnable goroutine waits for the CPU. A median is taken over starvationWindow and
-	// at least minStarvationSamples measurements, since a takeover alone keeps a small
-	// VM busy for 100 ms.
+	// at least minStarvationSamples measurements. The window is longer than the 100 ms
+	// for which taking over as leader keeps a small VM busy.
 	starvationSampleInterval = 20 * time.Millisecond
 	starvationWindow         = 200 * time.Millisecond
 	minStarvationSamples     = 3
