--- a/client/client.go
+++ b/client/client.go
@@ -149,9 +149,9 @@
 	return nil, errors.Wrap(err, "cancel")
 }
 
-// entryOrder lists the entries to try: first the one that issued the id, since it
-// holds the claim and doesn't have to forward, then the others in rotation, and
-// last those that failed recently.
+// entryOrder lists the entries to try: first the one that issued the id, since its
+// process holds the claim, i.e. is the one that may run the job, and doesn't have to
+// forward the request, then the others in rotation, and last those that failed recently.
 func (c *Client) entryOrder(id *pb.SubmissionId) []*entry {
 	n := len(c.entries)
 	if n == 0 {
--- a/client/entry.go
+++ b/client/entry.go
@@ -101,6 +101,7 @@
 	}
 }
 
+// dropBlock discards the ids that are left.
 func (e *entry) dropBlock() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -113,6 +114,7 @@
 	return now.Before(e.downUntil)
 }
 
+// setDown marks an entry that has failed, and discards its ids.
 func (e *entry) setDown(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -156,6 +158,7 @@
 	return nil, errors.New("the connection closed while the ids were obtained")
 }
 
+// requestBlock obtains a block of ids and rejects an empty one.
 func (e *entry) requestBlock(ctx context.Context) (*pb.IdBlock, error) {
 	e.stats.calls.Add(1)
 	e.stats.idBlocks.Add(1)
@@ -170,6 +173,7 @@
 	return b, nil
 }
 
+// setBlock makes a block the current one. Its validity counts from the time of the request.
 func (e *entry) setBlock(b *pb.IdBlock, asked time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -180,6 +184,8 @@
 	e.holder = task.IncarnationOf(b.GetHolder())
 }
 
+// takeID returns the next id of the block; nil if the block is used up, expired or
+// discarded.
 func (e *entry) takeID(now time.Time) *pb.SubmissionId {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -191,6 +197,7 @@
 	return &pb.SubmissionId{Kind: &pb.SubmissionId_Issued{Issued: id}}
 }
 
+// newRequest adds the entry's token to a request.
 func newRequest[T any](e *entry, m *T) *connect.Request[T] {
 	r := connect.NewRequest(m)
 	if e.token != "" {
@@ -213,6 +220,7 @@
 	return res.Msg, nil
 }
 
+// cancel sends a cancellation once and checks that the answer has the same id.
 func (e *entry) cancel(ctx context.Context, id *pb.SubmissionId) (*pb.Answer, error) {
 	e.stats.calls.Add(1)
 	res, err := e.rpc.Cancel(ctx, newRequest(e, &pb.CancelRequest{Id: id}))
--- a/client/submit.go
+++ b/client/submit.go
@@ -101,6 +101,7 @@
 	return err
 }
 
+// unsettled wraps the error that ended the call. Without an id nothing was submitted.
 func (call *submitCall) unsettled(err error) error {
 	if call.submission.GetId() == nil {
 		return errors.Wrap(err, "nothing was submitted")
@@ -156,15 +157,18 @@
 	return wait + jitter(wait), false
 }
 
+// pastDeadline reports whether the caller's own timeout ends before a wait does.
 func (call *submitCall) pastDeadline(wait time.Duration) bool {
 	return !call.deadline.IsZero() && time.Now().Add(wait).After(call.deadline)
 }
 
-// tryOtherEntry reports whether another entry may know the outcome.
+// tryOtherEntry reports whether another entry may be able to get the outcome.
 func tryOtherEntry(r pb.Reason) bool {
 	return r == pb.Reason_REASON_NOT_SERVING || r == pb.Reason_REASON_HOLDER_UNREACHABLE
 }
 
+// afterError is afterCall for a call without a usable answer. A rejected answer is requested
+// again, a permanent error ends Submit, and after any other error the next entry is tried.
 func (call *submitCall) afterError(err error) (time.Duration, bool) {
 	if errors.Is(err, ErrMismatchedAnswer) || errors.Is(err, ErrIncompleteAnswer) {
 		call.rejectedAnswers++
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -67,7 +67,7 @@
 }
 
 // decode converts a message. It returns nil for one without a body, or with a body
-// that this version doesn't know: both still show that the sender is alive.
+// that is unknown to this version: such a message still shows that the sender is alive.
 func decode(m *pb.FleetMessage) fleet.Message {
 	switch body := m.GetBody().(type) {
 	case *pb.FleetMessage_Heartbeat:
@@ -228,8 +228,8 @@
 	}}
 }
 
-// outcomeOf converts an outcome. One that this version doesn't know becomes GaveUp,
-// after which the job may have run.
+// outcomeOf converts an outcome. One that is unknown to this version becomes GaveUp, after
+// which the job may have run.
 func outcomeOf(n uint32) workload.Outcome {
 	if n > uint32(workload.Accepted) {
 		return workload.GaveUp
--- a/entry/wire_move.go
+++ b/entry/wire_move.go
@@ -7,6 +7,7 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
+// jobMoveMessage converts a message about a job that moves to another shard.
 func jobMoveMessage(m fleet.JobMove) *pb.FleetMessage {
 	move := &pb.JobMove{
 		Shard:  uint32(m.Shard),
--- a/node/callers.go
+++ b/node/callers.go
@@ -98,8 +98,8 @@
 	return connect.NewResponse(&pb.IssueIdsResponse{Block: block}), nil
 }
 
-// checkID rejects empty ids, and own keys that can't be part of row keys, task names and
-// log lines.
+// checkID rejects empty ids, and own keys (ids that callers choose) that can't be part of
+// row keys, task names and log lines.
 func checkID(institution string, id *pb.SubmissionId) error {
 	if !task.IDOf(institution, id).Valid() {
 		return connect.NewError(connect.CodeInvalidArgument, errors.New("id: an issued id or an own key is needed"))
@@ -180,6 +180,7 @@
 	return nil
 }
 
+// register returns a new request number and the channel for the request's answer.
 func (cs *callerService) register() (uint64, chan *pb.Answer) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -189,6 +190,7 @@
 	return cs.lastRequest, replies
 }
 
+// unregister drops the answer of a request whose caller has left.
 func (cs *callerService) unregister(request uint64) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/node/links.go
+++ b/node/links.go
@@ -23,7 +23,8 @@
 	preferred bool
 }
 
-// handshake exchanges Hello messages and starts the link.
+// handshake exchanges Hello messages and starts the link. It rejects a peer whose certificate
+// isn't valid for the node name in its Hello.
 func (m *mesh) handshake(conn *quic.Conn, stream *quic.Stream, dialed bool) {
 	hello := &pb.Hello{Incarnation: m.node.self.Proto(), FailureDomain: m.node.cfg.FailureDomain}
 	if _, err := protodelim.MarshalTo(stream, hello); err != nil {
@@ -88,6 +89,7 @@
 	return true
 }
 
+// write sends the queued messages, and flushes when the queue is empty.
 func (m *mesh) write(l *link) {
 	w := bufio.NewWriter(l.stream)
 	for {
@@ -109,6 +111,7 @@
 	}
 }
 
+// read passes the received messages to the core until the connection is lost.
 func (m *mesh) read(peer task.Incarnation, l *link, r *bufio.Reader) {
 	for {
 		msg := &pb.PeerMessage{}
@@ -124,6 +127,8 @@
 	return protodelim.UnmarshalOptions{MaxSize: maxPeerMessageBytes}.UnmarshalFrom(r, m)
 }
 
+// removeLink removes a lost link and reports it to the core, unless another link with the
+// same incarnation has replaced it.
 func (m *mesh) removeLink(peer task.Incarnation, l *link, err error) {
 	_ = l.conn.CloseWithError(closeNormal, "down")
 	m.orderMu.Lock()
--- a/node/mesh.go
+++ b/node/mesh.go
@@ -34,9 +34,9 @@
 	closeProtocol quic.ApplicationErrorCode = 2
 )
 
-// mesh maintains one connection with each listed entry process. Of two nodes, the one
-// whose name sorts first is the preferred dialer. The other one dials after
-// reverseDialDelay without a connection: a process that starts while the platform is
+// mesh maintains one connection with each entry process in the platform's list of members.
+// Of two nodes, the one whose name sorts first is the preferred dialer. The other one dials
+// after reverseDialDelay without a connection: a process that starts while the platform is
 // down has no list of members and can't dial, and nodes that wait for it to dial would
 // never connect with it.
 type mesh struct {
@@ -96,6 +96,7 @@
 
 func (m *mesh) address() string { return m.listener.Addr().String() }
 
+// setMembers sets the list of entry processes.
 func (m *mesh) setMembers(list task.Members) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -178,10 +179,12 @@
 	return list
 }
 
+// isPreferredDialer reports whether this node's name sorts before the peer's.
 func (m *mesh) isPreferredDialer(peer string) bool {
 	return m.node.cfg.Name < peer
 }
 
+// dial connects with a node once. A failure is only logged: run dials again.
 func (m *mesh) dial(ctx context.Context, n task.Node) {
 	addr, err := net.ResolveUDPAddr("udp", n.Address)
 	if err != nil {
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -55,6 +55,7 @@
 	return m
 }
 
+// observeAnswer counts an answer to a caller and records its response time.
 func (m *metrics) observeAnswer(a *pb.Answer, took time.Duration) {
 	outcome := labelValue(a.GetOutcome().String(), "OUTCOME_")
 	m.answers.WithLabelValues(outcome, labelValue(a.GetReason().String(), "REASON_")).Inc()
@@ -66,6 +67,7 @@
 	return strings.ToLower(strings.TrimPrefix(name, prefix))
 }
 
+// observeJob records the response time of a complete job over the ideal one.
 func (m *metrics) observeJob(e dispatch.JobEnded) {
 	if e.Outcome == pb.Outcome_OUTCOME_COMPLETE && e.Ideal > 0 {
 		m.responseOverIdeal.Observe(float64(e.Response) / float64(e.Ideal))
--- a/node/node.go
+++ b/node/node.go
@@ -43,6 +43,8 @@
 	started time.Time
 	core    *dispatch.Core
 	inputs  chan input
+	// stopped is closed when the loop has ended, and drained when a planned stop has no
+	// work left in progress.
 	stopped chan struct{}
 	drained chan struct{}
 
@@ -82,6 +84,7 @@
 	return n, n.listen()
 }
 
+// listen opens the sockets for callers, operators and peers.
 func (n *Node) listen() error {
 	var err error
 	n.callerListener, err = listenTCP(n.cfg.CallerAddress, n.cfg.MaxCallerConnections, n.cfg.CallerTLS)
@@ -139,9 +142,10 @@
 	return err
 }
 
-// shutdown waits until responses in progress are written. The timeout is the longest
-// contracted response time, after which callers have given up; without it, a caller that
-// doesn't read its response would prevent the process from stopping.
+// shutdown waits until responses in progress are written, for at most the longest contracted
+// response time, after which callers have given up, and for at least minShutdownTimeout.
+// Without a timeout, a caller that doesn't read its response would prevent the process from
+// stopping.
 func (n *Node) shutdown(servers ...*http.Server) {
 	timeout := minShutdownTimeout
 	for _, inst := range n.currentSettings.Load().Current().GetInstitutions() {
@@ -161,6 +165,8 @@
 	n.post(dispatch.Drain{})
 }
 
+// newServer returns a server for HTTP/1 and HTTP/2, also HTTP/2 without TLS. Pings detect
+// dead HTTP/2 connections.
 func newServer(h http.Handler) *http.Server {
 	var p http.Protocols
 	p.SetHTTP1(true)
@@ -179,6 +185,7 @@
 	}
 }
 
+// serve serves until the server is shut down.
 func serve(s *http.Server, l net.Listener) error {
 	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return errors.Wrap(err, "serve")
@@ -251,6 +258,7 @@
 	n.core.Step(n.elapsed(), in.event)
 }
 
+// handleQueued handles the inputs that are already queued, at most maxBatch.
 func (n *Node) handleQueued() {
 	for range maxBatch {
 		select {
@@ -262,6 +270,7 @@
 	}
 }
 
+// execute executes the core's commands. What may block runs in the background.
 func (n *Node) execute(ctx context.Context, commands []dispatch.Command) {
 	for _, cmd := range commands {
 		switch cmd := cmd.(type) {
@@ -306,6 +315,7 @@
 		Msg("job-ended")
 }
 
+// settingsInForce makes new settings visible to the other goroutines.
 func (n *Node) settingsInForce(s dispatch.SettingsInForce) {
 	state := settings.NewState()
 	state.Offer(s.Settings)
@@ -313,6 +323,7 @@
 	n.log.Info().Uint64("version", s.Settings.GetVersion()).Msg("settings-in-force")
 }
 
+// membersInForce passes a new list of members to the upstream client and the mesh.
 func (n *Node) membersInForce(m dispatch.MembersInForce) {
 	n.upstreams.setMembers(m.Members)
 	n.mesh.setMembers(m.Members)
--- a/node/platform.go
+++ b/node/platform.go
@@ -22,8 +22,11 @@
 )
 
 const (
-	// settingsKey is the key of the settings row.
+	// settingsKey is the key of the settings row in the table service.
 	settingsKey = "settings"
+	// claimPrefix is the prefix of the keys of claim rows, which is followed by the id of
+	// a submission. A claim row names the holder: the one process run that may start the
+	// submission's tasks.
 	claimPrefix = "claim/"
 	// platformTimeout is the timeout of each call to the platform.
 	platformTimeout = 2 * time.Second
@@ -76,6 +79,7 @@
 	}
 }
 
+// logOutage logs the begin and the end of an outage.
 func (p *platformClient) logOutage(change outageChange, membersErr, settingsErr error) {
 	switch change {
 	case outageBegan:
@@ -85,7 +89,8 @@
 	}
 }
 
-// readMembers reads the members and returns the highest version read so far.
+// readMembers reads the list of members and posts it if its version is higher than the
+// known one. It returns the highest version read so far.
 func (p *platformClient) readMembers(ctx context.Context, known uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
@@ -128,6 +133,7 @@
 	return res.Msg.GetRows(), nil
 }
 
+// decodeSettingsRow decodes the settings row, if there is one, and returns its version.
 func decodeSettingsRow(rows []*platformv1.Row) (*pb.Settings, uint64, error) {
 	s := &pb.Settings{}
 	if len(rows) == 0 {
@@ -140,6 +146,7 @@
 	return s, row.GetVersion(), nil
 }
 
+// readSettings reads the settings row and posts the settings if the row has changed.
 func (p *platformClient) readSettings(ctx context.Context) error {
 	rows, err := p.readSettingsRow(ctx, p.settingsRowVersion)
 	if err != nil {
@@ -157,7 +164,8 @@
 	return nil
 }
 
-// applySettings writes new settings for an operator.
+// applySettings writes new settings for an operator if the expected version is current. It
+// reads and writes the settings row until settings.Apply ends the change.
 func (p *platformClient) applySettings(ctx context.Context, expected uint64, s *pb.Settings) (*pb.Settings, error) {
 	change := settings.NewApply(expected, s, rand.Uint64()|1)
 	for first := true; change.Step() != settings.ApplyEnded; first = false {
@@ -199,6 +207,7 @@
 	}
 }
 
+// commit writes one row and reports whether the table service committed it.
 func (p *platformClient) commit(ctx context.Context, w *platformv1.Write) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
@@ -216,6 +225,8 @@
 	}()
 }
 
+// insertClaims returns the result of one commit. The result isn't OK if there was no usable
+// answer: the rows may have been written.
 func (p *platformClient) insertClaims(ctx context.Context, cmd dispatch.ClaimWrite) dispatch.ClaimResult {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
@@ -248,6 +259,8 @@
 	return result
 }
 
+// decodeConflict decodes an existing claim row, which kept a claim of this batch, by its
+// id in ids, from being inserted.
 func decodeConflict(ids map[string]task.ID, row *platformv1.Row) (dispatch.ClaimConflict, error) {
 	id, ok := ids[row.GetKey()]
 	if !ok || !strings.HasPrefix(row.GetKey(), claimPrefix) {
--- a/node/upstreams.go
+++ b/node/upstreams.go
@@ -46,6 +46,7 @@
 	conns map[string]*upstreamConn
 }
 
+// upstreamConn is the client for an upstream, which has one connection.
 type upstreamConn struct {
 	address string
 	client  *http.Client
@@ -118,6 +119,7 @@
 	}()
 }
 
+// sendStart sends a task and waits for its result, until stopTimeout after the deadline.
 func (u *upstreamClient) sendStart(ctx context.Context, cmd dispatch.StartTask) task.Result {
 	c, known := u.conn(cmd.Upstream)
 	if !known || !c.unlistedAt.IsZero() {
@@ -140,6 +142,7 @@
 	return doRequest(c.client, req)
 }
 
+// newRequest returns a request that the transport can't send twice.
 func newRequest(ctx context.Context, address, path string, query url.Values, body []byte) (*http.Request, error) {
 	target := url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target.String(), bytes.NewReader(body))
@@ -179,6 +182,7 @@
 	return task.Result{Verdict: task.Lost, Detail: err.Error()}
 }
 
+// resultOf converts an answer. Without a verdict in it the outcome is unknown.
 func resultOf(res *http.Response, body []byte) task.Result {
 	r := task.Result{
 		UpstreamRun: res.Header.Get(upstream.HeaderRun),
@@ -221,8 +225,9 @@
 }
 
 // stop notifies an upstream that a result is no longer wanted. It uses the existing
-// connection: with many cancellations at once, new connections would exceed the number
-// that the upstream accepts, and a lost stop only wastes a slot.
+// connection, since with many cancellations at once new connections would exceed the
+// number that the upstream accepts. If the stop is lost on a dead connection, that only
+// wastes a slot.
 func (u *upstreamClient) stop(ctx context.Context, cmd dispatch.StopTask) {
 	c, known := u.conn(cmd.Upstream)
 	if !known {
@@ -242,6 +247,7 @@
 	return queryTask(ctx, &http.Client{Transport: transport}, c.address, taskName, path, timeout)
 }
 
+// queryTask sends a request about a task that was started before.
 func queryTask(ctx context.Context, client *http.Client, address, taskName, path string, timeout time.Duration) task.Result {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -25,8 +25,9 @@
 	idleTimeout      = 600 * time.Millisecond
 	handshakeTimeout = 500 * time.Millisecond
 	minRedialDelay   = 100 * time.Millisecond
-	// maxRedialDelay bounds the delay between two attempts to connect. After a network
-	// partition heals, both sides have a scheduler until they are connected.
+	// maxRedialDelay bounds the delay between two attempts to connect. It is short since,
+	// after a network partition heals, both sides have a scheduler until they are
+	// connected.
 	maxRedialDelay = 250 * time.Millisecond
 	// sendQueueLength bounds the messages queued for one peer.
 	sendQueueLength = 4096
@@ -34,6 +35,8 @@
 	// tasks, and a list of some thousand runners.
 	maxMessageBytes = 4 << 20
 
+	// The application error codes of closed connections. closeStopping is sent only by a
+	// process that stops, see Handler.PeerDown.
 	closeStopping      quic.ApplicationErrorCode = 0
 	closeSlow          quic.ApplicationErrorCode = 1
 	closeFailed        quic.ApplicationErrorCode = 2
@@ -77,7 +80,9 @@
 
 	mu   sync.Mutex
 	self Member
-	// desired are the peers to be connected with, and whether this process dials them.
+	// The keys of the maps below are the ids of members. desired has the peers to be
+	// connected with, and whether this process dials them. members are the registered
+	// processes but this one. dialing has the peers that are being dialed.
 	desired map[string]bool
 	members map[string]Member
 	links   map[string]*link
@@ -86,9 +91,11 @@
 	changed chan struct{}
 }
 
+// link is a connection with a peer.
 type link struct {
-	id          string
-	conn        *quic.Conn
+	id   string
+	conn *quic.Conn
+	// out queues the messages to be sent.
 	out         chan *pb.FleetMessage
 	connectedAt time.Time
 	// dialed is set if this process dialed.
@@ -121,6 +128,7 @@
 // Address is the address that the mesh listens on.
 func (m *Mesh) Address() string { return m.listener.Addr().String() }
 
+// allowed reports whether a fingerprint is that of a registered process.
 func (m *Mesh) allowed(fingerprint string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -195,6 +203,7 @@
 	}
 }
 
+// close closes all connections as a stopping process, and the listener.
 func (m *Mesh) close() {
 	m.mu.Lock()
 	links := make([]*link, 0, len(m.links))
@@ -239,6 +248,8 @@
 	}
 }
 
+// dial connects with a peer and then reads from it until the connection is lost. It repeats
+// failed attempts for as long as this process is responsible for the connection.
 func (m *Mesh) dial(ctx context.Context, p Member) {
 	delay := minRedialDelay
 	for {
@@ -306,6 +317,8 @@
 	}
 }
 
+// acceptStream waits for the stream of an accepted connection, identifies the peer by its
+// fingerprint and reads from it until the connection is lost.
 func (m *Mesh) acceptStream(ctx context.Context, conn *quic.Conn) {
 	streamCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
@@ -325,7 +338,8 @@
 	m.addLink(&link{id: p.ID, conn: conn}, stream)
 }
 
-// addLink registers a connection and closes an earlier one with the same process.
+// addLink registers a connection, closes an earlier one with the same process, and reads
+// messages until the connection is lost.
 func (m *Mesh) addLink(l *link, stream *quic.Stream) {
 	l.out = make(chan *pb.FleetMessage, sendQueueLength)
 	l.connectedAt = time.Now()
@@ -342,6 +356,7 @@
 	m.read(l, stream)
 }
 
+// write sends the queued messages, and flushes when the queue is empty.
 func (m *Mesh) write(l *link, stream *quic.Stream) {
 	w := bufio.NewWriter(stream)
 	for {
@@ -364,6 +379,7 @@
 	}
 }
 
+// read passes the received messages to the handler until the connection is lost.
 func (m *Mesh) read(l *link, stream *quic.Stream) {
 	r := bufio.NewReader(stream)
 	opts := protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}
@@ -377,6 +393,8 @@
 	}
 }
 
+// removeLink removes a lost connection and reports it, unless another connection with the
+// same process has replaced it.
 func (m *Mesh) removeLink(l *link, cause error) {
 	_ = l.conn.CloseWithError(closeFailed, "read")
 	m.mu.Lock()
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -35,11 +35,11 @@
 	r.up[id]++
 }
 
-func (r *recorder) PeerDown(id string, stopped bool, _ error) {
+func (r *recorder) PeerDown(id string, stopping bool, _ error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down[id]++
-	r.stopped[id] = stopped
+	r.stopped[id] = stopping
 }
 
 func (r *recorder) PeerMessage(_ string, m *pb.FleetMessage) {
@@ -84,6 +84,7 @@
 	return p
 }
 
+// connectAll registers the processes with each other.
 func connectAll(ps ...*process) {
 	var list []Member
 	for _, p := range ps {
@@ -217,8 +218,9 @@
 	g.Expect(other.mesh.Connected()).To(ConsistOf("a"))
 }
 
-// The settings don't declare the VMs' CPU capacity. Each process leads on its own, so
-// none of them doubles the number of seats. They must connect all the same.
+// The settings don't declare the VMs' CPU capacity. Each process leads on its own and
+// therefore doesn't double the number of seats, as one without a scheduler would. The
+// processes must connect all the same.
 func TestUnknownProcessorsConnect(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newProcess(t, 1, 0), newProcess(t, 2, 0)
