--- a/entry/watch.go
+++ b/entry/watch.go
@@ -270,7 +270,7 @@
 }
 
 // requestRunnersRead makes watchRunners read the list at once. It also sets
-// shouldPollRunners, since publish updates that only at the next tick.
+// shouldPollRunners, which publish overwrites at the next tick.
 func (p *Process) requestRunnersRead() {
 	p.shouldPollRunners.Store(true)
 	select {
