--- a/core/claim/answers.go
+++ b/core/claim/answers.go
@@ -20,31 +20,38 @@
 	Answer *pb.Answer
 	// Until is when the answer may be removed.
 	Until task.Time
-	// seq is the position in the order of Put.
-	seq  uint64
+	// seq numbers the answers in the order in which they were put.
+	seq uint64
+	// size is the memory of the answer, in bytes.
 	size int
 }
 
 // Answers retains final answers for resubmissions, up to a size limit for each institution, so
 // that one institution's large answers don't evict another's.
 //
-// Removing an answer is safe: a resubmission isn't taken for a new submission, because the
-// Issuer still has the number as used and the claim row still names its holder.
+// Removing an answer is safe: a resubmission isn't taken for a new submission, because the Issuer
+// still has an issued number as used, and the claim row of an own key still names its holder.
 type Answers struct {
+	// limit is the maximum memory of an institution's answers, in bytes.
 	limit int
 	byID  map[task.ID]*RetainedAnswer
+	// lists holds the answers of each institution.
 	lists map[string]*answerList
+	// bytes is the memory of all answers, seq the number of answers put.
 	bytes int
 	seq   uint64
 }
 
+// memorySize estimates the memory of a retained answer, in bytes.
 func memorySize(a *pb.Answer) int {
 	return proto.Size(a) + answerOverhead + resultOverhead*len(a.GetResults())
 }
 
-// answerList has one institution's answers, oldest first, separately for issued ids and own
-// keys. All ids of a kind are retained for the same time, so that the oldest expires first.
+// answerList has one institution's answers. Those to issued ids and those to own keys are in
+// separate lists, each with the oldest first. All answers of a kind are retained for the same time,
+// so that the oldest of a list expires first.
 type answerList struct {
+	// byKind has the two lists by idKindIndex.
 	byKind [2][]*RetainedAnswer
 	bytes  int
 }
@@ -76,6 +83,7 @@
 	}
 }
 
+// idKindIndex is the index of an id's kind in answerList.byKind: 0 for issued ids, 1 for own keys.
 func idKindIndex(id task.ID) int {
 	if id.Issued() {
 		return 0
@@ -89,8 +97,8 @@
 }
 
 // evictOldest removes the answer that was put first. If the one with the earliest Until were
-// removed instead, a new answer under an issued id would go before old ones under own keys, and
-// a caller that asks again at once wouldn't find it.
+// removed instead, a new answer to an issued id would be removed before old ones to own keys,
+// and a caller that resubmits at once wouldn't get it.
 func (a *Answers) evictOldest(list *answerList) {
 	issued, own := list.byKind[0], list.byKind[1]
 	if len(own) == 0 || len(issued) > 0 && issued[0].seq < own[0].seq {
@@ -130,13 +138,14 @@
 	}
 }
 
-// Len is the number of answers retained.
+// Len is the number of retained answers.
 func (a *Answers) Len() int { return len(a.byID) }
 
 // Bytes is the memory of the retained answers, in bytes.
 func (a *Answers) Bytes() int { return a.bytes }
 
-// All lists the retained answers by name of the institution, oldest first for each kind of id.
+// All lists the retained answers in the order of the institutions' names. For each institution it
+// lists those to issued ids, oldest first, and then those to own keys, oldest first.
 func (a *Answers) All() []*RetainedAnswer {
 	list := make([]*RetainedAnswer, 0, len(a.byID))
 	for _, name := range sortedKeys(a.lists) {
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -22,8 +22,9 @@
 	}
 }
 
-// A caller resubmits under an id whose answer was removed long ago. If the number were fresh a
-// second time, the tasks would run a second time.
+// A caller resubmits under an issued id whose answer was removed long ago. If the id's number were
+// fresh again, the tasks would run a second time. In any order of issuing, use and expiry, each
+// number is fresh until it is used or expires, and never again, not even after a handover.
 func TestNumberIsFreshOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const valid = 10 * time.Second
@@ -69,8 +70,8 @@
 	return id, a
 }
 
-// Answers under own keys fill the limit before answers under issued ids follow. The newest
-// answer must be there when its caller asks again a moment later.
+// Answers to own keys, which are retained longer, fill the limit before answers to issued ids
+// follow. The newest answer must be retained when its caller resubmits a moment later.
 func TestAnswersEvictTheOldestFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a := NewAnswers(20 * answerOverhead)
--- a/core/claim/issuer.go
+++ b/core/claim/issuer.go
@@ -1,7 +1,11 @@
 // Package claim has the state of submission ids in one incarnation: the ids that it issued, the
-// claims of other incarnations, unsettled claims, and retained answers. It ensures that no task
-// of a submission starts twice: only the holder of a claim may start its tasks, and a claim is
-// never transferred to another incarnation.
+// claims of other incarnations, unsettled claims, and retained answers.
+//
+// A claim is the right to start the tasks of a submission; its holder is the one incarnation that
+// has it. The holder of an issued id is the incarnation that issued it. The holder of a caller's own
+// key is the incarnation whose claim row for the key the table service has stored. Only the holder
+// may start the tasks, and a claim is never transferred to another incarnation, so that no task of
+// a submission starts twice.
 package claim
 
 import (
@@ -11,7 +15,7 @@
 // IDState is the state of a number at its issuer.
 type IDState int
 
-// The states of an issued number.
+// The states of a number.
 const (
 	// Unissued: this incarnation hasn't issued the number.
 	Unissued IDState = iota
@@ -19,28 +23,32 @@
 	Fresh
 	// Used: a submission was accepted under the number.
 	Used
-	// Expired: no longer valid; whether the number was used isn't recorded any more.
+	// Expired: no longer valid. Whether the number was used may no longer be recorded.
 	Expired
 )
 
 const wordBits = 64
 
+// block is a block of consecutive numbers that were issued together.
 type block struct {
 	first   uint64
 	count   uint32
 	expires task.Time
-	used    []uint64
+	// used has one bit for each number, set if the number is used.
+	used []uint64
 }
 
-// Issuer issues ids in blocks and records which were used.
+// Issuer issues ids in blocks of consecutive numbers and records which of them were used.
 //
 // If a holder that has removed an answer took the next resubmission for a new submission, the
-// job would run again without an error anywhere. Therefore one bit is kept for each number
+// job would run again without an error anywhere. Therefore one bit is retained for each number
 // until its block expires by the holder's own clock, and an expired number is never fresh.
 type Issuer struct {
 	validity task.Time
-	next     uint64
-	blocks   []block
+	// next is the next number to be issued.
+	next uint64
+	// blocks are ordered by their numbers.
+	blocks []block
 }
 
 // NewIssuer returns an issuer whose ids are valid for the given time.
@@ -100,7 +108,7 @@
 	return len(is.blocks)
 }
 
-// findBlock finds the block of a number by binary search, or returns nil. Blocks are in order.
+// findBlock finds the block of a number by binary search. It returns nil if the block was removed.
 func (is *Issuer) findBlock(number uint64) *block {
 	lo, hi := 0, len(is.blocks)
 	for lo < hi {
@@ -137,8 +145,9 @@
 	return list
 }
 
-// Restore returns an issuer with the numbers of another process, all valid until the given
-// time. It issues no numbers itself.
+// Restore returns an issuer with the numbers of another incarnation, all valid until the given
+// time. It is used for State only and issues no numbers. Blocks that are malformed or out of order
+// are left out.
 func Restore(blocks []Block, until task.Time) *Issuer {
 	is := &Issuer{}
 	for _, b := range blocks {
--- a/core/health/group.go
+++ b/core/health/group.go
@@ -2,8 +2,8 @@
 
 import "sapphirepoint.example/sapphirepoint/core/task"
 
-// minGroupEjections is the number of ejected upstreams from which their whole worker or rack
-// may be ejected.
+// minGroupEjections is the number of ejected upstreams of a worker or rack from which the whole
+// worker or rack may be ejected, and from which its probes are postponed together.
 const minGroupEjections = 2
 
 // groupHasEjection reports whether another upstream of the same worker or rack is ejected.
@@ -30,11 +30,11 @@
 	return n
 }
 
-// ejectGroups ejects the rest of a worker or rack if several of its upstreams are ejected and
-// none of the rest has succeeded since the first ejection.
+// ejectGroups ejects the rest of the upstream's worker or rack if several upstreams of it are
+// ejected and none of the rest has succeeded since the first ejection.
 //
-// Otherwise a rack that fails every task would cost the jobs that it takes to detect this
-// for each of its upstreams.
+// Otherwise each upstream of a rack that fails every task would fail tasks, and with them their
+// jobs, until it is ejected on its own.
 func (t *Tracker) ejectGroups(now task.Time, u *upstream) {
 	for _, g := range u.groups {
 		if g.ejectedCount(nil) < minGroupEjections || g.succeededSinceEjection() {
@@ -49,6 +49,8 @@
 	}
 }
 
+// succeededSinceEjection reports whether a member that isn't ejected has succeeded with a task sent
+// after the earliest of the present ejections.
 func (g *group) succeededSinceEjection() bool {
 	first := task.Time(-1)
 	for _, u := range g.members {
@@ -64,8 +66,10 @@
 	return false
 }
 
-// postponeGroupProbes postpones the probes of the other members after a probe of one has
-// failed, so that probing a group costs one task and not one for each member.
+// postponeGroupProbes postpones the probes of the other members of a worker or rack after a probe
+// of one has failed, so that probing the group costs one task and not one for each member. Their
+// probes are due half an ejection time after the next probe of the failed one. If that upstream
+// wasn't ejected again because of MaxEjectedPercent, nothing is postponed.
 func (t *Tracker) postponeGroupProbes(now task.Time, failed *upstream) {
 	if failed.state != ejected {
 		return
@@ -88,7 +92,8 @@
 	}
 }
 
-// startGroupProbes makes the probes of the other members due after a probe has succeeded.
+// startGroupProbes makes the probes of all other ejected members of a worker or rack due at once
+// after a probe of one has succeeded.
 func (t *Tracker) startGroupProbes(now task.Time, u *upstream) {
 	for _, g := range u.groups {
 		if g == nil {
--- a/core/health/health.go
+++ b/core/health/health.go
@@ -6,6 +6,9 @@
 // returns through a single slot after a wait that doubles with each ejection. One that is
 // unreachable or refuses tasks is closed for a short time. One that is slow gets fewer slots.
 // The number of upstreams ejected at once is limited.
+//
+// A service is what a task runs, such as "label"; an upstream may run several. Outcomes are recorded
+// for each service on each upstream, because a fault may be that of the service.
 package health
 
 import (
@@ -31,21 +34,24 @@
 	Unreachable
 )
 
-// Config has the limits of the tracker.
+// Config configures a tracker.
 type Config struct {
 	// BaseEjectionTime is how long the first ejection of an upstream lasts. Each further
-	// consecutive ejection lasts twice as long, up to MaxEjectionTime.
+	// consecutive ejection lasts twice as long, up to MaxEjectionTime. A random part of up to a
+	// quarter is deducted from each.
 	BaseEjectionTime, MaxEjectionTime time.Duration
-	// BaseUnavailableTime and MaxUnavailableTime are the same for an unreachable upstream.
+	// BaseUnavailableTime and MaxUnavailableTime are the corresponding times for an upstream that is
+	// unreachable, refuses tasks or is suspected of failing every task.
 	BaseUnavailableTime, MaxUnavailableTime time.Duration
-	// MaxEjectedPercent limits the upstreams of an institution in a failure domain that are
-	// ejected at once.
+	// MaxEjectedPercent is the maximum percentage of the upstreams of one institution in one failure
+	// domain that are ejected or probing at once.
 	MaxEjectedPercent int
-	// Self is the name by which peers list this process.
+	// Self is the name by which peers list this process. It is compared with their names to
+	// determine which process probes an ejected upstream.
 	Self string
 	// IgnorePeers ignores the ejections that peers report.
 	IgnorePeers bool
-	// Disabled gives every upstream its full weight, for comparison.
+	// Disabled gives every upstream its full weight, for comparison runs.
 	Disabled bool
 }
 
@@ -63,14 +69,17 @@
 type state uint8
 
 const (
+	// open: the upstream may use its whole share of slots.
 	open state = iota
-	// unavailable, "away" by name: unreachable, refusing, or suspected of failing every task.
+	// unavailable, "away" by name: unreachable, refusing tasks, or suspected of failing every task.
+	// The upstream is closed until upstream.until, and has one slot open from then on.
 	unavailable
 	// ejected: closed because of failures.
 	ejected
-	// probing: one slot is open until the first outcome.
+	// probing: one slot is open until the first outcome, which decides whether the upstream returns
+	// or is ejected again.
 	probing
-	// returning: the share doubles with each success.
+	// returning: the share of slots doubles with each success, until all are open.
 	returning
 )
 
@@ -79,25 +88,28 @@
 func (s state) String() string { return stateNames[s] }
 
 const (
-	// refusalThreshold is the number of consecutive refusals that close an upstream for a
-	// while. A single refusal may concern the slot only.
+	// refusalThreshold is the number of consecutive refusals that make an open upstream unavailable.
+	// A single refusal may concern only the slot. In any other state one refusal is enough.
 	refusalThreshold = 3
 	// slownessThreshold is the mean slowness (run time over expected run time) from which an
 	// upstream gets fewer slots. The mean is geometric and gives newer run times more weight.
 	slownessThreshold = 1.75
-	// slownessGain is the weight of the newest run time in that mean.
+	// slownessGain is the weight of the newest task's slowness in that mean.
 	slownessGain = 1.0 / 16
-	// maxSlowness limits a single slowness, and its inverse, so that one run time can't decide.
+	// maxSlowness limits the slowness of a single task, and its inverse, so that no single task
+	// decides about an upstream.
 	maxSlowness = 8
-	// initialShare is the first share of a returning upstream.
+	// initialShare is the share of slots that an upstream gets after a successful probe.
 	initialShare = 1.0 / 8
-	// levelResetFactor is the number of its last ejection times after which an upstream counts
-	// as recovered, so that the next ejection lasts BaseEjectionTime again.
+	// levelResetFactor decides when an upstream counts as recovered: when it hasn't been ejected
+	// again for this many times the length of its latest ejection, counted from the start of that
+	// ejection. Its next ejection then lasts BaseEjectionTime again.
 	levelResetFactor = 10
-	// MinWeight is the weight that leaves one slot open.
+	// MinWeight is a weight so small that it leaves one slot open.
 	MinWeight = 1e-9
 )
 
+// upstream is the health of one upstream.
 type upstream struct {
 	name  string
 	state state
@@ -105,32 +117,38 @@
 	reportedState state
 	// until is when an ejected or unavailable upstream may be used again; 0 after that.
 	until task.Time
-	// ejectionLevel and unavailableLevel are the levels of the backoff in these states.
+	// ejectionLevel and unavailableLevel are the levels of the backoff: the ejection time and the
+	// unavailable time double with each level.
 	ejectionLevel    int
 	unavailableLevel int
 	// ejectedAt and ejectionTime are the time and the length of the latest ejection.
-	ejectedAt           task.Time
-	ejectionTime        task.Time
+	ejectedAt    task.Time
+	ejectionTime task.Time
+	// consecutiveRefusals counts the refusals since a task last ran, or since the upstream last
+	// became unavailable.
 	consecutiveRefusals int
 	// suspect: the upstream is unavailable because its failures aren't confirmed yet.
 	suspect bool
-	// share is the share of slots that a returning or open upstream may use, apart from its
-	// slowness.
+	// share is the share of slots that a returning or open upstream may use, before its slowness is
+	// taken into account.
 	share float64
-	// logSlowness is the logarithm of the mean slowness of its tasks.
+	// logSlowness is the logarithm of the mean slowness of the upstream's tasks.
 	logSlowness float64
-	weight      float64
-	// histories are by the index of the service.
+	// weight is the weight in the latest Change; 1 before the first.
+	weight float64
+	// histories has the outcomes of each service, by the index in Tracker.serviceIndexes.
 	histories []history
 	// lastSuccess is when the task with the latest success was sent.
-	lastSuccess     task.Time
+	lastSuccess task.Time
+	// institutionPool holds the upstreams of the same institution, domainPool those of the same
+	// institution and failure domain.
 	institutionPool *pool
-	// poolIndex is the index in institutionPool.
+	// poolIndex is the index of this upstream in institutionPool.
 	poolIndex  int
 	domainPool *pool
 	// groups are the worker and the rack; nil if unknown.
 	groups [2]*group
-	// reporters are the peers that have ejected the upstream.
+	// reporters are the names of the peers that have ejected the upstream.
 	reporters []string
 	spec      task.Upstream
 }
@@ -149,37 +167,47 @@
 	Weight   float64
 	// Until is when a closed upstream may be used again; 0 if it isn't closed.
 	Until task.Time
-	// State is the name of the upstream's state. NewState: the state differs from that of the
-	// previous change.
+	// State is the name of the upstream's state. NewState is set if it differs from the state in
+	// the upstream's previous Change.
 	State    string
 	NewState bool
 }
 
-// Stats counts decisions.
+// Stats counts the decisions of a tracker.
 type Stats struct {
-	Ejections      uint64 `json:"ejections"`
+	// Ejections counts ejections of single upstreams, including those of GroupEjections.
+	Ejections uint64 `json:"ejections"`
+	// GroupEjections counts ejections of a whole worker or rack.
 	GroupEjections uint64 `json:"group_ejections"`
-	CeilingHits    uint64 `json:"ceiling_hits"`
-	Away           uint64 `json:"away"`
-	Probes         uint64 `json:"probes"`
-	Returns        uint64 `json:"returns"`
+	// CeilingHits counts ejections that MaxEjectedPercent prevented.
+	CeilingHits uint64 `json:"ceiling_hits"`
+	// Away counts how often an upstream became unavailable, or failed again while it was or while it
+	// was being probed.
+	Away uint64 `json:"away"`
+	// Probes counts single slots opened after an ejection, Returns the probes that succeeded.
+	Probes  uint64 `json:"probes"`
+	Returns uint64 `json:"returns"`
 }
 
-// Tracker tracks the health of the upstreams from the outcomes that one process observes.
+// Tracker tracks the health of the upstreams from the outcomes of the tasks that one process sends.
 type Tracker struct {
-	cfg            Config
-	rng            *rand.Rand
-	upstreams      map[string]*upstream
+	cfg       Config
+	rng       *rand.Rand
+	upstreams map[string]*upstream
+	// serviceIndexes numbers the services in the order of their first outcome.
 	serviceIndexes map[string]int
-	sorted         []*upstream
-	changes        []Change
-	reports        map[string][]string
+	// sorted holds the upstreams in the order of their names.
+	sorted  []*upstream
+	changes []Change
+	// reports holds the upstreams that each peer has ejected.
+	reports map[string][]string
 	// ejected is the number of upstreams that are ejected or probing.
 	ejected int
 	stats   Stats
 }
 
-// New returns an empty tracker. The random source is for the jitter of waits.
+// New returns an empty tracker. The random source supplies the jitter of ejection times and
+// unavailable times.
 func New(cfg Config, rng *rand.Rand) *Tracker {
 	return &Tracker{
 		cfg:            cfg,
@@ -243,8 +271,8 @@
 	}
 	h := t.historyFor(u, r.Service)
 	if h.failed&1 == 1 && r.Sent < h.failingSince {
-		// The task was sent before the upstream began to fail. If the tasks that ran at that
-		// time counted, they would hide for seconds that all later ones fail.
+		// The task was sent before the upstream began to fail. Tasks that were already running may
+		// still succeed for seconds. If they counted, they would hide that all later ones fail.
 		return
 	}
 	h.add(now, false)
@@ -269,7 +297,8 @@
 	t.updateWeight(u)
 }
 
-// startReturning opens an upstream in steps after a successful probe.
+// startReturning opens initialShare of an upstream's slots after a successful probe. The outcomes
+// from before the ejection are dropped.
 func (t *Tracker) startReturning(u *upstream) {
 	t.stats.Returns++
 	t.countEjected(u, -1)
@@ -300,7 +329,7 @@
 	}
 }
 
-// ejectionThresholdFor returns the log-likelihood ratio that ejects an upstream.
+// ejectionThresholdFor returns the log-likelihood ratio from which an upstream is ejected.
 func (t *Tracker) ejectionThresholdFor(u *upstream) float64 {
 	if u.state == returning || len(u.reporters) > 0 || t.groupHasEjection(u) {
 		return reducedEjectionThreshold
@@ -308,8 +337,8 @@
 	return ejectionThreshold
 }
 
-// eject ejects an upstream. If the limit on ejections is reached, the upstream keeps one slot
-// instead.
+// eject ejects an upstream. If MaxEjectedPercent doesn't allow it, the upstream keeps one slot
+// instead and becomes returning: its share grows from there with each success.
 func (t *Tracker) eject(now task.Time, u *upstream) {
 	if (u.domainPool.ejected+1)*100 > t.cfg.MaxEjectedPercent*len(u.domainPool.members) {
 		t.stats.CeilingHits++
@@ -337,7 +366,8 @@
 	t.ejected += n
 }
 
-// setUnavailable closes an upstream that is unreachable, refuses tasks or is suspect.
+// setUnavailable closes an upstream that is unreachable, refuses tasks or is suspect. A probing
+// upstream is ejected again instead.
 func (t *Tracker) setUnavailable(now task.Time, u *upstream) {
 	if u.state == ejected || u.state == unavailable && now < u.until {
 		return
@@ -399,7 +429,8 @@
 
 // endUnavailable opens one slot of an upstream that was unavailable. If the upstream was
 // suspect and enough others have succeeded in the meantime, it ejects the upstream instead. The
-// state stays unavailable until a task succeeds, so that a second failure closes it for longer.
+// state stays unavailable until a task succeeds, so that after another failure the upstream is
+// closed for longer than before.
 func (t *Tracker) endUnavailable(now task.Time, u *upstream) {
 	u.until = 0
 	wasSuspect := u.suspect
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -37,7 +37,7 @@
 	return list
 }
 
-// healthyTracker returns a tracker on all of whose upstreams tasks have succeeded.
+// healthyTracker returns a tracker of the listed upstreams, with ten successful tasks on each.
 func healthyTracker() *health.Tracker { return healthyTrackerWith(health.DefaultConfig()) }
 
 func healthyTrackerWith(cfg health.Config) *health.Tracker {
@@ -68,7 +68,8 @@
 	}
 }
 
-// failRack makes two upstreams of the first rack fail while tasks succeed on the second rack.
+// failRack reports three failures on two upstreams of the first rack, and successes on the second
+// rack in between.
 func failRack(t *health.Tracker) {
 	fail(t, time.Second, "u00")
 	succeed(t, time.Second, "u08", "u09", "u10")
@@ -119,7 +120,8 @@
 }
 
 // A new release of a service fails every task on every upstream. The upstreams are not the
-// cause, and ejecting half of them would only increase the load on the rest.
+// cause. Ejecting half of them, as MaxEjectedPercent allows, would only increase the load on the
+// rest.
 func TestServiceThatFailsEverywhereClosesNoUpstream(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := healthyTracker()
@@ -258,8 +260,9 @@
 	g.Expect(h.Weight("u03")).To(gomega.Equal(health.MinWeight))
 }
 
-// Whatever the outcomes, at most half of a failure domain's upstreams are ejected, each closed
-// upstream has a time of its next attempt that isn't past, and weights are between 0 and 1.
+// Whatever the outcomes, at most half of a failure domain's upstreams are ejected, weights are
+// between 0 and 1, and a change that closes an upstream has a time, not in the past, from which the
+// upstream may be used again.
 func TestCeilingOnEjections(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := healthyTracker()
--- a/core/health/members.go
+++ b/core/health/members.go
@@ -13,9 +13,10 @@
 }
 
 // pool is the upstreams of one institution, or those of one institution in one failure domain.
-// ejected is counted in the latter only.
 type pool struct {
 	members []*upstream
+	// ejected is the number of members that are ejected or probing. It is counted only in the pools
+	// of one failure domain.
 	ejected int
 }
 
@@ -38,6 +39,7 @@
 	t.regroup()
 }
 
+// regroup assigns all upstreams to new pools and groups, and counts the ejected ones anew.
 func (t *Tracker) regroup() {
 	institutionPools := make(map[string]*pool)
 	domainPools := make(map[[2]string]*pool)
@@ -58,6 +60,7 @@
 	}
 }
 
+// join adds an upstream to the pool of a key.
 func join[K comparable](pools map[K]*pool, key K, u *upstream) *pool {
 	p := pools[key]
 	if p == nil {
@@ -68,7 +71,8 @@
 	return p
 }
 
-// joinGroup returns nil for an upstream whose worker or rack isn't known.
+// joinGroup adds an upstream to the group of a key: the kind of group, the failure domain, and the
+// name of the worker or rack. It returns nil if that name isn't known.
 func joinGroup(groups map[[3]string]*group, key [3]string, u *upstream) *group {
 	if key[2] == "" {
 		return nil
--- a/core/health/report.go
+++ b/core/health/report.go
@@ -9,7 +9,7 @@
 	return out
 }
 
-// Weight is the current weight of an upstream; 1 if the upstream isn't known.
+// Weight is the current weight of an upstream, as in Change; 1 if the upstream isn't known.
 func (t *Tracker) Weight(name string) float64 {
 	if u := t.upstreams[name]; u != nil {
 		return u.weight
@@ -22,13 +22,15 @@
 	Upstream string  `json:"upstream"`
 	State    string  `json:"state"`
 	Weight   float64 `json:"weight"`
-	// UntilMs is when a closed upstream may be used again.
+	// UntilMs is when a closed upstream may be used again, in milliseconds since the process
+	// started.
 	UntilMs int64 `json:"until_ms,omitempty"`
-	// Slowness is the mean of its tasks' run times divided by the expected ones.
+	// Slowness is the mean of the ratios of its tasks' run times to the expected ones, see
+	// slownessThreshold.
 	Slowness float64 `json:"slowness"`
 }
 
-// Dump lists the upstreams that aren't open with their full weight, by name.
+// Dump lists the upstreams that aren't open with their full weight, ordered by name.
 func (t *Tracker) Dump() []Status {
 	var list []Status
 	for _, u := range t.sorted {
