--- a/core/claim/unsettled.go
+++ b/core/claim/unsettled.go
@@ -4,9 +4,9 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// Unsettled is a claim that was given up before the outcome of the write of its row was known; the
-// write may still take effect. No task was started under the claim, so this incarnation may resume
-// it if the row turns out to be that of this claim.
+// Unsettled is a claim that was given up before the outcome of the write of its row was known, so
+// that the write may still take effect, or a cancelled claim. No task was started under it, so this
+// incarnation may resume it if the row turns out to be that of this claim.
 type Unsettled struct {
 	Digest task.Digest
 	// Number is the claim's number, which the row has if it was written.
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -1,14 +1,17 @@
 // Package queue orders the tasks that wait for a slot.
 //
-// Tasks of higher priority come first. Within a priority, tasks are ordered by rank, the time by
-// which a task should start. The longest task of a job is ranked at the job's arrival. A shorter
-// task has slack: it can start later by the difference in length without delaying the job's result,
-// and is ranked later by it. All tasks of a job are ranked later by a fraction of the longest one's
-// run time, since the same wait is a smaller fraction of a long job's response time. A rank is at
-// most the deadline minus the run time of the longest task.
+// Tasks of higher priority come first. Within a priority, tasks are ordered by rank, a time; the task
+// with the earliest rank comes first. The rank of a task is the sum of
+//   - the arrival of its job,
+//   - its slack, the difference between the run times of the job's longest task and of this one: it can
+//     start that much later without delaying the job's result, and
+//   - the run time of the job's longest task, since the same wait is a smaller fraction of a long job's
+//     response time.
 //
-// Ranks don't depend on the present time, so a job can be overtaken only by jobs that arrive within
-// a period proportional to its own length. No job starves.
+// Order can scale the last two. A rank is at most the deadline minus the run time of the longest task.
+//
+// Ranks don't depend on the present time, so a job can be overtaken only by jobs of its priority that
+// arrive within a period proportional to its own length. No job starves within its priority.
 package queue
 
 import (
@@ -22,7 +25,7 @@
 // DefaultRunTime is the expected run time of a task without any other estimate.
 const DefaultRunTime = 200 * time.Millisecond
 
-// JobID identifies a job within one incarnation of a process.
+// JobID identifies a job within one run of a process.
 type JobID uint64
 
 // Job holds the properties of a job on which the order depends.
@@ -46,26 +49,28 @@
 
 // Order configures the computation of ranks.
 type Order struct {
-	// LengthPercent is the percentage of the longest task's run time by which the ranks of a job
-	// are later.
+	// LengthPercent is the percentage of the longest task's run time that is added to the ranks of
+	// a job's tasks.
 	LengthPercent int
-	// SlackPercent is the percentage of a task's slack by which its rank is later.
+	// SlackPercent is the percentage of a task's slack that is added to its rank.
 	SlackPercent int
 	// FIFO ranks all tasks of a job by its arrival alone.
 	FIFO bool
 }
 
-// DefaultOrder performed best in the comparison in docs/design/placement.md.
+// DefaultOrder adds the whole run time of the longest task and the whole slack.
 var DefaultOrder = Order{LengthPercent: 100, SlackPercent: 100}
 
 // queuedJob is a job with waiting tasks, or one whose tasks may be requeued.
 type queuedJob struct {
-	job     Job
+	job Job
+	// longest is the run time of the job's longest task.
 	longest task.Time
 	// waiting holds the indexes of the waiting tasks, the longest last.
 	waiting []int32
-	held    bool
-	team    *team
+	// held: no task of the job is served until Hold resumes it.
+	held bool
+	team *team
 	// heapIndex is the position in the team's heap, heap.Absent if it isn't in there.
 	heapIndex int
 	// rank is the rank of the next waiting task.
@@ -77,7 +82,8 @@
 	name string
 	// jobCount is the number of the team's jobs, including those without waiting tasks.
 	jobCount int
-	jobHeap  []*queuedJob
+	// jobHeap is a heap of the jobs that have waiting tasks and aren't held.
+	jobHeap []*queuedJob
 	// heapIndex is the position in the institution's heap, heap.Absent if it isn't in there.
 	heapIndex int
 }
@@ -85,9 +91,11 @@
 // institution holds the teams of one institution.
 type institution struct {
 	teamsByName map[string]*team
-	teamHeap    []*team
-	tasks       int
-	runTime     task.Time
+	// teamHeap is a heap of the teams that have jobs in their heaps.
+	teamHeap []*team
+	// tasks is the number of waiting tasks, runTime the sum of their run times.
+	tasks   int
+	runTime task.Time
 }
 
 // Queue holds the waiting tasks of all institutions. Adding, taking and removing take time
@@ -151,6 +159,8 @@
 	return t
 }
 
+// compareRunTimes orders tasks by run time, the shortest first, and those of equal run time by
+// descending index.
 func (e *queuedJob) compareRunTimes(a, b int32) int {
 	wa, wb := e.job.RunTimes[a], e.job.RunTimes[b]
 	switch {
@@ -172,6 +182,7 @@
 	return e.job.Arrived + e.longest - e.job.RunTimes[index]
 }
 
+// rankOf returns the rank of a job's next task, see the package comment.
 func (q *Queue) rankOf(e *queuedJob) task.Time {
 	if q.order.FIFO {
 		return e.job.Arrived
@@ -193,7 +204,7 @@
 	inst.updateTeam(t)
 }
 
-// Hold stops or resumes the serving of a job's tasks.
+// Hold stops the serving of a job's tasks, or resumes it if held is false.
 func (q *Queue) Hold(id JobID, held bool) {
 	e := q.jobs[id]
 	if e == nil || e.held == held {
@@ -203,8 +214,8 @@
 	q.update(q.institutions[e.job.Institution], e)
 }
 
-// Next takes the first waiting task of an institution, from the teams for which allow returns true;
-// nil allows all teams.
+// Next takes the first waiting task of an institution, among those of the teams for which allow
+// returns true. If allow is nil, all teams are allowed.
 func (q *Queue) Next(_ task.Time, institution string, allow func(team string) bool) (Ref, bool) {
 	inst := q.institutions[institution]
 	if inst == nil {
@@ -223,7 +234,7 @@
 	return Ref{e.job.ID, index}, true
 }
 
-// Requeue puts back a task that was taken but never ran.
+// Requeue puts back a task that Next returned but that never ran.
 func (q *Queue) Requeue(r Ref) {
 	e := q.jobs[r.Job]
 	if e == nil {
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -86,8 +86,8 @@
 	g.Expect(ok).To(BeFalse())
 }
 
-// Short jobs arrive faster than they are served. Without a limit on how far they can overtake, a
-// long job that arrived first would never start.
+// Short jobs arrive faster than they are served. If any of them could overtake a long job that
+// arrived first, the long job would never start.
 func TestLongJobIsNotStarved(t *testing.T) {
 	g := NewWithT(t)
 	q := New()
@@ -104,8 +104,8 @@
 	t.Fatal("the long job never started")
 }
 
-// In any order of calls, each waiting task is served once, no task of a held or removed job is
-// served, and no served task has a later rank than one that stays waiting.
+// In any order of calls, each waiting task is served once unless it is requeued, no task of a held or
+// removed job is served, and no served task has a later rank than one that stays waiting.
 func TestQueueAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New()
--- a/core/slots/counts.go
+++ b/core/slots/counts.go
@@ -1,7 +1,7 @@
 package slots
 
-// Counts is the number of slots over all institutions: owned ones by state, and borrowed ones in any
-// state.
+// Counts has the numbers of slots over all institutions: the owned ones by state, and the borrowed
+// ones in any state.
 type Counts struct {
 	Busy        int `json:"busy"`
 	Idle        int `json:"idle"`
--- a/core/slots/loans.go
+++ b/core/slots/loans.go
@@ -13,13 +13,15 @@
 
 // Return is a set of slots of one loan that are returned to their lender.
 type Return struct {
+	// Loan is the lender's number for the loan.
 	Loan  uint64
 	Slots []task.Slot
 }
 
 // lenderAccount holds the slots borrowed from one peer, and the returns that are due to it.
 type lenderAccount struct {
-	slots   []*slotRecord
+	slots []*slotRecord
+	// returns are those that Returns hasn't returned yet. Their slots aren't in slots.
 	returns []Return
 }
 
@@ -32,6 +34,7 @@
 	return d
 }
 
+// remove removes a slot from the borrowed ones, and moves the last one to its index.
 func (d *lenderAccount) remove(r *slotRecord) {
 	last := len(d.slots) - 1
 	d.slots[r.borrowedIndex] = d.slots[last]
@@ -39,6 +42,7 @@
 	d.slots = d.slots[:last]
 }
 
+// queueReturn adds a slot to the return of a loan.
 func (d *lenderAccount) queueReturn(loan uint64, s task.Slot) {
 	for i := range d.returns {
 		if d.returns[i].Loan == loan {
@@ -49,7 +53,7 @@
 	d.returns = append(d.returns, Return{loan, []task.Slot{s}})
 }
 
-// Lend lends up to n idle owned slots to a peer under a loan.
+// Lend lends up to n idle owned slots to a peer, under a loan with the given number.
 func (p *Pool) Lend(institution string, n int, to task.Incarnation, loan uint64) []task.Slot {
 	l := p.institutions[institution]
 	if l == nil {
@@ -84,7 +88,9 @@
 	return true
 }
 
-// Borrow records slots lent by a peer. Slots that can't be used here are returned at once.
+// Borrow records slots lent by a peer. Slots that this process can't use are returned at once: those
+// of an upstream that it doesn't have on its list, and those that it already owns, has borrowed or
+// still runs a task on.
 func (p *Pool) Borrow(lender task.Incarnation, loan uint64, list []task.Slot) {
 	d := p.lenderAccount(lender)
 	for _, s := range list {
@@ -100,7 +106,7 @@
 	}
 }
 
-// returnSlot returns a borrowed slot to its lender.
+// returnSlot ends the use of a borrowed slot and queues its return to the lender.
 func (p *Pool) returnSlot(r *slotRecord) {
 	d := p.lenderAccount(r.peer)
 	p.dropBorrowed(r)
@@ -118,7 +124,8 @@
 	}
 }
 
-// ReturnIdle returns up to n idle slots to their lender. The result is the number of slots returned.
+// ReturnIdle queues the return of up to n idle slots to their lender. The result is the number of
+// these slots.
 func (p *Pool) ReturnIdle(lender task.Incarnation, n int) int {
 	d := p.borrowed[lender]
 	if d == nil {
@@ -164,8 +171,9 @@
 	}
 }
 
-// recall returns a slot as soon as it is idle. A task may still run on a slot in cooldown. If it
-// were returned early, the lender would start another task on it, which the upstream would refuse.
+// recall returns a borrowed slot as soon as it is idle. A task may still run on a slot in cooldown. If
+// such a slot were returned early, the lender would start another task on it, which the upstream
+// would refuse.
 func (p *Pool) recall(r *slotRecord) {
 	if r.state == idle {
 		p.returnSlot(r)
@@ -174,8 +182,8 @@
 	r.recalled = true
 }
 
-// LenderUnreachable ends the use of all slots borrowed from a peer that can't be reached. Tasks that
-// run on them go on.
+// LenderUnreachable ends the use of all slots borrowed from a peer that can't be reached, without
+// returning them. Tasks that run on them go on.
 func (p *Pool) LenderUnreachable(lender task.Incarnation) {
 	d := p.borrowed[lender]
 	if d == nil {
@@ -187,7 +195,7 @@
 	delete(p.borrowed, lender)
 }
 
-// Returns returns the slots to be returned to a lender, and removes them from the account.
+// Returns takes the queued returns of slots to a lender, for the caller to send.
 func (p *Pool) Returns(lender task.Incarnation) []Return {
 	d := p.borrowed[lender]
 	if d == nil {
@@ -206,8 +214,8 @@
 	return 0
 }
 
-// SpareBorrowed returns the least number of usable borrowed slots of an institution since the last
-// call with reset set.
+// SpareBorrowed returns the least number of usable borrowed slots that an institution has had since
+// the last call with reset set: that many weren't needed in this period.
 func (p *Pool) SpareBorrowed(institution string, reset bool) int {
 	l := p.institutions[institution]
 	if l == nil {
--- a/core/slots/members.go
+++ b/core/slots/members.go
@@ -42,6 +42,8 @@
 	return nodes
 }
 
+// setUpstream applies the entry of an upstream in the member list. sameNodes: the slots are divided
+// among the same nodes as before.
 func (p *Pool) setUpstream(m *task.Upstream, sameNodes bool) {
 	u := p.upstream(m.Name, m.Institution)
 	u.domain = m.FailureDomain
@@ -64,6 +66,7 @@
 	}
 }
 
+// giveUpUpstream gives up the owned slots of an upstream.
 func (p *Pool) giveUpUpstream(u *upstream) {
 	if u.dividedSlots == 0 {
 		return
@@ -74,6 +77,7 @@
 	}
 }
 
+// setOwned records whether this process owns a slot.
 func (p *Pool) setOwned(r *slotRecord, mine bool) {
 	switch {
 	case mine == (r.right == rightOwned):
@@ -84,7 +88,8 @@
 	}
 }
 
-// takeOwnership records that this process owns a slot. If it was borrowed, its task goes on.
+// takeOwnership records that this process owns a slot. If the slot was borrowed, the loan is dropped
+// without a return, and a task on it goes on.
 func (p *Pool) takeOwnership(r *slotRecord) {
 	if r.right == rightBorrowed {
 		p.dropBorrowed(r)
@@ -93,8 +98,9 @@
 	r.grantRight(rightOwned)
 }
 
-// giveUpOwnership gives up a slot that another node owns now. If the slot is lent, its borrower
-// learns of the change by the member list too.
+// giveUpOwnership gives up an owned slot, usually because another node owns it now. If the slot is
+// lent, nothing is sent to the borrower: it recalls the slot itself when it gets the member list,
+// see recallMoved.
 func (p *Pool) giveUpOwnership(r *slotRecord) {
 	p.owned--
 	switch r.state {
@@ -111,7 +117,8 @@
 	}
 }
 
-// dropUnlisted gives up the slots of upstreams that are leaving or no longer listed.
+// dropUnlisted gives up the slots of upstreams that are leaving or no longer listed. An upstream is
+// removed once none of its slots is in use.
 func (p *Pool) dropUnlisted() {
 	var gone []string
 	for name, u := range p.upstreams {
@@ -136,8 +143,8 @@
 	}
 }
 
-// recallMoved recalls borrowed slots that another node than the lender owns now, since the new owner
-// doesn't know of the loan.
+// recallMoved recalls borrowed slots that another node than the lender owns now. The new owner has no
+// record of the loan and may start tasks on them.
 func (p *Pool) recallMoved(m task.Members) {
 	nodes := make(map[string][]string)
 	for _, d := range p.sortedLenders() {
@@ -153,6 +160,7 @@
 	}
 }
 
+// sortedLenders lists the accounts that have borrowed slots, in the order of the lenders.
 func (p *Pool) sortedLenders() []*lenderAccount {
 	list := make([]*lenderAccount, 0, len(p.borrowed))
 	for _, d := range p.borrowed {
--- a/core/slots/property_test.go
+++ b/core/slots/property_test.go
@@ -46,6 +46,8 @@
 	return w
 }
 
+// restart gives a node an empty pool, as a new process has it. Its tasks, the loans that it made and
+// the messages from and to the old process are lost, and the other nodes end the use of its slots.
 func (w *world) restart(node string) {
 	domain := "melton"
 	if node == "c" {
@@ -114,6 +116,7 @@
 	w.inFlight = append(w.inFlight, message{loanRecord: l})
 }
 
+// checkNotInUse fails if the owner of a slot has lent it already or runs a task on it.
 func (w *world) checkNotInUse(owner string, s task.Slot) {
 	for _, l := range w.loans {
 		if l.from == owner && slices.Contains(l.slots, s) {
@@ -151,6 +154,7 @@
 	}
 }
 
+// takeBack ends the loan of a slot at its owner, and in the simulation's record.
 func (w *world) takeBack(owner string, loan uint64, s task.Slot) {
 	w.pools[owner].TakeBack(s, loan)
 	for i, l := range w.loans {
@@ -192,6 +196,7 @@
 	w.setMembers(w.node(), m)
 }
 
+// setMembers gives a node a member list, and drops the loans of slots that the node no longer owns.
 func (w *world) setMembers(n string, m task.Members) {
 	w.pools[n].SetMembers(m)
 	for i, l := range w.loans {
@@ -272,8 +277,8 @@
 	}
 }
 
-// In any order of starts, loans, returns, restarts, disconnections, expiries and delayed lists, no
-// owner lets a slot be used twice at once, and no slot is lost.
+// In any order of starts, loans, returns, restarts, disconnections, expiries and delayed member lists,
+// no owner starts a task on a slot that is lent or in use, or lends such a slot, and no slot is lost.
 func TestSlotsAreNeitherLostNorUsedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
--- a/core/slots/record.go
+++ b/core/slots/record.go
@@ -13,7 +13,9 @@
 const (
 	// rightNone: this process may not start tasks on the slot.
 	rightNone usageRight = iota
+	// rightOwned: this process owns the slot.
 	rightOwned
+	// rightBorrowed: a peer has lent the slot to this process.
 	rightBorrowed
 )
 
@@ -21,11 +23,14 @@
 type slotState uint8
 
 const (
+	// idle: no task of this process is on the slot.
 	idle slotState = iota
+	// busy: Acquire has taken the slot, and it hasn't been released.
 	busy
 	// lent: this process owns the slot, and a peer may use it.
 	lent
-	// coolingDown: the slot must not be used before its cooldownEnd.
+	// coolingDown: the slot was released but must not be used before its cooldownEnd, see
+	// Pool.ReleaseWithCooldown.
 	coolingDown
 )
 
@@ -41,10 +46,11 @@
 	cooldownEnd task.Time
 	// heapIndex is the position in Pool.coolingDown.
 	heapIndex int
-	// peer is the borrower of a lent slot, or the lender of a borrowed one; loan is the loan.
+	// peer is the borrower of a lent slot, or the lender of a borrowed one; loan is the lender's
+	// number for the loan.
 	peer task.Incarnation
 	loan uint64
-	// borrowedIndex is the position among the slots borrowed from the peer.
+	// borrowedIndex is the position of a borrowed slot in lenderAccount.slots.
 	borrowedIndex int
 }
 
@@ -52,6 +58,7 @@
 	return task.Slot{Upstream: r.upstream.name, Index: r.index}
 }
 
+// group is the group to which the slot belongs by its right; nil without a right.
 func (r *slotRecord) group() *group {
 	switch r.right {
 	case rightOwned:
@@ -62,7 +69,7 @@
 	return nil
 }
 
-// Before orders slots in cooldown by its end.
+// Before orders slots in cooldown by the end of the cooldown.
 func (r *slotRecord) Before(o *slotRecord) bool {
 	if r.cooldownEnd != o.cooldownEnd {
 		return r.cooldownEnd < o.cooldownEnd
@@ -81,15 +88,20 @@
 	name        string
 	institution string
 	domain      string
-	weight      float64
-	listed      bool
-	// dividedSlots is the number of slots that were divided among Pool.nodes.
+	// weight is the share of its normal load that the upstream gets, see Pool.SetWeight.
+	weight float64
+	// listed: the upstream is in the latest member list and isn't leaving.
+	listed bool
+	// dividedSlots is the number of slots that were divided among Pool.nodes; 0 if none were.
 	dividedSlots uint32
-	slots        []*slotRecord
-	owned        group
-	borrowed     group
+	// slots has a record of each slot by its index; owned and borrowed group those that this process
+	// may use.
+	slots    []*slotRecord
+	owned    group
+	borrowed group
 }
 
+// upstream finds an upstream, or adds one without slots.
 func (p *Pool) upstream(name, institution string) *upstream {
 	u := p.upstreams[name]
 	if u == nil {
@@ -102,6 +114,7 @@
 	return u
 }
 
+// grow adds slot records up to a number of slots.
 func (u *upstream) grow(n uint32) {
 	for i := uint32(len(u.slots)); i < n; i++ {
 		u.slots = append(u.slots, &slotRecord{upstream: u, index: i, heapIndex: heap.Absent})
@@ -114,12 +127,15 @@
 	institution *institutionSlots
 	right       usageRight
 	idle        []*slotRecord
-	total       int
-	busy        int
-	usable      int
-	// load is the sort key of the groups: the fraction of slots in use, one more start included,
-	// divided by the upstream's weight.
-	load      float64
+	// total is the number of slots in the group: idle, busy and in cooldown.
+	total int
+	busy  int
+	// usable is the number of idle slots that may be taken now without exceeding maxBusy.
+	usable int
+	// load is the sort key of the groups: the fraction of slots that would be busy after one more
+	// start, divided by the upstream's weight.
+	load float64
+	// heapIndex is the position in usableSlots.groups, heap.Absent if the group isn't in there.
 	heapIndex int
 }
 
@@ -143,7 +159,7 @@
 	}
 }
 
-// maxBusy returns the number of slots that may be busy at once.
+// maxBusy returns the number of slots of the group that may be busy at once, by the upstream's weight.
 func (g *group) maxBusy() int {
 	w := g.upstream.weight
 	if w >= 1 {
@@ -185,14 +201,15 @@
 	return g.upstream.name < o.upstream.name
 }
 
-// Position returns the position among the groups with usable slots.
+// Position returns the position in usableSlots.groups.
 func (g *group) Position() *int { return &g.heapIndex }
 
 // institutionSlots is the slots of one institution in this process.
 type institutionSlots struct {
 	owned    usableSlots
 	borrowed usableSlots
-	held     int
+	// held is the number of slots that this process may use, see Pool.Held.
+	held int
 	// lent is the number of owned slots that are lent to peers.
 	lent int
 }
@@ -201,7 +218,8 @@
 type usableSlots struct {
 	// groups is a heap of the groups with usable slots, the least loaded first.
 	groups []*group
-	count  int
+	// count is the number of usable slots of all groups.
+	count int
 	// minCount is the least count since the last reset by Pool.SpareBorrowed.
 	minCount int
 }
@@ -243,7 +261,7 @@
 	p.coolingDown = heap.Put(p.coolingDown, r)
 }
 
-// EndCooldowns makes slots idle whose cooldown has ended.
+// EndCooldowns makes the slots idle whose cooldown has ended, and returns those that were recalled.
 func (p *Pool) EndCooldowns(now task.Time) {
 	for len(p.coolingDown) > 0 && p.coolingDown[0].cooldownEnd <= now {
 		r := p.coolingDown[0]
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -8,7 +8,7 @@
 	"sapphirepoint.example/sapphirepoint/core/task"
 )
 
-// Owner returns the node, of those of the slot's failure domain, that owns a slot.
+// Owner returns the node that owns a slot. nodes are those of the slot's failure domain.
 func Owner(slot task.Slot, nodes []string) string {
 	return rendezvous.Owner(nodes, slot.Upstream, slot.Index)
 }
@@ -16,12 +16,14 @@
 // Pool tracks the slots that this process may use. Acquire and Release take time logarithmic in the
 // number of upstreams and allocate nothing.
 type Pool struct {
+	// self and domain are the name and the failure domain of this process's node.
 	self         string
 	domain       string
 	upstreams    map[string]*upstream
 	institutions map[string]*institutionSlots
 	// nodes are the nodes among which the slots were last divided.
 	nodes []string
+	// owned is the number of owned slots, including lent ones.
 	owned int
 	// coolingDown is a heap of the slots in cooldown, ordered by the end of the cooldown.
 	coolingDown []*slotRecord
@@ -111,7 +113,7 @@
 	return 0
 }
 
-// IdleOwn returns how many of them this process owns.
+// IdleOwn returns the number of owned slots of an institution that Acquire could take now.
 func (p *Pool) IdleOwn(institution string) int {
 	if l := p.institutions[institution]; l != nil {
 		return l.owned.count
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -90,9 +90,9 @@
 	g.Expect(p.Idle(hollowell)).To(Equal(1), "half of four slots, one in use")
 }
 
-// A start on a slot was refused, or it isn't known whether its task has ended. If the slot were used
-// again at once, a series of starts would be refused, or two tasks would run on a worker that has
-// room for one.
+// A start on a slot was refused, or it isn't known whether the task on it has ended. If the slot were
+// used again at once, a series of starts would be refused, or two tasks would run on a worker that
+// has room for one.
 func TestSlotIsUnusableDuringCooldown(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool("c", "hinckley")
@@ -106,8 +106,8 @@
 	g.Expect(p.Idle(hollowell)).To(Equal(1))
 }
 
-// A task on a borrowed slot was lost on a silent connection when the loan ends, and may still be
-// running. If the slot were returned at once, the lender would start a second task beside it.
+// The connection to a task on a borrowed slot is lost, so the task may still be running when the
+// loan ends. If the slot were returned at once, the lender would start a second task beside it.
 func TestBorrowedSlotOfALostTaskIsReturnedAfterCooldown(t *testing.T) {
 	g := NewWithT(t)
 	lender, borrower := NewPool("a", "melton"), NewPool("c", "hinckley")
@@ -125,7 +125,8 @@
 }
 
 // A loan expires by the lender's clock, the slot is lent again, and then the first borrower's return
-// arrives. If it ended the second loan, the lender would start a task beside the second borrower's.
+// arrives. If this return ended the second loan, the lender would start a task beside the second
+// borrower's.
 func TestReturnOfAnExpiredLoanIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	lender := NewPool("a", "melton")
@@ -139,9 +140,9 @@
 	g.Expect(lender.Idle(hollowell)).To(BeZero())
 }
 
-// One node gets the member list later than the others, and a slot that it has borrowed passes to a
-// node that doesn't know of the loan. Starts on the slot are refused until the borrower has the list
-// too.
+// By a new member list, a borrowed slot passes to a node that has no record of the loan. If the
+// borrower gets the list later than the new owner, both may start tasks on the slot, and the upstream
+// refuses one of them. The borrower must return the slot as soon as it has the list.
 func TestLoanEndsWhenTheSlotPassesToAnotherNode(t *testing.T) {
 	g := NewWithT(t)
 	lender, borrower := NewPool("a", "melton"), NewPool("c", "hinckley")
