--- a/core/heap/heap.go
+++ b/core/heap/heap.go
@@ -6,8 +6,8 @@
 // Absent is the position of an element that isn't in a heap.
 const Absent = -1
 
-// Item is an element of a heap. Its position must be Absent initially, and is changed by the heap
-// only.
+// Item is an element of a heap. Its position must be Absent initially, and only this package may
+// change it.
 type Item[T any] interface {
 	comparable
 	// Before reports whether the element comes before another one.
@@ -16,7 +16,8 @@
 	Position() *int
 }
 
-// Put inserts an element, or restores the order after the element has changed.
+// Put inserts an element, or moves it to its place if it is in the heap and its order has changed. It
+// returns the heap, as append does.
 func Put[T Item[T]](h []T, e T) []T {
 	p := e.Position()
 	if *p == Absent {
@@ -29,7 +30,7 @@
 	return h
 }
 
-// Drop removes an element if it is in the heap.
+// Drop removes an element if it is in the heap. It returns the heap.
 func Drop[T Item[T]](h []T, e T) []T {
 	i := *e.Position()
 	if i == Absent {
@@ -47,6 +48,7 @@
 	return h
 }
 
+// up moves the element at index i towards the root to its place, and reports whether it moved.
 func up[T Item[T]](h []T, i int) bool {
 	moved := false
 	for i > 0 {
@@ -61,6 +63,7 @@
 	return moved
 }
 
+// down moves the element at index i towards the leaves to its place.
 func down[T Item[T]](h []T, i int) {
 	for {
 		child := 2*i + 1
@@ -78,6 +81,7 @@
 	}
 }
 
+// swap exchanges two elements and updates their positions.
 func swap[T Item[T]](h []T, i, j int) {
 	h[i], h[j] = h[j], h[i]
 	*h[i].Position() = i
--- a/core/job/job.go
+++ b/core/job/job.go
@@ -23,16 +23,21 @@
 
 // Assembly is the state of a job in progress.
 type Assembly struct {
+	// states, starts and results have each task's state, its latest start and its result.
 	states  []State
 	starts  []task.StartID
 	results []*pb.TaskResult
+	// waiting, started and done are the numbers of tasks in these states.
 	waiting int
 	started int
 	done    int
-	// possiblyRun is the number of tasks that may have run.
+	// possiblyRun is the number of tasks that may have run: those started without a verdict that
+	// they never ran.
 	possiblyRun int
-	sealed      bool
-	bytes       int
+	// sealed: no task may be started any more.
+	sealed bool
+	// bytes is the size of the results so far.
+	bytes int
 }
 
 // New returns the assembly of a job of n tasks.
@@ -47,9 +52,9 @@
 
 // Start records that a task is about to be sent to an upstream.
 //
-// It panics if the task was started before without a verdict that it never ran, since the task
-// could run twice, or if the job is sealed, since its answer may already say that the task
-// didn't run.
+// It panics if the task was started before and there is no verdict that this start never ran,
+// since the task could run twice. It also panics if the job is sealed, since its answer may already
+// state that the task didn't run.
 func (a *Assembly) Start(index int, id task.StartID) {
 	if a.sealed {
 		panic(fmt.Sprintf("job: start %d of task %d after seal", id, index))
@@ -77,8 +82,8 @@
 	return true
 }
 
-// Finish records a task's output. If the start isn't the current one or the task is already
-// done, the output is ignored and Finish returns false.
+// Finish records a task's output. If id isn't the task's current start or the task is already done,
+// the output is ignored and Finish returns false.
 func (a *Assembly) Finish(index int, id task.StartID, output []byte) bool {
 	if !a.isCurrentStart(index, id) {
 		return false
@@ -113,7 +118,8 @@
 // Waiting is the number of tasks that may be started.
 func (a *Assembly) Waiting() int { return a.waiting }
 
-// Running is the number of tasks that are started and have no outcome.
+// Running is the number of tasks that are started and have neither an output nor a verdict that they
+// never ran.
 func (a *Assembly) Running() int { return a.started }
 
 // Bytes is the size of the results so far, in bytes.
--- a/core/layout/layout.go
+++ b/core/layout/layout.go
@@ -1,9 +1,11 @@
-// Package layout divides the runners of a deployment into shards, one per scheduler.
+// Package layout divides the runners of a deployment into shards. A shard is the part of the runners
+// that one scheduler is in charge of.
 //
-// Where each failure domain has enough runners for jobs on its own, its runners form shards
-// of their own. The domain is then a cell: its schedulers, runners and callers are close to
-// each other, and a network partition between domains changes no leader. Smaller domains are
-// pooled, because a wide job doesn't fit on a few runners.
+// If each failure domain has enough runners for jobs on its own, the runners of a domain form shards
+// of their own. The domain is then a cell: its schedulers, runners and callers are close to each
+// other, and a network partition between domains changes no leader. Smaller domains are pooled: their
+// runners are divided into shards regardless of the domain, because a job of many tasks doesn't fit
+// on a few runners.
 package layout
 
 import (
@@ -17,32 +19,33 @@
 )
 
 const (
-	// maxRunnersPerShard limits the runners of one scheduler. Fewer would leave too little
-	// room for jobs of 32 tasks; more would be lost together with their scheduler.
+	// maxRunnersPerShard is the maximum number of runners of one scheduler. With a lower limit, a
+	// shard would have too little room for jobs of 32 tasks. With a higher one, more runners would
+	// be out of use whenever their scheduler is lost.
 	maxRunnersPerShard = 60
-	// runnersPerCore and runnersPerMbps are the runners that a VM can schedule for at full
-	// load, per core and per Mbit/s of its link. Half of either stays free for work other than
-	// runner lists, lease renewals and starts. A VM that sends more than its link carries
-	// appears lost, and its successor takes over the same load and appears lost in turn.
+	// runnersPerCore and runnersPerMbps are the runners that a VM can schedule for at full load, per
+	// core and per Mbit/s of its link. They leave half of the CPU and of the link free for work other
+	// than runner lists, lease renewals and starts. A VM that sends more than its link carries
+	// appears lost. Its successor takes over the same load and appears lost in turn.
 	runnersPerCore = 180
 	runnersPerMbps = 10
-	// minRunnersPerShard applies however small the VMs are.
+	// minRunnersPerShard is the number of runners that a scheduler is in charge of however small its
+	// VM is.
 	minRunnersPerShard = 12
-	// minCellRunners is the number of runners of each service that every failure domain
-	// needs for domains to be cells. It makes three shards, so that the loss of a scheduler
-	// leaves two thirds of the domain's runners in use, and ten times the runners of a job of
-	// 32 tasks.
+	// minCellRunners is the number of runners of each service that every failure domain must have
+	// for the domains to be cells. It makes three shards, so that the loss of a scheduler leaves two
+	// thirds of the domain's runners in use. It also leaves ten times the room of a job of 32 tasks.
 	minCellRunners = 3 * maxRunnersPerShard
 )
 
-// Layout is the cell of each shard, by the shard's index. "" is the cell of pooled runners.
-// It is set once for a deployment.
+// Layout has the cell of each shard, by the shard's index: the name of a failure domain, or "" if the
+// runners are pooled. It is set once for a deployment.
 type Layout []string
 
-// Pooled returns a layout without cells.
+// Pooled returns a layout with the given number of shards and without cells.
 func Pooled(shards int) Layout { return make(Layout, shards) }
 
-// VM is the capacity of the VMs that schedule; 0 is unknown.
+// VM is the capacity of each VM that schedules. A field that is 0 is unknown.
 type VM struct {
 	// MilliCPU is the CPU capacity, in thousandths of a core.
 	MilliCPU int
@@ -85,8 +88,8 @@
 	return l
 }
 
-// selfSufficient reports whether each failure domain has enough runners of each service. As
-// a cell, a domain without a service would refuse the callers of that service.
+// selfSufficient reports whether each failure domain has at least minCellRunners of each service. If a
+// domain without runners of a service were a cell, it would refuse the callers of that service.
 func selfSufficient(domains map[string]int, services map[string]map[string]int) bool {
 	for d := range domains {
 		for _, counts := range services {
@@ -98,19 +101,20 @@
 	return true
 }
 
+// shardCount is the number of shards for a number of runners.
 func shardCount(runners int, vm VM) int {
 	perShard := vm.maxRunners()
 	return max(1, (runners+perShard-1)/perShard)
 }
 
-// HasCells reports whether the layout has cells.
+// HasCells reports whether the layout has cells. Without them all runners are pooled.
 func (l Layout) HasCells() bool { return len(l) > 0 && l[0] != "" }
 
 // Cells lists the cells, ordered by name.
 func (l Layout) Cells() []string { return slices.Compact(slices.Sorted(slices.Values(l))) }
 
-// Cell is the cell of a failure domain. A domain without runners has no cell of its own and
-// belongs to that of another domain.
+// Cell is the cell of a failure domain; "" if the layout has no cells. A domain without runners has no
+// cell of its own and is assigned to that of another domain by its name.
 func (l Layout) Cell(domain string) string {
 	if !l.HasCells() {
 		return ""
@@ -137,14 +141,15 @@
 	return l.shardByHash(string(id), l.Cell(domain))
 }
 
-// JobShard is the shard of a job that is submitted in a cell. It depends on the job's ID, so
-// that a copy of the job at another entry VM of the cell reaches the same scheduler.
+// JobShard is the shard of a job that is submitted in a cell. It depends only on the job's ID and the
+// cell, so that a copy of the job at another entry VM of the cell reaches the same scheduler.
 func (l Layout) JobShard(id workload.JobID, cell string) int { return l.shardByHash(string(id), cell) }
 
 // StoredJobShard is the shard of a stored job. It is the same wherever the job is submitted,
-// since only the owner of the shard's rows knows the job's state.
+// since only the process that owns the shard's rows in the store has the job's state.
 func (l Layout) StoredJobShard(id workload.JobID) int { return int(hash(string(id)) % uint64(len(l))) }
 
+// shardByHash chooses a shard of a cell by the hash of a name.
 func (l Layout) shardByHash(name, cell string) int {
 	shards := l.Shards(cell)
 	return shards[hash(name)%uint64(len(shards))]
--- a/core/layout/layout_test.go
+++ b/core/layout/layout_test.go
@@ -17,8 +17,8 @@
 	return list
 }
 
-// Domains with few runners are pooled: a job of 32 tasks wouldn't fit into one of them. Those
-// with hundreds have shards of their own.
+// Domains with few runners are pooled, because a job of 32 tasks wouldn't fit into one of them.
+// Domains with hundreds of runners have shards of their own.
 func TestLargeDomainsAreCells(t *testing.T) {
 	g := NewWithT(t)
 	var small, large []workload.Runner
@@ -59,8 +59,8 @@
 	g.Expect(Pooled(2).Cell("b")).To(BeEmpty())
 }
 
-// The VMs have narrow links or little CPU. A scheduler that sends more than its link carries
-// appears lost, so each is in charge of fewer runners.
+// The VMs have links of little bandwidth or little CPU. A scheduler that sends more than its link
+// carries appears lost, so each scheduler is in charge of fewer runners.
 func TestShardsFitTheVMs(t *testing.T) {
 	g := NewWithT(t)
 	list := runners("labels", "a", 120)
--- a/core/rendezvous/rendezvous.go
+++ b/core/rendezvous/rendezvous.go
@@ -1,13 +1,14 @@
 // Package rendezvous assigns objects to nodes by rendezvous (highest random weight) hashing. All
 // processes with the same list of nodes compute the same owners. A node that joins or leaves changes
-// the owners of its own share of the objects only.
+// only the owners of its own share of the objects.
 package rendezvous
 
 import (
 	"github.com/cespare/xxhash/v2"
 )
 
-// stackBufferBytes is the size of a key up to which hashing doesn't allocate.
+// stackBufferBytes is the size up to which the hashed key (the node, the name and the index) fits into
+// a buffer on the stack, so that hashing doesn't allocate.
 const stackBufferBytes = 128
 
 // Owner returns the node that owns an object, identified by a name and an index, or "" if there are
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -11,26 +11,30 @@
 )
 
 const (
-	// BaseDelay is the upper limit of the delay before the first retry of a task.
+	// BaseDelay is the upper limit of the backoff before the first retry of a task.
 	BaseDelay = 2 * time.Millisecond
-	// MaxDelay limits the backoff before any retry. A retry beyond the budget may wait longer.
+	// MaxDelay limits the backoff before any retry. A retry that the budget doesn't cover yet may be
+	// delayed for longer.
 	MaxDelay = 500 * time.Millisecond
-	// Burst is the largest and the initial number of retries in an institution's budget. Rate is
-	// the number that it gains per second without any task start, so that tasks are retried
-	// after an outage.
+	// Burst is the maximum number of retries in an institution's budget, and the initial one.
 	Burst = 20
-	Rate  = 10
-	// upstreamBurst and upstreamRate are the corresponding values of an upstream's budget.
+	// Rate is the number of retries that an institution's budget gains per second even if no task
+	// starts, so that tasks are retried after an outage.
+	Rate = 10
+	// upstreamBurst and upstreamRate are the values of an upstream's budget that correspond to Burst
+	// and Rate.
 	upstreamBurst = 8
 	upstreamRate  = 1
 	// percent converts declared percentages to ratios.
 	percent = 100
 )
 
-// Budget is a token bucket of retries. It gains a fraction of a retry with each first start, and
-// some retries per second.
+// Budget is a token bucket of retries. It gains a fraction of a retry with each first start of a
+// task, and some retries per second.
 type Budget struct {
-	tokens     float64
+	// tokens is the number of retries in the budget, see Remaining; maxTokens is its maximum.
+	tokens float64
+	// ratio is the number of tokens gained with each first start, rate that gained per second.
 	ratio      float64
 	maxTokens  float64
 	rate       float64
@@ -42,6 +46,7 @@
 	return &Budget{tokens: Burst, ratio: float64(retryPercent) / percent, maxTokens: Burst, rate: Rate}
 }
 
+// newUpstreamBudget returns an upstream's budget of ratio retries for each first start.
 func newUpstreamBudget(ratio float64) *Budget {
 	return &Budget{tokens: upstreamBurst, ratio: ratio, maxTokens: upstreamBurst, rate: upstreamRate}
 }
@@ -56,6 +61,7 @@
 	b.tokens = min(b.tokens+b.ratio, b.maxTokens)
 }
 
+// refill adds the tokens gained with time since the last refill.
 func (b *Budget) refill(now task.Time) {
 	if now > b.refilledAt {
 		b.tokens = min(b.tokens+b.rate*(now-b.refilledAt).Seconds(), b.maxTokens)
@@ -64,8 +70,8 @@
 }
 
 // Reserve takes one retry and returns the time until the budget covers it. Retries beyond the budget
-// wait for what it gains, one after the other, so that a task refused by all its upstreams isn't
-// retried in a tight loop.
+// wait until it has gained them, one after the other, so that a task refused by all its upstreams
+// isn't retried in a tight loop.
 func (b *Budget) Reserve(now task.Time) time.Duration {
 	b.refill(now)
 	b.tokens--
@@ -75,7 +81,7 @@
 	return time.Duration(-b.tokens / b.rate * float64(time.Second))
 }
 
-// Cancel returns a reserved retry that won't be made.
+// Cancel puts a reserved retry that won't be made back into the budget.
 func (b *Budget) Cancel() {
 	b.tokens++
 }
@@ -159,16 +165,18 @@
 
 // Retry is the decision on a retry.
 type Retry struct {
-	// Delay is the time to wait before the retry. OK is false if the retry would be too late.
+	// Delay is the time to wait before the retry.
 	Delay time.Duration
-	OK    bool
+	// OK is false if the retry can't be made before the deadline. It must not be made then.
+	OK bool
 	// UpstreamExhausted: the upstream has caused more retries than its budget allows, and should
 	// get no tasks for a while.
 	UpstreamExhausted bool
 }
 
-// Next decides on the retry of a task whose start an upstream didn't carry out. attempt is the
-// number of its starts that failed, deadline the time before which the retry has to be made.
+// Next decides on the retry of a task that an upstream didn't run when it was started there. attempt
+// is the number of earlier starts that didn't run the task, so 0 before the first retry. The retry
+// has to be made before the deadline.
 func (b *Budgets) Next(now, deadline task.Time, institution, upstream string, attempt int) Retry {
 	budget := b.institution(institution)
 	r := Retry{UpstreamExhausted: !b.upstream(upstream, budget.ratio).Take(now)}
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -25,10 +25,10 @@
 	return b
 }
 
-// All upstreams refuse, and thousands of tasks are retried again and again. Without a limit, the
-// retries would displace the tasks of upstreams that still work. In any order of starts and
-// refusals, the retries made by any time are at most the declared fraction of the first starts,
-// plus a burst and a few per second.
+// Upstreams refuse every start, and thousands of tasks are retried again and again. Without a limit,
+// the retries would displace the tasks of upstreams that still work. In any order of starts and
+// refusals, the number of retries made until any time is at most the declared fraction of the first
+// starts, plus Burst, plus Rate per second.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		percent := rapid.Uint32Range(0, 50).Draw(rt, "percent")
@@ -67,7 +67,7 @@
 }
 
 // One upstream refuses every start. Its own budget must be used up long before the institution's, so
-// that it gets no more tasks and the retries of other upstreams' tasks go on.
+// that this upstream gets no more tasks, and other upstreams' tasks can still be retried.
 func TestUpstreamThatCausesRetriesIsSpentFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := budgets(10)
--- a/core/routing/evacuation_test.go
+++ b/core/routing/evacuation_test.go
@@ -6,7 +6,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against a domain that gets tasks again because of an old version that arrives late.
+// An old version of the evacuations arrives late. If it were applied, an evacuated domain would get
+// tasks again.
 func TestNewerEvacuationsWin(t *testing.T) {
 	g := NewWithT(t)
 	var e Evacuations
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -7,23 +7,28 @@
 	"time"
 )
 
-// Route is a queue: the requests that it accepts and their terms.
+// Route defines a queue: the requests that it accepts, and the settings of the jobs in them.
 type Route struct {
-	Name    string
-	Host    string
-	Prefix  string
+	// Name is the name of the queue.
+	Name string
+	// Host is the host of the requests that the route accepts, Prefix a prefix of their paths.
+	Host   string
+	Prefix string
+	// Service is the service whose runners run the tasks.
 	Service string
 	// Priority 0 is the highest.
-	Priority    int
+	Priority int
+	// MaxAttempts is how often a task may fail before its job fails.
 	MaxAttempts int
-	// A job's latency objective is Stretch times the estimated run time of its longest
-	// chain of dependent steps, plus Target.
+	// A job's latency objective is Stretch times the estimated run time of its longest chain of
+	// dependent steps, plus Target.
 	Stretch float64
 	Target  time.Duration
-	// Timeout limits the time that a request of the route is processed; 0 is no limit.
+	// Timeout limits the time for which a request of the route is processed, unless the request has
+	// a timeout of its own; 0 means the default timeout.
 	Timeout time.Duration
-	// Advised: only another service knows which runners may run the queue's tasks. Such
-	// queues aren't served yet.
+	// Advised: another service decides which runners may run the queue's tasks. Such queues aren't
+	// served yet.
 	Advised bool
 }
 
@@ -34,16 +39,20 @@
 	MaxConns int
 }
 
-// Limits are the limits of requests.
+// Limits are the limits on callers' requests and connections.
 type Limits struct {
-	HeaderBytes   int
-	BodyBytes     int
+	// HeaderBytes and BodyBytes are the maximum sizes of a request's header and body.
+	HeaderBytes int
+	BodyBytes   int
+	// HeaderTimeout is the maximum time for reading a request's header, IdleTimeout the maximum time
+	// for which a connection without a request stays open.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
 
 // Declaration is one version of the operators' configuration.
 type Declaration struct {
+	// Version grows with each change by an operator.
 	Version  uint64
 	Routes   []Route
 	Services []Service
@@ -57,8 +66,8 @@
 
 // Apply puts a declaration in force if it is newer, and reports whether it did.
 //
-// Versions arrive from the store and from peers in any order. If an older version were applied
-// after a newer one, a caller could reach a service that was already withdrawn.
+// Declarations arrive from the store and from peers in any order. If an older version were applied
+// after a newer one, callers could reach a service that was already withdrawn.
 func (t *Table) Apply(d *Declaration) bool {
 	if t.current != nil && d.Version <= t.current.Version {
 		return false
--- a/core/settings/apply.go
+++ b/core/settings/apply.go
@@ -6,11 +6,11 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// maxApplyAttempts limits the reads and writes of one change, so that the operator gets an
-// answer within seconds if the outcome is uncertain.
+// maxApplyAttempts limits the failed reads and writes of one change, so that the operator gets an
+// answer within seconds if the outcome stays uncertain.
 const maxApplyAttempts = 6
 
-// ApplyStep is the next action of the caller of an Apply.
+// ApplyStep is the next action that the user of an Apply has to carry out.
 type ApplyStep int
 
 // The steps.
@@ -29,9 +29,11 @@
 
 // The outcomes.
 const (
-	// Applied: this change, and no other, was committed under its version.
+	// Applied: this change, and no other, was committed as the settings version after the expected
+	// one.
 	Applied ApplyOutcome = iota + 1
-	// Conflicted: the row isn't at the expected version, and this change never takes effect.
+	// Conflicted: the settings in the row aren't at the expected version, and this change never takes
+	// effect.
 	Conflicted
 	// NotWritten: the row couldn't be read or written within the attempts, and no write of this
 	// change takes effect.
@@ -40,28 +42,31 @@
 	Unsettled
 )
 
-// Apply is one operator's change of the settings: a compare-and-set on the settings row. It does
-// no input or output; the caller carries out the steps.
+// Apply is one operator's change of the settings: a compare-and-set on the row of the table service
+// that has the settings. It does no input or output; its user carries out the steps.
 //
 // A reply can be lost after the write took effect. If that were reported as a failure, the
 // operator would apply the change again on top of itself. If it were reported as a success
 // without a check, two operators could each get the answer that their change is version N. Therefore
-// the row is read again after a lost reply, and each change has a random number that
-// distinguishes it from another operator's change with the same content.
+// the row is read again after a lost reply. Each change has a random number, by which it is
+// distinguished there from another operator's change with the same content.
 type Apply struct {
-	expected   uint64
-	next       *pb.Settings
+	// expected is the settings version on which the change is based; next has the version after it.
+	expected uint64
+	next     *pb.Settings
+	// rowVersion is the row's version in the table service, which isn't that of the settings.
 	rowVersion uint64
 	step       ApplyStep
 	outcome    ApplyOutcome
 	current    uint64
-	attempts   int
+	// attempts is the number of failed reads and writes.
+	attempts int
 	// uncertain: a write was sent and got no reply.
 	uncertain bool
 }
 
-// NewApply starts a change of the settings whose current version is expected. The number change
-// is random and not 0.
+// NewApply starts a change from the settings version expected to the settings s, whose version
+// becomes expected+1. change is the random number of the change; it must not be 0.
 func NewApply(expected uint64, s *pb.Settings, change uint64) *Apply {
 	next := proto.Clone(s).(*pb.Settings)
 	next.Version = expected + 1
@@ -69,13 +74,13 @@
 	return &Apply{expected: expected, next: next, step: ApplyRead}
 }
 
-// Step is the next action.
+// Step is the next action to carry out.
 func (a *Apply) Step() ApplyStep { return a.step }
 
 // Next returns the settings to write. They must not be changed.
 func (a *Apply) Next() *pb.Settings { return a.next }
 
-// RowVersion is the version of the row on which the write is conditional.
+// RowVersion is the row version on which the write is conditional.
 func (a *Apply) RowVersion() uint64 { return a.rowVersion }
 
 // Outcome is the outcome of the change; 0 before ApplyEnded.
@@ -102,14 +107,16 @@
 	case a.current == a.next.GetVersion() && a.uncertain && stored.GetChange() == a.next.GetChange():
 		a.end(Applied)
 	case a.current > a.next.GetVersion() && a.uncertain:
-		// A newer version has replaced it; whose change was this version is no longer known.
+		// A still newer version has replaced the version of this change in the row. Whether that was
+		// this change or another operator's is no longer recorded.
 		a.end(Unsettled)
 	default:
 		a.end(Conflicted)
 	}
 }
 
-// Written reports a write: whether the table service committed it, and whether it answered (ok).
+// Written reports the result of a write: whether the table service committed it, and whether it
+// answered (ok). Unless the write was committed, the row is read again, up to maxApplyAttempts.
 func (a *Apply) Written(committed, ok bool) {
 	if a.step != ApplyWrite {
 		panic("settings: Written in another step than ApplyWrite")
@@ -124,6 +131,7 @@
 	a.retry()
 }
 
+// retry counts a failed read or write, and ends the change after maxApplyAttempts of them.
 func (a *Apply) retry() {
 	a.attempts++
 	if a.attempts < maxApplyAttempts {
--- a/core/settings/apply_test.go
+++ b/core/settings/apply_test.go
@@ -16,8 +16,8 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// declared returns settings with one of few contents, so that concurrent operators often apply
-// the same.
+// declared returns settings that differ only in the response time. The test draws it from two
+// values, so that concurrent operators often apply the same content.
 func declared(responseTime uint32) *pb.Settings {
 	return &pb.Settings{Institutions: []*pb.Institution{{
 		Name:            "hollowell",
@@ -36,16 +36,22 @@
 
 // simulation has the table service, the operators and the processes.
 type simulation struct {
+	// rowVersion and stored are the version and the content of the settings row.
 	rowVersion uint64
 	stored     *pb.Settings
-	committed  map[uint64]uint64
-	delayed    []pendingWrite
-	operators  []*settings.Apply
-	processes  [3]*settings.State
-	change     uint64
-	versions   []*pb.Settings
+	// committed has the number of the change that was committed as each settings version.
+	committed map[uint64]uint64
+	// delayed are writes that haven't arrived and whose operators got no reply.
+	delayed   []pendingWrite
+	operators []*settings.Apply
+	processes [3]*settings.State
+	// change is the number of the latest change.
+	change uint64
+	// versions are all contents that the row has had.
+	versions []*pb.Settings
 }
 
+// commit carries out a conditional write, and reports whether the row had the version.
 func (sim *simulation) commit(write pendingWrite) bool {
 	if write.rowVersion != sim.rowVersion {
 		return false
@@ -60,6 +66,7 @@
 	return true
 }
 
+// addOperator starts a change by an operator, who sometimes expects another version than the row has.
 func (sim *simulation) addOperator(t *rapid.T) {
 	sim.change++
 	expected := sim.stored.GetVersion()
@@ -125,6 +132,8 @@
 	}
 }
 
+// check compares the reported outcomes, and the settings in force at the processes, with the changes
+// that were committed.
 func (sim *simulation) check(t *rapid.T) {
 	applied := map[uint64]bool{}
 	for _, apply := range sim.operators {
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -17,14 +17,15 @@
 	MaxTasks = 10_000
 	// MaxPayloadBytes is the maximum payload that a service may allow for a task, in bytes.
 	MaxPayloadBytes = 1 << 20
-	// MaxResponseTimeMs is the maximum response time that may be declared. Issued ids are valid
-	// for the same time; a job that outlived its id couldn't be resubmitted safely.
+	// MaxResponseTimeMs is the maximum response time that may be declared, in milliseconds. Issued
+	// ids are valid for the same time; a job that outlived its id couldn't be resubmitted safely.
 	MaxResponseTimeMs = 600_000
 	maxNameBytes      = 64
 	maxPercent        = 100
 	msPerSecond       = 1000
 	tokenDigestBytes  = 32
-	// certificatePrefix distinguishes names of certificates from digests of tokens.
+	// certificatePrefix distinguishes names of certificates from digests of tokens where both are
+	// credentials.
 	certificatePrefix = "certificate/"
 )
 
@@ -52,18 +53,21 @@
 	return strings.Join(parts, "; ")
 }
 
+// checker collects the problems that Validate finds.
 type checker struct {
 	problems Errors
 }
 
+// require adds a problem with a field unless ok is set.
 func (c *checker) require(ok bool, field, format string, args ...any) {
 	if !ok {
 		c.problems = append(c.problems, FieldError{field, fmt.Sprintf(format, args...)})
 	}
 }
 
-// name checks a name. Names become parts of row keys, task names and log lines, where two names
-// with slashes or spaces could become indistinguishable.
+// name checks that a name is well-formed and isn't in seen, and adds it there. Names become parts of
+// row keys, task names and log lines, where two names with slashes or spaces could become
+// indistinguishable.
 func (c *checker) name(path, name string, seen map[string]bool) {
 	valid := name != "" && len(name) <= maxNameBytes && !strings.ContainsFunc(name, func(r rune) bool {
 		return !strings.ContainsRune("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.", r)
@@ -93,6 +97,7 @@
 	return nil
 }
 
+// institution checks one institution. credentials has the institution of each credential so far.
 func (c *checker) institution(path string, inst *pb.Institution, credentials map[string]string) {
 	responseTime := inst.GetResponseTimeMs()
 	c.require(responseTime > 0 && responseTime <= MaxResponseTimeMs, path+".response_time_ms", "%s must be above 0 and at most %s", ms(responseTime), ms(MaxResponseTimeMs))
@@ -112,8 +117,9 @@
 	return time.Duration(n) * time.Millisecond
 }
 
-// credentials checks the digests of tokens and the names of certificates. A credential declared
-// for two institutions would give each access to the other's jobs.
+// credentials checks an institution's credentials: the digests of its tokens and the names of its
+// certificates. A credential declared for two institutions would give each access to the other's
+// jobs.
 func (c *checker) credentials(path string, inst *pb.Institution, seen map[string]string) {
 	requireUnique := func(field, credential string) {
 		other, taken := seen[credential]
@@ -135,6 +141,7 @@
 	}
 }
 
+// teams checks an institution's teams and returns their names.
 func (c *checker) teams(path string, inst *pb.Institution) map[string]bool {
 	seen := make(map[string]bool)
 	ceiling := inst.GetCeilingSlots()
@@ -147,6 +154,7 @@
 	return seen
 }
 
+// services checks an institution's services. teams has the names of its teams.
 func (c *checker) services(path string, inst *pb.Institution, teams map[string]bool) {
 	seen := make(map[string]bool)
 	responseTime := inst.GetResponseTimeMs()
@@ -166,7 +174,9 @@
 
 // State is the settings in force at one process. Their version never decreases.
 type State struct {
-	current      *pb.Settings
+	current *pb.Settings
+	// institutions has the current institutions by name. tokens and certificates have the names of
+	// institutions, by the digest of a token and by the common name of a certificate.
 	institutions map[string]*pb.Institution
 	tokens       map[string]string
 	certificates map[string]string
--- a/core/task/task.go
+++ b/core/task/task.go
@@ -11,7 +11,7 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// Time is a reading of a process's monotonic clock: the time since that process started.
+// Time is a reading of a process's monotonic clock: the time since the process started.
 // Readings of different processes must not be compared.
 type Time = time.Duration
 
@@ -19,7 +19,8 @@
 // the process is another incarnation.
 type Incarnation struct {
 	Node string
-	Run  uint64
+	// Run is a random number that the process draws when it starts.
+	Run uint64
 }
 
 // IncarnationOf converts the wire form; nil gives the zero value.
@@ -41,9 +42,11 @@
 // caller's own key, which has none.
 type ID struct {
 	Institution string
-	Holder      Incarnation
-	Number      uint64
-	OwnKey      string
+	// Holder is the incarnation that issued the id, Number its number there.
+	Holder Incarnation
+	Number uint64
+	// OwnKey is the key that the caller chose.
+	OwnKey string
 }
 
 // IDOf converts the wire form. The institution that presented the id becomes part of it, so that
@@ -119,7 +122,7 @@
 // StartID numbers the task starts of one incarnation.
 type StartID uint64
 
-// Verdict is what is known about one start of a task.
+// Verdict is what is known about the outcome of one start of a task.
 type Verdict int
 
 // The verdicts. Only NotStarted permits another start of the same task.
@@ -134,7 +137,7 @@
 	Running
 	// Lost: the connection failed after the request may have been sent.
 	Lost
-	// Unknown: the upstream doesn't know whether the task ran, and never will.
+	// Unknown: the upstream has no record of whether the task ran, and never will have.
 	Unknown
 )
 
@@ -160,7 +163,8 @@
 // Result is a verdict and the data that the upstream sent with it.
 type Result struct {
 	Verdict Verdict
-	Output  []byte
+	// Output is that of a Finished task.
+	Output []byte
 	// Detail is the error text of Failed, or the cause of NotStarted and Lost.
 	Detail string
 	// UpstreamRun identifies the run of the upstream process that answered; empty if it isn't
@@ -183,11 +187,15 @@
 	Name          string
 	Address       string
 	FailureDomain string
-	Worker        string
-	Rack          string
-	Institution   string
-	Slots         uint32
-	Leaving       bool
+	// Worker and Rack are where the upstream runs. Either is empty if it isn't known.
+	Worker string
+	Rack   string
+	// Institution is the institution whose tasks the upstream runs.
+	Institution string
+	// Slots is the number of tasks that the upstream runs at once.
+	Slots uint32
+	// Leaving: the upstream is about to stop and gets no new tasks.
+	Leaving bool
 	// CPUMillis, in thousandths of a core, and MemoryMiB are the size of the worker; 0 if it
 	// isn't known.
 	CPUMillis uint32
@@ -199,7 +207,8 @@
 	Name          string
 	Address       string
 	FailureDomain string
-	Leaving       bool
+	// Leaving: the process is about to stop.
+	Leaving bool
 }
 
 // Members is the platform's list of entry processes and upstreams, in name order.
--- a/core/workload/workload.go
+++ b/core/workload/workload.go
@@ -20,10 +20,11 @@
 	// MilliCPU is in thousandths of a core.
 	MilliCPU int
 	MemoryMB int
-	GPU      int
+	// GPU is the number of GPUs.
+	GPU int
 }
 
-// Fits reports whether r is within the free resources.
+// Fits reports whether r is at most the free resources, in each of its fields.
 func (r Resources) Fits(free Resources) bool {
 	return r.MilliCPU <= free.MilliCPU && r.MemoryMB <= free.MemoryMB && r.GPU <= free.GPU
 }
@@ -38,15 +39,17 @@
 	return Resources{r.MilliCPU - o.MilliCPU, r.MemoryMB - o.MemoryMB, r.GPU - o.GPU}
 }
 
-// Step is a set of equal tasks of a job.
+// Step is a set of tasks of a job that have the same requirements.
 type Step struct {
+	// Tasks is the number of tasks.
 	Tasks int
-	Need  Resources
+	// Need is what each task requires of its runner.
+	Need Resources
 	// Estimate is the caller's estimate of a task's run time; it is often far off.
 	Estimate time.Duration
 	// DependsOn lists the earlier steps that must be done first.
 	DependsOn []int
-	// Requires is a label that the runner must have, if any.
+	// Requires is a label that the runner must have; "" if none is required.
 	Requires string
 	// PreferredRack is the rack that has the data; on other racks a task takes longer.
 	PreferredRack string
@@ -54,11 +57,11 @@
 	MaxPerRunner int
 }
 
-// Job is what a caller submits, with the terms of its queue at arrival.
+// Job is what a caller submits, with the settings of its queue at arrival.
 type Job struct {
 	ID JobID
-	// Queue and Service are the route of the request, by the configuration Version in force
-	// at its entry VM.
+	// Queue and Service are those of the request's route (see routing.Route), by the configuration
+	// Version in force at its entry VM.
 	Queue   string
 	Service string
 	Version uint64
@@ -69,15 +72,18 @@
 	Stored bool
 	// MaxAttempts is how often a task may fail before its job fails.
 	MaxAttempts int
-	// Objective is the latency objective, counted from the caller's first send.
+	// Objective is the latency objective, counted from when the caller first sent the job.
 	Objective time.Duration
-	Spec      string
-	Steps     []Step
-	// A timed job runs its steps Times times; 0 is once, without delay. The first occurrence
-	// is due at StartMs, in milliseconds since 1970, and the others follow at Interval.
-	// Occurrences may overlap.
-	Times    int
-	StartMs  int64
+	// Spec is the caller's description of the work, passed on to the runners.
+	Spec string
+	// Steps are the steps in an order in which each depends only on earlier ones.
+	Steps []Step
+	// Times is how often the steps of a timed job run. These occurrences may overlap. 0 is a job
+	// that isn't timed: its steps run once, without delay.
+	Times int
+	// StartMs is when the first occurrence of a timed job is due, in milliseconds since 1970.
+	StartMs int64
+	// Interval is the time from when one occurrence is due until the next is.
 	Interval time.Duration
 }
 
@@ -113,7 +119,8 @@
 	return longest
 }
 
-// MaxTasks limits the tasks of a job. The largest expected jobs have 980 tasks.
+// MaxTasks is the maximum number of tasks of a job, over all its occurrences. The largest expected
+// jobs have 980 tasks.
 const MaxTasks = 4096
 
 // Validate returns an error if the job can't be run.
@@ -146,13 +153,14 @@
 // TaskName identifies a task.
 type TaskName struct {
 	Job JobID
-	// Occurrence counts the occurrences of a timed job from 0.
+	// Occurrence counts the occurrences of a timed job from 0, Step the steps of the job, and Index
+	// the tasks of the step.
 	Occurrence int
 	Step       int
 	Index      int
 }
 
-// String is the form that runners use: job.occurrence.step.index.
+// String is the form that is sent to runners: job.occurrence.step.index.
 func (t TaskName) String() string {
 	return string(t.Job) + "." + strconv.Itoa(t.Occurrence) + "." + strconv.Itoa(t.Step) + "." + strconv.Itoa(t.Index)
 }
@@ -188,7 +196,7 @@
 // String is the form for logs.
 func (k RunKey) String() string { return fmt.Sprintf("%s#%d", k.Task, k.Number) }
 
-// RunnerID identifies one incarnation of a runner; after a crash it has another.
+// RunnerID identifies one incarnation of a runner. After a crash the runner has another ID.
 type RunnerID string
 
 // Runner is a runner's entry in the platform's list.
@@ -200,10 +208,10 @@
 	Rack     string
 	Labels   []string
 	Capacity Resources
-	// Draining runners finish their tasks and get no new ones.
+	// Draining: the runner finishes its tasks and gets no new ones.
 	Draining bool
-	// Lapsed: the entry disappeared while the store was unavailable, and may reappear. The
-	// runner is used while it answers.
+	// Lapsed: the entry disappeared from the list while the store was unavailable, and may reappear.
+	// The runner is used while it answers.
 	Lapsed bool
 	// Revision grows with each change of the entry.
 	Revision uint64
@@ -228,7 +236,7 @@
 	return false
 }
 
-// EndKind is the way in which a run ended.
+// EndKind is the way in which a run, one start of a task on a runner, ended.
 type EndKind uint8
 
 // The kinds of ends of runs.
@@ -241,7 +249,7 @@
 	Stopped
 	// LeaseExpired: the run's lease expired.
 	LeaseExpired
-	// Aborted: a task that this one works with ended or didn't start.
+	// Aborted: another task that this one works with ended or didn't start.
 	Aborted
 )
 
@@ -250,9 +258,9 @@
 // String is the name for logs.
 func (k EndKind) String() string { return endNames[k] }
 
-// End is the end of a run, which a runner lists until it is acknowledged.
+// End is the end of a run. The runner reports it until it is acknowledged.
 type End struct {
-	// Sequence counts the ends of an incarnation of the runner, from 1.
+	// Sequence numbers the ends of one incarnation of the runner, from 1.
 	Sequence uint64
 	Run      RunKey
 	Kind     EndKind
@@ -267,13 +275,14 @@
 const (
 	// Completed: all tasks are done.
 	Completed Outcome = iota
-	// JobFailed: a task failed as often as the queue allows.
+	// JobFailed: a task failed MaxAttempts times.
 	JobFailed
 	// Cancelled: the caller cancelled the job.
 	Cancelled
 	// NotRun: no task was started and none will be.
 	NotRun
-	// GaveUp: the job's time was up; some tasks may have run.
+	// GaveUp: the job ended without any of the other outcomes, for instance because its time was up.
+	// Some tasks may have run.
 	GaveUp
 	// Accepted: the job is in the store and will be run.
 	Accepted
