--- a/cli/cli.go
+++ b/cli/cli.go
@@ -30,8 +30,10 @@
 // app holds the state that all commands share.
 type app struct {
 	Streams
+	// output is the value of --output.
 	output string
-	// argsAccepted is set once a command's own work begins.
+	// argsAccepted is set once a command's own work begins. An error before that is a mistake in
+	// the arguments.
 	argsAccepted  bool
 	callerFlags   callerFlags
 	operatorFlags operatorFlags
@@ -91,8 +93,7 @@
 	return cmd
 }
 
-// trackStart wraps a command and its subcommands to set argsAccepted when their own work begins:
-// an error before that is a mistake in the arguments.
+// trackStart wraps a command and its subcommands to set argsAccepted when their own work begins.
 func (a *app) trackStart(cmd *cobra.Command) {
 	if run := cmd.RunE; run != nil {
 		cmd.RunE = func(cmd *cobra.Command, args []string) error {
@@ -115,7 +116,7 @@
 	return errors.Wrap(err, "write output")
 }
 
-// printProto writes a message as indented JSON with the field names of the schema.
+// printProto writes a message as indented JSON with the field names of the proto files.
 func (a *app) printProto(m proto.Message) error {
 	raw, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(m)
 	if err != nil {
--- a/cli/connect.go
+++ b/cli/connect.go
@@ -17,8 +17,8 @@
 	"sapphirepoint.example/sapphirepoint/gen/sapphirepointv1/sapphirepointv1connect"
 )
 
-// The environment variables that are used for flags left out. With fileSuffix, a token's
-// variable names a file.
+// The environment variables that are used for flags that aren't given. The name of a token's variable
+// with fileSuffix appended is that of a variable with the path of a file that has the token.
 const (
 	envEntry         = "SAPPHIREPOINT_ENTRY"
 	envToken         = "SAPPHIREPOINT_TOKEN"
@@ -28,16 +28,18 @@
 	fileSuffix       = "_FILE"
 )
 
-// operatorTimeout bounds a call to an operators' listener.
+// operatorTimeout limits a call to an operators' listener.
 const operatorTimeout = 15 * time.Second
 
 // callerFlags are the flags of callers' commands: the entry processes and the credentials.
 type callerFlags struct {
 	entries   []string
 	tokenFile string
-	ca        string
-	cert      string
-	key       string
+	// ca is the file with the authority that signs the entry processes' certificates.
+	ca string
+	// cert and key are the files of a client certificate, which replaces the token, and its key.
+	cert string
+	key  string
 }
 
 func (f *callerFlags) register(cmd *cobra.Command) {
@@ -134,7 +136,8 @@
 	return res.Msg, nil
 }
 
-// callFirstReachable calls a method at the first operator in the list that is reachable.
+// callFirstReachable calls a method at the first operators' listener in the list that is reachable. An
+// error other than "unavailable" is an answer, and the next listener isn't called after it.
 func callFirstReachable[Req, Res any](ctx context.Context, list []*operator, method func(*operator) func(context.Context, *connect.Request[Req]) (*connect.Response[Res], error), m *Req) (*Res, error) {
 	var res *Res
 	var err error
@@ -187,8 +190,8 @@
 	return token, nil
 }
 
-// tlsConfigFor returns a configuration that trusts the authorities in a PEM file; nil, which
-// means those of the system, if neither the flag nor the environment names one.
+// tlsConfigFor returns a configuration that trusts the authorities in a PEM file. It returns nil, which
+// means that those of the system are trusted, if neither the flag nor the environment gives a file.
 func tlsConfigFor(file string) (*tls.Config, error) {
 	if file == "" {
 		file = os.Getenv(envCA)
--- a/cli/entry.go
+++ b/cli/entry.go
@@ -16,7 +16,7 @@
 	"sapphirepoint.example/sapphirepoint/platform"
 )
 
-// entryDumpTimeout bounds a dump request, which a process answers within milliseconds.
+// entryDumpTimeout limits a dump request, which a process usually answers within milliseconds.
 const entryDumpTimeout = 5 * time.Second
 
 func (a *app) entryCommand() *cobra.Command {
--- a/cli/exit.go
+++ b/cli/exit.go
@@ -75,7 +75,7 @@
 	return ExitUnknown
 }
 
-// isRejection reports whether the server understood the request and rejected it.
+// isRejection reports whether an error is the server's rejection of the request.
 func isRejection(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeInvalidArgument, connect.CodeAlreadyExists, connect.CodeAborted, connect.CodeFailedPrecondition,
--- a/cli/jobfile.go
+++ b/cli/jobfile.go
@@ -27,10 +27,13 @@
 	Tasks   []jobTask `yaml:"tasks"`
 }
 
+// jobTask is a task of a job file.
 type jobTask struct {
+	// Payload or PayloadBase64 has the payload; at most one may be given.
 	Payload       string `yaml:"payload"`
 	PayloadBase64 string `yaml:"payload_base64"`
-	RunTime       string `yaml:"run_time"`
+	// RunTime is the declared run time with its unit, such as 200ms.
+	RunTime string `yaml:"run_time"`
 	// Count is how many times the task is repeated; 0 means once.
 	Count int `yaml:"count"`
 }
@@ -86,6 +89,7 @@
 	return s, nil
 }
 
+// message checks a task and converts it to the wire form.
 func (t jobTask) message() (*pb.Task, error) {
 	if t.Payload != "" && t.PayloadBase64 != "" {
 		return nil, errors.New("payload and payload_base64 exclude each other")
--- a/cli/keys.go
+++ b/cli/keys.go
@@ -110,6 +110,7 @@
 	return cmd
 }
 
+// readPair reads a certificate and its key.
 func readPair(cert, key string) (keys.Pair, error) {
 	c, err := os.ReadFile(cert)
 	if err != nil {
@@ -119,7 +120,7 @@
 	return keys.Pair{Cert: c, Key: k}, errors.Wrap(err, "read key")
 }
 
-// writePair writes a new key and its certificate. It never overwrites a file: overwriting an
+// writePair writes a new key and its certificate. It never overwrites a file. Overwriting an
 // authority's key would cut off every VM whose certificate it signed.
 func (a *app) writePair(p keys.Pair, cert, key string) error {
 	if err := writeNewFile(key, p.Key, secretMode); err != nil {
--- a/cli/load.go
+++ b/cli/load.go
@@ -17,14 +17,20 @@
 const (
 	// defaultConcurrency is the default maximum number of jobs in flight.
 	defaultConcurrency = 64
-	progressInterval   = 2 * time.Second
+	// progressInterval is the time between two progress lines.
+	progressInterval = 2 * time.Second
 )
 
-// loadFlags are the flags that turn submit into a load and bound it.
+// loadFlags are the flags that make submit generate a load, and limit that load.
 type loadFlags struct {
-	repeat      int
-	rate        float64
-	duration    time.Duration
+	// repeat is the number of jobs, duration the time for which they are submitted. Either can be
+	// left out.
+	repeat int
+	// rate is the number of jobs per second; 0 means that jobs are submitted as fast as answers
+	// arrive.
+	rate     float64
+	duration time.Duration
+	// concurrency is the maximum number of jobs in flight.
 	concurrency int
 }
 
@@ -35,11 +41,13 @@
 	cmd.Flags().IntVar(&f.concurrency, "concurrency", 0, fmt.Sprintf("jobs at once, at most (%d)", defaultConcurrency))
 }
 
+// enabled reports whether any of the flags is given.
 func (f *loadFlags) enabled() bool {
 	return f.repeat != 0 || f.duration != 0 || f.rate != 0 || f.concurrency != 0
 }
 
-// validate checks the flags, which must bound the load, and sets defaults.
+// validate checks the flags and sets defaults. The number of jobs or the duration must be given, so
+// that the load ends.
 func (f *loadFlags) validate() error {
 	if f.repeat < 0 || f.duration < 0 || f.rate < 0 || f.concurrency < 0 {
 		return asUsageError(errors.New("--repeat, --duration, --rate and --concurrency must not be negative"))
@@ -101,8 +109,8 @@
 
 // run submits until the count or the duration is reached and waits for the answers. With a
 // rate, a job that is due while the maximum number is in flight is sent late. Its response time
-// still counts from when it was due: otherwise the delay that slow answers cause to later jobs
-// would not be measured.
+// still counts from when it was due. Otherwise the delay that slow answers cause to later jobs would
+// not be measured.
 func (l *loadRun) run(ctx context.Context) {
 	permits := make(chan struct{}, l.flags.load.concurrency)
 	startTime := time.Now()
--- a/cli/scrape.go
+++ b/cli/scrape.go
@@ -27,20 +27,22 @@
 	TaskStarts    float64            `json:"task_starts"`
 	Wasted        map[string]float64 `json:"wasted_messages"`
 	WastedPerTask float64            `json:"wasted_messages_per_task"`
-	// OverIdealMean is the mean of the entries' own ratio of response time to ideal, where
-	// the ideal is the measured run time of the slowest task.
+	// OverIdealMean is the mean ratio of a job's response time to the measured run time of its
+	// slowest task, the ideal response time, as the entry processes record it.
 	OverIdealMean float64 `json:"response_over_ideal_mean"`
 
+	// ratioSum and ratioCount are the sum and the number of these ratios.
 	ratioSum, ratioCount float64
 }
 
 // scraper reads the metrics of entry processes before and after a load.
 type scraper struct {
 	operators []*operator
-	before    []entryCounts
+	// before has the values before the load, by the index of the operator.
+	before []entryCounts
 }
 
-// newScraper reads the metrics before the load; it returns nil without --operator.
+// newScraper reads the metrics before the load. It returns nil if no operators' listeners are given.
 func (a *app) newScraper(ctx context.Context) (*scraper, error) {
 	if len(a.operatorFlags.operators) == 0 && os.Getenv(envOperator) == "" {
 		return nil, nil
@@ -67,7 +69,7 @@
 	return list, nil
 }
 
-// delta returns the increase of the metrics since newScraper, summed over the entries.
+// delta returns the increase of the metrics since newScraper, summed over the entry processes.
 func (s *scraper) delta(ctx context.Context) (*entryCounts, error) {
 	after, err := s.readCounts(ctx)
 	if err != nil {
@@ -93,6 +95,7 @@
 	return d, nil
 }
 
+// countsFrom extracts the counts from the metrics of one entry process.
 func countsFrom(families map[string]*dto.MetricFamily) entryCounts {
 	d := entryCounts{Wasted: make(map[string]float64)}
 	for _, m := range families[startsMetric].GetMetric() {
@@ -112,6 +115,7 @@
 	return d
 }
 
+// metrics reads the metrics of a process, which needs no token.
 func (o *operator) metrics(ctx context.Context) (map[string]*dto.MetricFamily, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, o.url+"/metrics", nil)
 	if err != nil {
--- a/cli/submit.go
+++ b/cli/submit.go
@@ -17,7 +17,8 @@
 	// key is the caller's own key.
 	key string
 	// id is the id of an earlier submission, to submit again.
-	id      string
+	id string
+	// timeout limits the time for which the job is resubmitted until its outcome is final.
 	timeout time.Duration
 	// newIDs is how often the job may be submitted again under a new id.
 	newIDs int
--- a/cli/summary.go
+++ b/cli/summary.go
@@ -18,9 +18,10 @@
 )
 
 const (
-	// maxRecordedUs is the largest response time recorded, in microseconds; longer ones
-	// count as this.
-	maxRecordedUs     = int64(time.Hour / time.Microsecond)
+	// maxRecordedUs is the largest response time recorded, in microseconds. Longer ones are recorded
+	// as this.
+	maxRecordedUs = int64(time.Hour / time.Microsecond)
+	// significantDigits is the precision of recorded times.
 	significantDigits = 3
 	usPerMs           = 1000
 	percent           = 100
@@ -32,11 +33,14 @@
 	startTime   time.Time
 	tasksPerJob int
 	// idealTime is the run time declared for the slowest task of the job.
-	idealTime     time.Duration
+	idealTime time.Duration
+	// completeTimes and allTimes have the response times, in microseconds, of complete jobs and of
+	// all jobs.
 	completeTimes *hdrhistogram.Histogram
 	allTimes      *hdrhistogram.Histogram
 	outcomes      map[pb.Outcome]int
-	reasons       map[string]int
+	// reasons counts the outcomes other than complete by their reasons.
+	reasons map[string]int
 }
 
 func newRecorder(s *pb.Submission) *recorder {
@@ -84,8 +88,8 @@
 	return "unknown: " + connect.CodeOf(err).String()
 }
 
-// worstOutcome returns the outcome that determines the exit code of a load. A load without any
-// answer counts as unknown.
+// worstOutcome returns the outcome that determines the exit code of a load: unknown if there is any,
+// else failed, else not run, else complete. A load without any answer counts as unknown.
 func (r *recorder) worstOutcome() pb.Outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,8 +127,8 @@
 	Reasons      map[string]int `json:"reasons,omitempty"`
 	CompleteJobs distribution   `json:"complete_response_ms"`
 	AllJobs      distribution   `json:"any_answer_ms"`
-	// IdealMs is the run time declared for the slowest task, 0 if none is declared.
-	// OverIdeal is the response time of complete jobs divided by it.
+	// IdealMs is the run time declared for the slowest task; 0 if none is declared. OverIdeal has
+	// the response times of complete jobs divided by it.
 	IdealMs   float64       `json:"ideal_ms"`
 	OverIdeal *distribution `json:"response_over_ideal,omitempty"`
 	Client    client.Stats  `json:"client"`
@@ -147,6 +151,7 @@
 	return distribution{h.Mean() / unit, at(50), at(90), at(99), at(99.9), float64(h.Max()) / unit}
 }
 
+// summary summarizes what has been recorded so far.
 func (r *recorder) summary() *summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/explain/attribution.go
+++ b/explain/attribution.go
@@ -14,8 +14,9 @@
 // Cause is why a job's answer was late or not "completed".
 type Cause string
 
-// The causes of losses. Those of the system as a whole apply to all jobs of an interval of
-// time; those of a runner or of queueing are read from the lines of the job itself.
+// The causes of losses. Causes from MostProcessesLost to StoreRecovered are events of the system as a
+// whole, and apply to all jobs in an interval of time. The others are read from the lines of the job
+// itself.
 const (
 	MostProcessesLost Cause = "most processes ended at once"
 	Partition         Cause = "processes fell silent"
@@ -34,50 +35,54 @@
 	CallerLeft        Cause = "its caller left"
 )
 
-// Loss is a job that completed late or whose outcome was not "completed".
+// Loss is a job that completed late, or whose outcome was not "completed", which includes that its
+// request was refused or its caller left.
 type Loss struct {
 	Job   string
 	Queue string
 	// Arrived is when the entry process received the job, according to its log.
 	Arrived time.Time
-	// Late: the job completed, but after its latency objective.
+	// Late: the job completed, but too late by its latency objective, see lossOf.
 	Late  bool
 	Cause Cause
 }
 
-// systemEvent is an interval during which an event of the whole system can cause losses.
+// systemEvent is an event of the whole system, and the interval during which it can cause losses.
 type systemEvent struct {
 	from, to time.Time
 	cause    Cause
 }
 
 const (
-	// clusterGap is the largest gap between two log lines of the same event: processes
-	// that lose power or a connection at the same moment notice it within this time.
+	// clusterGap is the time within which two successive log lines count as lines of the same
+	// system event: processes that lose power or a connection at the same moment log it within
+	// this time of each other.
 	clusterGap = 500 * time.Millisecond
-	// effectBefore is how long before its first log line an event may already cause
-	// losses: an unresponsive process is noticed after 450 ms.
+	// effectBefore is how long before its first log line an event may already cause losses: an
+	// unresponsive process is detected after 450 ms.
 	effectBefore = 500 * time.Millisecond
 	// effectAfter is how long after its last log line an event may still cause losses: a
 	// job that another scheduler had waits up to 1.3 s, and callers of the shortest jobs
 	// don't wait longer than that.
 	effectAfter = 1500 * time.Millisecond
-	// storeEffectAfter replaces effectAfter once the store is reachable again: the list of
-	// runners may stay incomplete for this long.
+	// storeEffectAfter is used in place of effectAfter for StoreRecovered: the list of runners may
+	// stay incomplete for this long after the store is reachable again.
 	storeEffectAfter = 2500 * time.Millisecond
 	// minReconnects is how many connections must come back together to count as a healed
 	// partition.
 	minReconnects = 3
-	// slowRunFactor times the estimate is exceeded by at most one healthy run in a hundred.
+	// slowRunFactor is how many times longer than estimated a job's runs take for them to count as
+	// slow. At most one healthy run in a hundred takes longer than that.
 	slowRunFactor = 3
-	// maxWaitShare is the share of its objective that a job may wait in the queue; a late
-	// job that waited longer is attributed to the wait.
+	// maxWaitShare is the share of its objective that a job may wait in the queue. The loss of a
+	// job that waited longer is attributed to QueueWait, unless an event of one of its runs or of
+	// the system explains it.
 	maxWaitShare = 0.15
 )
 
-// Attribute finds the cause of each loss from the log lines of all entry processes of a
-// deployment. A job whose entry process ended before it answered has no line with its
-// outcome and is not reported.
+// Attribute finds the losses, and the cause of each, from the log lines of all entry processes of a
+// deployment. A job whose entry process ended before it answered has no line with an outcome and is
+// not reported.
 func Attribute(lines []Line) []Loss {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
@@ -110,12 +115,12 @@
 	return Line{}
 }
 
-// lossOf reads a loss from the line of an answer; it returns false if the job completed in
-// time.
+// lossOf reads a loss from the line of an answer. It returns false if the line isn't that of an answer or
+// the job completed in time.
 //
-// The objective is derived from the estimated run time, but callers count from the actual
-// one: a job is late if its time outside of its runs exceeds the objective less the
-// estimate. A job whose runs took far longer than estimated is late past the objective itself.
+// The objective includes the estimated run time, but callers count from the actual one. A job is
+// therefore late if its time outside of its runs exceeds the objective less the estimate. A job whose
+// runs took far longer than estimated is also late if its whole time exceeds the objective.
 func lossOf(l, jobEnded Line) (Loss, bool) {
 	loss := Loss{Job: l.Fields["job"], Queue: l.Fields["queue"], Arrived: l.Time}
 	switch l.Event {
@@ -133,7 +138,7 @@
 	return loss, false
 }
 
-// number reads a field as a number.
+// number reads a field as a number; 0 if the line has no such field.
 func (l Line) number(key string) float64 {
 	n, err := strconv.ParseFloat(l.Fields[key], 64)
 	if err != nil {
@@ -143,9 +148,9 @@
 	return n
 }
 
-// causeOf prefers causes seen in the lines of the job to system events at the same time,
-// unless the job moved to another scheduler or did not complete: then a system event
-// explains what followed.
+// causeOf finds the cause of a loss. Causes seen in the lines of the job come before system events at
+// the same time, unless the job was handed over to another scheduler or did not complete. Then a
+// system event comes first, as it explains the events of the job that followed.
 func causeOf(loss Loss, answer Line, jobLines []Line, events []systemEvent) Cause {
 	system := causeDuring(events, loss.Arrived, answer.Time)
 	switch {
@@ -201,8 +206,10 @@
 	return jobEnded.number("work") > slowRunFactor*jobEnded.number("estimate")
 }
 
-// findSystemEvents finds the events of the whole system in sorted lines; the most
-// severe kinds come first.
+// findSystemEvents finds the events of the whole system in lines sorted by time. The events of the most
+// severe kinds come first, because causeDuring returns the first event of an interval. Processes
+// that start within clusterGap of the first line count as the start of the deployment, not as an
+// event.
 func findSystemEvents(lines []Line) []systemEvent {
 	nodes := make(map[string]bool)
 	for _, l := range lines {
@@ -229,6 +236,7 @@
 	return events
 }
 
+// withEvent lists the lines of a kind of event.
 func withEvent(lines []Line, event string) []Line {
 	var list []Line
 	for _, l := range lines {
@@ -239,8 +247,8 @@
 	return list
 }
 
-// clusterEvents returns an event with the given cause for each group of lines that follow each
-// other closely and that accept accepts.
+// clusterEvents returns an event with the given cause for each group of lines that follow each other
+// within clusterGap, if accept returns true for the group.
 func clusterEvents(lines []Line, cause Cause, accept func([]Line) bool) []systemEvent {
 	var list []systemEvent
 	for len(lines) > 0 {
@@ -256,6 +264,7 @@
 	return list
 }
 
+// countPeers counts the different peers that lines name.
 func countPeers(lines []Line) int {
 	peers := make(map[string]bool)
 	for _, l := range lines {
@@ -274,7 +283,7 @@
 	})
 }
 
-// LossTable counts losses by cause, queue and second of arrival.
+// LossTable prints losses, counted by cause, queue and second of arrival.
 type LossTable struct {
 	Losses []Loss
 	// Begin is the time from which seconds are counted.
@@ -312,9 +321,10 @@
 	return b.String()
 }
 
-// maxSeconds is the number of seconds that a row lists.
+// maxSeconds is the maximum number of seconds that a row lists.
 const maxSeconds = 3
 
+// topSeconds lists the seconds in which most of the losses arrived, with their numbers.
 func (t LossTable) topSeconds(losses []Loss) string {
 	counts := make(map[int]int)
 	for _, l := range losses {
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain finds out from the logs of entry processes what happened to a job, and why
-// answers were late or lost.
+// Package explain reads the logs of entry processes. It reports what happened to a single job, and
+// finds the causes of answers that were late or missing.
 package explain
 
 import (
@@ -18,15 +18,15 @@
 	Time   time.Time         `json:"time"`
 	Event  string            `json:"event"`
 	Fields map[string]string `json:"fields"`
-	// Text is the line as written.
+	// Text is the whole line as it is in the log.
 	Text string `json:"text"`
 }
 
 // maxLineBytes is the maximum length of a log line.
 const maxLineBytes = 1 << 20
 
-// Read reads the lines of a log. Lines that aren't key=value pairs with a time are skipped:
-// libraries write a few of those at start.
+// Read reads the lines of a log. Lines that aren't key=value pairs with a time are skipped: libraries
+// write a few such lines when a process starts.
 func Read(r io.Reader) ([]Line, error) {
 	var lines []Line
 	scan := bufio.NewScanner(r)
@@ -75,8 +75,11 @@
 
 // Report describes what happened to a job.
 type Report struct {
-	Job     string   `json:"job"`
-	Lines   []Line   `json:"lines"`
+	Job string `json:"job"`
+	// Lines are the lines of the job, and those of system events and lost runners at the time, in
+	// order of time.
+	Lines []Line `json:"lines"`
+	// Summary has a line for each kind of event, then one for each answer.
 	Summary []string `json:"summary"`
 }
 
@@ -90,7 +93,8 @@
 	"process-stalled": true, "configuration-in-force": true, "dependency-lost": true, "dependency-regained": true,
 }
 
-// Job collects the lines that concern a job and summarizes them.
+// Job collects the lines that concern a job and summarizes them: the job's own lines, those of
+// jobIndependentEvents until its last line, and those of the loss of runners that its lines name.
 func Job(id string, lines []Line) Report {
 	r := Report{Job: id}
 	jobLines, runners := linesOfJob(id, lines)
@@ -147,7 +151,8 @@
 	"process-stalled":  "an entry process stood still",
 }
 
-// summarize counts the events of each kind, in order of first occurrence, and adds the answers.
+// summarize describes the kinds of events that eventMeanings has, in order of first occurrence and with
+// their numbers, and then each answer.
 func summarize(lines []Line) []string {
 	counts := make(map[string]int)
 	var order, answers []string
@@ -174,6 +179,7 @@
 	return append(out, answers...)
 }
 
+// describeAnswer describes the line of an answer.
 func describeAnswer(l Line) string {
 	s := fmt.Sprintf("answered %s by %s after %s ms (objective %s ms)", l.Fields["outcome"], l.Fields["node"], l.Fields["took"], l.Fields["objective"])
 	if reason := l.Fields["reason"]; reason != "" {
