--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -119,7 +119,7 @@
 }
 
 // A job waits and its caller asks why. The dump must give the reason: without it an operator
-// can't tell a full deployment, a pending claim in the table service and a bug apart.
+// can't distinguish a full deployment, a pending claim in the table service and a bug.
 func TestDumpExplainsWhyAJobWaitsAndCancelEndsIt(t *testing.T) {
 	g := gomega.NewWithT(t)
 	startCluster(t)
--- a/cli/connect.go
+++ b/cli/connect.go
@@ -17,8 +17,9 @@
 	"sapphirepoint.example/sapphirepoint/gen/sapphirepointv1/sapphirepointv1connect"
 )
 
-// The environment variables that are used for flags that aren't given. The name of a token's variable
-// with fileSuffix appended is that of a variable with the path of a file that has the token.
+// The environment variables that are used for flags that aren't given. The name of a token's
+// variable with fileSuffix appended is that of a variable with the path of a file that has the
+// token.
 const (
 	envEntry         = "SAPPHIREPOINT_ENTRY"
 	envToken         = "SAPPHIREPOINT_TOKEN"
@@ -136,8 +137,8 @@
 	return res.Msg, nil
 }
 
-// callFirstReachable calls a method at the first operators' listener in the list that is reachable. An
-// error other than "unavailable" is an answer, and the next listener isn't called after it.
+// callFirstReachable calls a method at the first operators' listener in the list that is reachable.
+// An error other than "unavailable" is an answer, and the next listener isn't called after it.
 func callFirstReachable[Req, Res any](ctx context.Context, list []*operator, method func(*operator) func(context.Context, *connect.Request[Req]) (*connect.Response[Res], error), m *Req) (*Res, error) {
 	var res *Res
 	var err error
@@ -190,8 +191,9 @@
 	return token, nil
 }
 
-// tlsConfigFor returns a configuration that trusts the authorities in a PEM file. It returns nil, which
-// means that those of the system are trusted, if neither the flag nor the environment gives a file.
+// tlsConfigFor returns a configuration that trusts the authorities in a PEM file. It returns nil,
+// which means that those of the system are trusted, if neither the flag nor the environment gives a
+// file.
 func tlsConfigFor(file string) (*tls.Config, error) {
 	if file == "" {
 		file = os.Getenv(envCA)
--- a/core/heap/heap.go
+++ b/core/heap/heap.go
@@ -16,8 +16,8 @@
 	Position() *int
 }
 
-// Put inserts an element, or moves it to its place if it is in the heap and its order has changed. It
-// returns the heap, as append does.
+// Put inserts an element, or moves it to its place if it is in the heap and its order has changed.
+// It returns the heap, as append does.
 func Put[T Item[T]](h []T, e T) []T {
 	p := e.Position()
 	if *p == Absent {
--- a/core/layout/layout.go
+++ b/core/layout/layout.go
@@ -1,11 +1,11 @@
 // Package layout divides the runners of a deployment into shards. A shard is the part of the runners
 // that one scheduler is in charge of.
 //
-// If each failure domain has enough runners for jobs on its own, the runners of a domain form shards
-// of their own. The domain is then a cell: its schedulers, runners and callers are close to each
-// other, and a network partition between domains changes no leader. Smaller domains are pooled: their
-// runners are divided into shards regardless of the domain, because a job of many tasks doesn't fit
-// on a few runners.
+// If each failure domain has enough runners for jobs on its own, the runners of a domain form
+// shards of their own. The domain is then a cell: its schedulers, runners and callers are close to
+// each other, and a network partition between domains changes no leader. Smaller domains are
+// pooled: their runners are divided into shards regardless of the domain, because a job of many
+// tasks doesn't fit on a few runners.
 package layout
 
 import (
@@ -23,10 +23,10 @@
 	// shard would have too little room for jobs of 32 tasks. With a higher one, more runners would
 	// be out of use whenever their scheduler is lost.
 	maxRunnersPerShard = 60
-	// runnersPerCore and runnersPerMbps are the runners that a VM can schedule for at full load, per
-	// core and per Mbit/s of its link. They leave half of the CPU and of the link free for work other
-	// than runner lists, lease renewals and starts. A VM that sends more than its link carries
-	// appears lost. Its successor takes over the same load and appears lost in turn.
+	// runnersPerCore and runnersPerMbps are the runners that a VM can schedule for at full load,
+	// per core and per Mbit/s of its link. They leave half of the CPU and of the link free for work
+	// other than runner lists, lease renewals and starts. A VM that sends more than its link
+	// carries appears lost. Its successor takes over the same load and appears lost in turn.
 	runnersPerCore = 180
 	runnersPerMbps = 10
 	// minRunnersPerShard is the number of runners that a scheduler is in charge of however small its
@@ -38,8 +38,8 @@
 	minCellRunners = 3 * maxRunnersPerShard
 )
 
-// Layout has the cell of each shard, by the shard's index: the name of a failure domain, or "" if the
-// runners are pooled. It is set once for a deployment.
+// Layout has the cell of each shard, by the shard's index: the name of a failure domain, or "" if
+// the runners are pooled. It is set once for a deployment.
 type Layout []string
 
 // Pooled returns a layout with the given number of shards and without cells.
@@ -88,8 +88,9 @@
 	return l
 }
 
-// selfSufficient reports whether each failure domain has at least minCellRunners of each service. If a
-// domain without runners of a service were a cell, it would refuse the callers of that service.
+// selfSufficient reports whether each failure domain has at least minCellRunners of each service.
+// If a domain without runners of a service were a cell, it would refuse the callers of that
+// service.
 func selfSufficient(domains map[string]int, services map[string]map[string]int) bool {
 	for d := range domains {
 		for _, counts := range services {
@@ -113,8 +114,8 @@
 // Cells lists the cells, ordered by name.
 func (l Layout) Cells() []string { return slices.Compact(slices.Sorted(slices.Values(l))) }
 
-// Cell is the cell of a failure domain; "" if the layout has no cells. A domain without runners has no
-// cell of its own and is assigned to that of another domain by its name.
+// Cell is the cell of a failure domain; "" if the layout has no cells. A domain without runners has
+// no cell of its own and is assigned to that of another domain by its name.
 func (l Layout) Cell(domain string) string {
 	if !l.HasCells() {
 		return ""
@@ -141,8 +142,8 @@
 	return l.shardByHash(string(id), l.Cell(domain))
 }
 
-// JobShard is the shard of a job that is submitted in a cell. It depends only on the job's ID and the
-// cell, so that a copy of the job at another entry VM of the cell reaches the same scheduler.
+// JobShard is the shard of a job that is submitted in a cell. It depends only on the job's ID and
+// the cell, so that a copy of the job at another entry VM of the cell reaches the same scheduler.
 func (l Layout) JobShard(id workload.JobID, cell string) int { return l.shardByHash(string(id), cell) }
 
 // StoredJobShard is the shard of a stored job. It is the same wherever the job is submitted,
--- a/core/queue/heap.go
+++ b/core/queue/heap.go
@@ -22,8 +22,8 @@
 // Position returns the position in the institution's heap.
 func (t *team) Position() *int { return &t.heapIndex }
 
-// updateTeam restores the order of the teams after a change of one. A team without jobs to serve isn't
-// in the heap.
+// updateTeam restores the order of the teams after a change of one. A team without jobs to serve
+// isn't in the heap.
 func (inst *institution) updateTeam(t *team) {
 	if len(t.jobHeap) == 0 {
 		inst.teamHeap = heap.Drop(inst.teamHeap, t)
@@ -32,8 +32,8 @@
 	inst.teamHeap = heap.Put(inst.teamHeap, t)
 }
 
-// firstAllowed returns the first team for which allow returns true, in the subheap at index i, or nil.
-// It descends only below teams that aren't allowed.
+// firstAllowed returns the first team for which allow returns true, in the subheap at index i, or
+// nil. It descends only below teams that aren't allowed.
 func (inst *institution) firstAllowed(i int, allow func(string) bool) *team {
 	if i >= len(inst.teamHeap) {
 		return nil
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -1,17 +1,18 @@
 // Package queue orders the tasks that wait for a slot.
 //
-// Tasks of higher priority come first. Within a priority, tasks are ordered by rank, a time; the task
-// with the earliest rank comes first. The rank of a task is the sum of
+// Tasks of higher priority come first. Within a priority, tasks are ordered by rank, a time; the
+// task with the earliest rank comes first. The rank of a task is the sum of
 //   - the arrival of its job,
 //   - its slack, the difference between the run times of the job's longest task and of this one: it can
 //     start that much later without delaying the job's result, and
 //   - the run time of the job's longest task, since the same wait is a smaller fraction of a long job's
 //     response time.
 //
-// Order can scale the last two. A rank is at most the deadline minus the run time of the longest task.
+// Order can scale the last two. A rank is at most the deadline minus the run time of the longest
+// task.
 //
-// Ranks don't depend on the present time, so a job can be overtaken only by jobs of its priority that
-// arrive within a period proportional to its own length. No job starves within its priority.
+// Ranks don't depend on the present time, so a job can be overtaken only by jobs of its priority
+// that arrive within a period proportional to its own length. No job starves within its priority.
 package queue
 
 import (
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -104,8 +104,8 @@
 	t.Fatal("the long job never started")
 }
 
-// In any order of calls, each waiting task is served once unless it is requeued, no task of a held or
-// removed job is served, and no served task has a later rank than one that stays waiting.
+// In any order of calls, each waiting task is served once unless it is requeued, no task of a held
+// or removed job is served, and no served task has a later rank than one that stays waiting.
 func TestQueueAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New()
--- a/core/rendezvous/rendezvous.go
+++ b/core/rendezvous/rendezvous.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// stackBufferBytes is the size up to which the hashed key (the node, the name and the index) fits into
-// a buffer on the stack, so that hashing doesn't allocate.
+// stackBufferBytes is the size up to which the hashed key (the node, the name and the index) fits
+// into a buffer on the stack, so that hashing doesn't allocate.
 const stackBufferBytes = 128
 
 // Owner returns the node that owns an object, identified by a name and an index, or "" if there are
--- a/core/settings/apply.go
+++ b/core/settings/apply.go
@@ -32,8 +32,8 @@
 	// Applied: this change, and no other, was committed as the settings version after the expected
 	// one.
 	Applied ApplyOutcome = iota + 1
-	// Conflicted: the settings in the row aren't at the expected version, and this change never takes
-	// effect.
+	// Conflicted: the settings in the row aren't at the expected version, and this change never
+	// takes effect.
 	Conflicted
 	// NotWritten: the row couldn't be read or written within the attempts, and no write of this
 	// change takes effect.
--- a/core/settings/apply_test.go
+++ b/core/settings/apply_test.go
@@ -66,7 +66,8 @@
 	return true
 }
 
-// addOperator starts a change by an operator, who sometimes expects another version than the row has.
+// addOperator starts a change by an operator, who sometimes expects another version than the row
+// has.
 func (sim *simulation) addOperator(t *rapid.T) {
 	sim.change++
 	expected := sim.stored.GetVersion()
--- a/core/slots/loans.go
+++ b/core/slots/loans.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// recall returns a borrowed slot as soon as it is idle. A task may still run on a slot in cooldown. If
-// such a slot were returned early, the lender would start another task on it, which the upstream
+// recall returns a borrowed slot as soon as it is idle. A task may still run on a slot in cooldown.
+// If such a slot were returned early, the lender would start another task on it, which the upstream
 // would refuse.
 func (p *Pool) recall(r *slotRecord) {
 	if r.state == idle {
--- a/core/slots/members.go
+++ b/core/slots/members.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// recallMoved recalls borrowed slots that another node than the lender owns now. The new owner has no
-// record of the loan and may start tasks on them.
+// recallMoved recalls borrowed slots that another node than the lender owns now. The new owner has
+// no record of the loan and may start tasks on them.
 func (p *Pool) recallMoved(m task.Members) {
 	nodes := make(map[string][]string)
 	for _, d := range p.sortedLenders() {
--- a/core/slots/property_test.go
+++ b/core/slots/property_test.go
@@ -277,8 +277,9 @@
 	}
 }
 
-// In any order of starts, loans, returns, restarts, disconnections, expiries and delayed member lists,
-// no owner starts a task on a slot that is lent or in use, or lends such a slot, and no slot is lost.
+// In any order of starts, loans, returns, restarts, disconnections, expiries and delayed member
+// lists, no owner starts a task on a slot that is lent or in use, or lends such a slot, and no slot
+// is lost.
 func TestSlotsAreNeitherLostNorUsedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
--- a/core/slots/record.go
+++ b/core/slots/record.go
@@ -159,7 +159,8 @@
 	}
 }
 
-// maxBusy returns the number of slots of the group that may be busy at once, by the upstream's weight.
+// maxBusy returns the number of slots of the group that may be busy at once, by the upstream's
+// weight.
 func (g *group) maxBusy() int {
 	w := g.upstream.weight
 	if w >= 1 {
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -90,9 +90,9 @@
 	g.Expect(p.Idle(hollowell)).To(Equal(1), "half of four slots, one in use")
 }
 
-// A start on a slot was refused, or it isn't known whether the task on it has ended. If the slot were
-// used again at once, a series of starts would be refused, or two tasks would run on a worker that
-// has room for one.
+// A start on a slot was refused, or it isn't known whether the task on it has ended. If the slot
+// were used again at once, a series of starts would be refused, or two tasks would run on a worker
+// that has room for one.
 func TestSlotIsUnusableDuringCooldown(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool("c", "hinckley")
@@ -141,8 +141,8 @@
 }
 
 // By a new member list, a borrowed slot passes to a node that has no record of the loan. If the
-// borrower gets the list later than the new owner, both may start tasks on the slot, and the upstream
-// refuses one of them. The borrower must return the slot as soon as it has the list.
+// borrower gets the list later than the new owner, both may start tasks on the slot, and the
+// upstream refuses one of them. The borrower must return the slot as soon as it has the list.
 func TestLoanEndsWhenTheSlotPassesToAnotherNode(t *testing.T) {
 	g := NewWithT(t)
 	lender, borrower := NewPool("a", "melton"), NewPool("c", "hinckley")
--- a/explain/attribution.go
+++ b/explain/attribution.go
@@ -14,9 +14,9 @@
 // Cause is why a job's answer was late or not "completed".
 type Cause string
 
-// The causes of losses. Causes from MostProcessesLost to StoreRecovered are events of the system as a
-// whole, and apply to all jobs in an interval of time. The others are read from the lines of the job
-// itself.
+// The causes of losses. Causes from MostProcessesLost to StoreRecovered are events of the system as
+// a whole, and apply to all jobs in an interval of time. The others are read from the lines of the
+// job itself.
 const (
 	MostProcessesLost Cause = "most processes ended at once"
 	Partition         Cause = "processes fell silent"
@@ -115,12 +115,12 @@
 	return Line{}
 }
 
-// lossOf reads a loss from the line of an answer. It returns false if the line isn't that of an answer or
-// the job completed in time.
+// lossOf reads a loss from the line of an answer. It returns false if the line isn't that of an
+// answer or the job completed in time.
 //
 // The objective includes the estimated run time, but callers count from the actual one. A job is
-// therefore late if its time outside of its runs exceeds the objective less the estimate. A job whose
-// runs took far longer than estimated is also late if its whole time exceeds the objective.
+// therefore late if its time outside of its runs exceeds the objective less the estimate. A job
+// whose runs took far longer than estimated is also late if its whole time exceeds the objective.
 func lossOf(l, jobEnded Line) (Loss, bool) {
 	loss := Loss{Job: l.Fields["job"], Queue: l.Fields["queue"], Arrived: l.Time}
 	switch l.Event {
@@ -148,8 +148,8 @@
 	return n
 }
 
-// causeOf finds the cause of a loss. Causes seen in the lines of the job come before system events at
-// the same time, unless the job was handed over to another scheduler or did not complete. Then a
+// causeOf finds the cause of a loss. Causes seen in the lines of the job come before system events
+// at the same time, unless the job was handed over to another scheduler or did not complete. Then a
 // system event comes first, as it explains the events of the job that followed.
 func causeOf(loss Loss, answer Line, jobLines []Line, events []systemEvent) Cause {
 	system := causeDuring(events, loss.Arrived, answer.Time)
@@ -206,10 +206,10 @@
 	return jobEnded.number("work") > slowRunFactor*jobEnded.number("estimate")
 }
 
-// findSystemEvents finds the events of the whole system in lines sorted by time. The events of the most
-// severe kinds come first, because causeDuring returns the first event of an interval. Processes
-// that start within clusterGap of the first line count as the start of the deployment, not as an
-// event.
+// findSystemEvents finds the events of the whole system in lines sorted by time. The events of the
+// most severe kinds come first, because causeDuring returns the first event of an interval.
+// Processes that start within clusterGap of the first line count as the start of the deployment,
+// not as an event.
 func findSystemEvents(lines []Line) []systemEvent {
 	nodes := make(map[string]bool)
 	for _, l := range lines {
--- a/explain/attribution_test.go
+++ b/explain/attribution_test.go
@@ -7,11 +7,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// sampleLossLog holds lines of a real run. They are of a job whose runs took far longer than estimated,
-// one that waited in the queue, one that was refused, one whose run was overdue, and one whose time
-// outside of its runs is within its objective. In the lines of this last job, the time and work were
-// changed from what was logged. Then all processes are killed and start again, and a job waits for a
-// leader.
+// sampleLossLog holds lines of a real run. They are of a job whose runs took far longer than
+// estimated, one that waited in the queue, one that was refused, one whose run was overdue, and one
+// whose time outside of its runs is within its objective. In the lines of this last job, the time
+// and work were changed from what was logged. Then all processes are killed and start again, and a
+// job waits for a leader.
 const sampleLossLog = `
 time=2026-03-07T06:48:37.425621834Z level=info event=job-ended entry=front-obudai-gep-2#5 estimate=30 job=635fde0e13e17f40 node=front-budai-terem-3 outcome=completed reason= retry-after=0 runs=6 waited=0 work=189.53006
 time=2026-03-07T06:48:37.473443047Z level=info event=request-answered configuration=2 handed=0 job=635fde0e13e17f40 node=front-obudai-gep-2 objective=108 outcome=completed queue=r-q35w2yz reason= retry-after=0 scheduler=front-budai-terem-3#1 took=238.842127
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -25,8 +25,8 @@
 // maxLineBytes is the maximum length of a log line.
 const maxLineBytes = 1 << 20
 
-// Read reads the lines of a log. Lines that aren't key=value pairs with a time are skipped: libraries
-// write a few such lines when a process starts.
+// Read reads the lines of a log. Lines that aren't key=value pairs with a time are skipped:
+// libraries write a few such lines when a process starts.
 func Read(r io.Reader) ([]Line, error) {
 	var lines []Line
 	scan := bufio.NewScanner(r)
@@ -151,8 +151,8 @@
 	"process-stalled":  "an entry process stood still",
 }
 
-// summarize describes the kinds of events that eventMeanings has, in order of first occurrence and with
-// their numbers, and then each answer.
+// summarize describes the kinds of events that eventMeanings has, in order of first occurrence and
+// with their numbers, and then each answer.
 func summarize(lines []Line) []string {
 	counts := make(map[string]int)
 	var order, answers []string
