--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -1,7 +1,7 @@
 // Package queue orders the tasks that wait for a slot.
 //
-// Tasks of higher priority come first. Within a priority, tasks are ordered by rank, a time; the
-// task with the earliest rank comes first. The rank of a task is the sum of
+// Tasks of higher priority come first. Within a priority, tasks are ordered by rank, the time by
+// which a task should start, the earliest first. The rank of a task is the sum of
 //   - the arrival of its job,
 //   - its slack, the difference between the run times of the job's longest task and of this one: it can
 //     start that much later without delaying the job's result, and
