--- a/bench/clock.go
+++ b/bench/clock.go
@@ -17,6 +17,7 @@
 	events eventHeap
 }
 
+// event is an action at a time. Events at the same time run in the order of seq.
 type event struct {
 	at  time.Duration
 	seq uint64
@@ -60,7 +61,8 @@
 	}
 }
 
-// coreTicker calls a core's Tick when its next timer is due.
+// coreTicker calls Tick of a dispatch.Core, the decision code of one entry process, when the core's
+// next timer is due.
 type coreTicker struct {
 	// at is when the next tick is scheduled; 0 if none is.
 	at time.Duration
--- a/bench/cmd/live/main.go
+++ b/bench/cmd/live/main.go
@@ -1,6 +1,6 @@
 // Command live measures goodput under overload over real sockets. Two entry nodes, four runners and
-// the platform's stand-in run in this process. Callers that are refused submit their jobs again when
-// the answer tells them to.
+// the platform's stand-in run in this process. Callers submit refused jobs again after the delay
+// that the answer gives.
 package main
 
 import (
@@ -95,8 +95,8 @@
 	all.Wait()
 }
 
-// call submits a job. While the job is refused and the answer tells when to retry, it submits the job
-// again under a new id.
+// call submits a job. While the job is refused and the answer gives a delay for a retry that ends before
+// callerTimeout, it submits the job again under a new id.
 func (r *run) call(ctx context.Context, c *client.Client) {
 	arrived := time.Now()
 	for {
--- a/bench/overload.go
+++ b/bench/overload.go
@@ -34,8 +34,8 @@
 	callerTimeout = 30 * time.Second
 )
 
-// Scenario is a run of the real decision code under load and faults. Callers that are refused submit
-// their jobs again when the answer tells them to.
+// Scenario is a run of the real decision code under load and faults. Callers submit refused jobs again
+// after the delay that the answer gives (retry_after_ms).
 type Scenario struct {
 	Policy   string
 	Site     Site
@@ -59,9 +59,10 @@
 type Run struct {
 	clock
 	Scenario
-	rng         *rand.Rand
-	entries     []*scenarioEntry
-	runners     map[string]*scenarioRunner
+	rng     *rand.Rand
+	entries []*scenarioEntry
+	runners map[string]*scenarioRunner
+	// calls holds the unanswered requests by their numbers.
 	calls       map[uint64]*callerJob
 	jobs        []*callerJob
 	lastRequest uint64
@@ -70,7 +71,8 @@
 	// arrived in each second.
 	Total     JobCounts
 	PerSecond []JobCounts
-	// Stops, Forwards and Control count messages since the start of the run.
+	// Stops, Forwards and Control count messages since the start of the run, Starts the starts sent
+	// and Refusals those that weren't accepted, also by an unreachable upstream.
 	Stops, Forwards, Control, Refusals, Starts int
 	ratios                                     *Result
 	// heldSlots is the number of slots of running tasks, maxHeldSlots its maximum, and heldSlotTime
--- a/bench/scenarios.go
+++ b/bench/scenarios.go
@@ -30,15 +30,18 @@
 	}
 }
 
+// admitAll disables admission control, and starts tasks even if they can't end before their deadline.
 func admitAll(c *dispatch.Config) {
 	c.AdmissionPolicy.AdmitAll = true
 	c.AdmissionPolicy.StartInfeasible = true
 }
 
+// longQueueing applies the usual wait limit during overload too.
 func longQueueing(c *dispatch.Config) {
 	c.AdmissionPolicy.OverloadWaitPercent = c.AdmissionPolicy.WaitPercent
 }
 
+// ownHealthOnly lets each process judge upstreams without the reports of its peers.
 func ownHealthOnly(c *dispatch.Config) { c.Health.IgnorePeers = true }
 
 func withoutHealth(c *dispatch.Config) { c.Health.Disabled = true }
--- a/bench/simulate.go
+++ b/bench/simulate.go
@@ -16,7 +16,8 @@
 // Policy is a configuration of the real decision code.
 type Policy struct {
 	Name string
-	// Tolerance is borrow_tolerance_ms in the institution's terms.
+	// Tolerance is the institution's borrow_tolerance_ms: how long a task waits for an own slot
+	// before one is borrowed.
 	Tolerance time.Duration
 	// ChangeConfig changes the configuration of each process.
 	ChangeConfig func(*dispatch.Config)
--- a/bench/site.go
+++ b/bench/site.go
@@ -22,7 +22,7 @@
 	ClientDelay, InterDomainDelay, IntraDomainDelay time.Duration
 }
 
-// Hollowell and Kandy are the two deployments in use. Their IntraDomainDelay is assumed.
+// Hollowell and Kandy are the two deployments in use.
 var (
 	Hollowell = Site{
 		Name: "hollowell", Domains: []string{"loughborough", "melton", "hinckley"},
--- a/bench/stream.go
+++ b/bench/stream.go
@@ -37,12 +37,15 @@
 }
 
 const (
-	maxTasks      = 19
-	medianRun     = 170 * time.Millisecond
-	runSigma      = 0.6
-	minRun        = 20 * time.Millisecond
-	minStraggler  = 2 * time.Second
-	maxStraggler  = 5 * time.Second
+	maxTasks = 19
+	// Run times are lognormal with medianRun and runSigma, and at least minRun, except for those of
+	// stragglers, which are evenly distributed between minStraggler and maxStraggler.
+	medianRun    = 170 * time.Millisecond
+	runSigma     = 0.6
+	minRun       = 20 * time.Millisecond
+	minStraggler = 2 * time.Second
+	maxStraggler = 5 * time.Second
+	// declaredSigma is the sigma of the lognormal error of declared run times.
 	declaredSigma = 0.7
 	burstFactor   = 3
 	burstInterval = 10 * time.Second
--- a/config/document.go
+++ b/config/document.go
@@ -15,8 +15,9 @@
 
 // document is a parsed file with the line of each of its fields.
 type document struct {
-	file     string
-	root     *ast.MappingNode
+	file string
+	root *ast.MappingNode
+	// lines maps the path of a field or list item, such as institutions[0].name, to its line.
 	lines    map[string]int
 	problems Problems
 }
--- a/config/node.go
+++ b/config/node.go
@@ -85,7 +85,8 @@
 	return t.loadWithClientCA(nil)
 }
 
-// loadWithClientCA returns nil if the section is left out of the settings.
+// loadWithClientCA returns the TLS configuration of a listener, or nil if the section is left out
+// of the settings. If clientCA isn't nil, certificates that clients present are verified with it.
 func (t ServerTLS) loadWithClientCA(clientCA []byte) (*tls.Config, error) {
 	if t.Cert == "" {
 		return nil, nil
--- a/config/process.go
+++ b/config/process.go
@@ -48,7 +48,7 @@
 	URL string `yaml:"url"`
 }
 
-// PeerTLS names the PEM files for connections between entry processes.
+// PeerTLS names the PEM files for the peer link: the connections between entry processes.
 type PeerTLS struct {
 	CA   string `yaml:"ca"`
 	Cert string `yaml:"cert"`
--- a/config/units.go
+++ b/config/units.go
@@ -45,6 +45,7 @@
 	return n, nil
 }
 
+// parseDuration returns a duration as a number of steps; it must be a whole number of them.
 func parseDuration(text string, step time.Duration) (uint64, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil || text == "0" {
@@ -65,6 +66,7 @@
 	bytes uint64
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
+// parseSize returns a size as a number of steps of the given number of bytes.
 func parseSize(text string, step uint64) (uint64, error) {
 	for _, u := range sizeUnits {
 		digits, ok := strings.CutSuffix(text, u.name)
--- a/e2e/harness_test.go
+++ b/e2e/harness_test.go
@@ -37,6 +37,7 @@
 	operatorToken   = "e2e-operator"
 )
 
+// programDir holds the programs, which are built before the specs run.
 var programDir string
 
 var _ = BeforeSuite(func() {
@@ -82,7 +83,8 @@
 	*process
 	name, domain                                string
 	callerAddress, operatorAddress, peerAddress string
-	settings                                    string
+	// settings is the path of the settings file.
+	settings string
 }
 
 func (e *entry) client() *client.Client {
@@ -148,7 +150,8 @@
 	return len(list)
 }
 
-// deployment is a set of processes: a platform stand-in, runners and entries.
+// deployment is a set of processes: a platform stand-in, runners and entries. platform and runners
+// are addresses.
 type deployment struct {
 	dir      string
 	ca       keys.Pair
--- a/e2e/holders_test.go
+++ b/e2e/holders_test.go
@@ -13,8 +13,8 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// submitTimeout bounds one request through one entry. The entry that holds the claim may be paused or
-// gone.
+// submitTimeout bounds one request through one entry. The entry that holds the job's claim, and so is
+// the only one that may start its tasks, may be paused or gone.
 const submitTimeout = 4 * time.Second
 
 // settlementJob returns a job of n tasks that aren't idempotent, under a key of the caller's own.
--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -50,7 +50,8 @@
 	wastedMetric  = "sapphirepoint_wasted_messages_total"
 	answersMetric = "sapphirepoint_answers_total"
 	cpuMetric     = "process_cpu_seconds_total"
-	// oldJobAgeMs is the age from which on a job that waits is printed.
+	// oldJobAgeMs is the age from which on a waiting job is printed. A complete answer is printed if
+	// it comes later than the ideal response time by more than this.
 	oldJobAgeMs = 8000
 )
 
@@ -84,7 +85,8 @@
 	outcomes map[string]int
 	jobs     int
 	tasks    int
-	ratios   *hdrhistogram.Histogram
+	// ratios holds response times over ideal ones, in units of 1/ratioScale.
+	ratios *hdrhistogram.Histogram
 	// notRun holds the ids of jobs answered "not run", whose tasks must not be in any ledger.
 	notRun  []string
 	slowest time.Duration
--- a/e2e/upstreams_test.go
+++ b/e2e/upstreams_test.go
@@ -91,7 +91,7 @@
 		d.expectNoSecondStart()
 	})
 
-	// An upstream is told to stop and announces it in its answers, seconds before the list of VMs
+	// An upstream is about to stop and announces it in its answers, seconds before the list of VMs
 	// does. Each task still sent to it costs a refusal.
 	It("has an upstream that announces that it is leaving", func() {
 		d := deploy([]string{"hinckley"}, 1, 2)
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -24,7 +24,8 @@
 	CAValidity = 10 * 365 * 24 * time.Hour
 	// CertificateValidity is how long a new process certificate is valid.
 	CertificateValidity = 365 * 24 * time.Hour
-	// backdate allows for clock skew.
+	// backdate is how long before its creation a certificate becomes valid, to allow for clock
+	// skew.
 	backdate   = time.Hour
 	serialBits = 127
 )
@@ -85,6 +86,7 @@
 	return encode(t, parent.Leaf, key, signer)
 }
 
+// template returns the fields that all certificates have in common.
 func template(name string, validity time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
@@ -99,6 +101,7 @@
 	}, nil
 }
 
+// encode signs a certificate with the signer's key and returns it with its own key in PEM.
 func encode(t, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) (Pair, error) {
 	der, err := x509.CreateCertificate(rand.Reader, t, parent, &key.PublicKey, signer)
 	if err != nil {
--- a/logging/async.go
+++ b/logging/async.go
@@ -47,7 +47,8 @@
 // Dropped returns the number of lines dropped so far.
 func (w *AsyncWriter) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes pending lines and stops. Lines written later are dropped.
+// Close writes a last batch of pending lines, see appendPending, and stops the writer. Pending
+// lines beyond that batch and lines written later are lost.
 func (w *AsyncWriter) Close() {
 	close(w.closing)
 	w.done.Wait()
@@ -78,7 +79,7 @@
 	}
 }
 
-// appendPending appends pending lines, so that many are written in one call.
+// appendPending appends pending lines until buf holds 32 KiB, so that many are written in one call.
 func (w *AsyncWriter) appendPending(buf []byte) []byte {
 	for len(buf) < 32<<10 {
 		select {
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -26,7 +26,7 @@
 	handshakeTimeout = 500 * time.Millisecond
 	minRedialDelay   = 100 * time.Millisecond
 	// maxRedialDelay bounds the delay between two attempts to connect. It is short since,
-	// after a network partition heals, both sides have a scheduler until they are
+	// after a network partition heals, each side has a scheduler of its own until they are
 	// connected.
 	maxRedialDelay = 250 * time.Millisecond
 	// sendQueueLength bounds the messages queued for one peer.
@@ -46,8 +46,8 @@
 
 	// unneededTimeout is the age at which a connection that is no longer desired is
 	// closed. Each connection costs both sides heartbeats. The timeout must be longer
-	// than a disturbance in which VMs connect to more peers to find a scheduler, or
-	// they would have to connect to them again.
+	// than a disturbance in which VMs connect to more peers to find a scheduler;
+	// otherwise they would close these connections and then have to dial them again.
 	unneededTimeout = 10 * time.Second
 )
 
@@ -61,10 +61,13 @@
 // Handler receives the events of a Mesh. Calls come from several goroutines, but those
 // about one connection come in order.
 type Handler interface {
+	// PeerUp reports a new connection. It may replace an earlier one with the same process,
+	// whose loss isn't reported by PeerDown.
 	PeerUp(id string)
 	// PeerDown reports a lost connection; stopping is set if the peer closed it because
 	// it is stopping.
 	PeerDown(id string, stopping bool, cause error)
+	// PeerMessage passes a received message.
 	PeerMessage(id string, m *pb.FleetMessage)
 }
 
@@ -203,7 +206,7 @@
 	}
 }
 
-// close closes all connections as a stopping process, and the listener.
+// close closes all connections with the code closeStopping, and the listener.
 func (m *Mesh) close() {
 	m.mu.Lock()
 	links := make([]*link, 0, len(m.links))
@@ -412,8 +415,9 @@
 	m.handler.PeerDown(l.id, stopping, cause)
 }
 
-// Send queues a message and reports whether there is a connection. The connection with a
-// peer whose queue is full is closed, so that Send never blocks.
+// Send queues a message for a peer and reports whether it was queued. It isn't if there is no
+// connection, or if the peer's queue is full: that connection is closed, so that Send never
+// blocks.
 func (m *Mesh) Send(id string, msg *pb.FleetMessage) bool {
 	m.mu.Lock()
 	l := m.links[id]
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -95,7 +95,8 @@
 	}
 }
 
-// setMembers sets the members of a process and the links that its node would set.
+// setMembers sets the members of a process and the links that its node would set after the given
+// number of doublings of the seats, the members that may schedule; see package topology.
 func (p *process) setMembers(list []Member, seatDoublings int) {
 	var members []topology.Member
 	for _, m := range list {
@@ -167,7 +168,7 @@
 	g.Eventually(func() int { return a.recorder.ups("b") }, testTimeout, 10*time.Millisecond).Should(Equal(2))
 }
 
-// A process stops as planned. Its peers must distinguish that from a lost connection.
+// A process stops as planned. Its peers must distinguish the stop from a lost connection.
 func TestPlannedStopIsReported(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newProcess(t, 1, 400), newProcess(t, 2, 400)
@@ -219,8 +220,8 @@
 }
 
 // The settings don't declare the VMs' CPU capacity. Each process leads on its own and
-// therefore doesn't double the number of seats, as one without a scheduler would. The
-// processes must connect all the same.
+// therefore doesn't double the number of seats (the members that may schedule), as one
+// without a scheduler would. The processes must connect all the same.
 func TestUnknownProcessorsConnect(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newProcess(t, 1, 0), newProcess(t, 2, 0)
--- a/soak/checker_test.go
+++ b/soak/checker_test.go
@@ -18,17 +18,21 @@
 
 // checker checks the guarantees by what runners and callers observe.
 type checker struct {
-	mu            sync.Mutex
-	violations    []string
+	mu         sync.Mutex
+	violations []string
+	// runningByTask holds the runs in progress of each task, with the ids of their runners.
 	runningByTask map[string]map[deployment.RunID]string
 	startsByJob   map[string]int
-	doneTasks     map[string]bool
-	refusedJobs   map[string]bool
-	answers       map[string]int
-	// The following concern stored jobs. acceptedJobs holds the number of tasks of jobs that were
-	// accepted and haven't been reported as completed; completedJobs those that have been.
-	// acknowledgedEnds is when a task first ended successfully by an end that was acknowledged while
-	// the runner's lease had not expired.
+	// doneTasks are the tasks of which a run has ended successfully.
+	doneTasks map[string]bool
+	// refusedJobs are the jobs whose callers were answered that they have not run.
+	refusedJobs map[string]bool
+	// answers counts the answers by status, and the accepted jobs.
+	answers map[string]int
+	// The following concern stored jobs, see isStored. acceptedJobs holds the number of tasks of jobs
+	// that were accepted and haven't been reported as completed; completedJobs those that have been.
+	// lastStarts is when each task was last started. acknowledgedEnds is when a task first ended
+	// successfully by an end that was acknowledged while the runner's lease had not expired.
 	acceptedJobs     map[string]int
 	completedJobs    map[string]bool
 	lastStarts       map[string]time.Time
@@ -120,7 +124,8 @@
 	}
 }
 
-// isStored reports whether a job is submitted as a stored job, as every third caller's are.
+// isStored reports whether a job is submitted as a stored job (bestEffort is false), as every third
+// caller's are. A stored job is answered once it is accepted; its caller then queries its state.
 func isStored(job string) bool {
 	caller, err := strconv.ParseUint(job[:8], 16, 64)
 	return err == nil && caller%3 == 0
--- a/standin/cluster.go
+++ b/standin/cluster.go
@@ -51,6 +51,7 @@
 	*node.Node
 	// Kill ends the node at once, without a planned stop.
 	Kill context.CancelFunc
+	// Done is closed when the node has ended.
 	Done chan struct{}
 }
 
--- a/standin/deployment/runner.go
+++ b/standin/deployment/runner.go
@@ -22,10 +22,12 @@
 	Capacity map[string]int `json:"capacity"`
 	Labels   []string       `json:"labels"`
 	Seq      int            `json:"seq"`
-	Born     int64          `json:"born"`
+	// Born is the start of the runner's present lifetime, in Unix milliseconds; each restart
+	// increases it.
+	Born int64 `json:"born"`
 }
 
-// RunID identifies a run of a task.
+// RunID identifies a run of a task. Later runs of the same task have higher numbers.
 type RunID struct {
 	Task string
 	Run  int
@@ -48,28 +50,36 @@
 	// have been started elsewhere, whatever this run's outcome was.
 	LeaseExpired bool
 
+	// sequence numbers the ended runs of a runner's lifetime from 1; the scheduler acknowledges
+	// them by request.AckCursor.
 	sequence int
 }
 
-// Runner is the stand-in for a runner. A task's spec is its run time, as in "50ms", or "fail".
+// Runner is the stand-in for a runner. A task's spec is its run time, as in "50ms". A task whose spec
+// begins with "fail" fails after 1 ms; one whose spec is neither succeeds after 1 ms.
 type Runner struct {
 	ID       string
 	Info     RunnerInfo
 	listener net.Listener
 	server   *http.Server
 
-	mu       sync.Mutex
-	token    uint64
+	mu sync.Mutex
+	// token is the highest fencing token received.
+	token uint64
+	// leaseEnd is the lease's expiry, at which all runs are ended.
 	leaseEnd time.Time
-	running  map[RunID]*time.Timer
+	// running holds the timer that ends each run.
+	running map[RunID]*time.Timer
 	// closedRuns holds for each task the highest run that can't be started any more.
-	closedRuns   map[string]int
+	closedRuns map[string]int
+	// endedRuns holds the ended runs whose ends haven't been acknowledged.
 	endedRuns    []EndedRun
 	lastSequence int
-	endsChanged  chan struct{}
-	starts       []RunID
-	silent       bool
-	observer     Observer
+	// endsChanged is closed, and replaced, when a run ends.
+	endsChanged chan struct{}
+	starts      []RunID
+	silent      bool
+	observer    Observer
 	// clockStart is the zero of the runner's clock in its present lifetime.
 	clockStart time.Time
 }
@@ -182,14 +192,18 @@
 	})
 }
 
+// request is the body of all calls; each call uses some of the fields.
 type request struct {
-	Task       string `json:"task"`
-	Run        int    `json:"run"`
-	Spec       string `json:"spec"`
+	Task string `json:"task"`
+	Run  int    `json:"run"`
+	Spec string `json:"spec"`
+	// DeadlineMs is the requested expiry of the lease on the runner's clock.
 	DeadlineMs int64  `json:"deadlineMs"`
 	FenceToken uint64 `json:"fenceToken"`
-	AckCursor  int    `json:"ackCursor"`
-	WaitMs     int    `json:"waitMs"`
+	// AckCursor acknowledges the ended runs up to this sequence number.
+	AckCursor int `json:"ackCursor"`
+	// WaitMs is how long a hold waits for the end of a run.
+	WaitMs int `json:"waitMs"`
 }
 
 // decodeAndLock decodes a request and checks its fencing token. If it returns true, the caller holds
@@ -232,6 +246,7 @@
 	time.AfterFunc(time.Until(until), r.expireLease)
 }
 
+// expireLease ends all runs, unless the lease has been extended since the timer was set.
 func (r *Runner) expireLease() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -246,6 +261,8 @@
 	}
 }
 
+// start begins a run and extends the lease to its deadline. A start of a run that is running already
+// is accepted without effect.
 func (r *Runner) start(w http.ResponseWriter, q *http.Request) {
 	o, ok := r.decodeAndLock(w, q)
 	if !ok {
@@ -301,6 +318,7 @@
 	r.endsChanged = make(chan struct{})
 }
 
+// stop ends a run, if it is running. Neither it nor an earlier run of the task can be started later.
 func (r *Runner) stop(w http.ResponseWriter, q *http.Request) {
 	o, ok := r.decodeAndLock(w, q)
 	if !ok {
@@ -312,6 +330,8 @@
 	r.accept(w)
 }
 
+// hold extends the lease, removes the acknowledged ends, and answers with the runs that are running or
+// have ended. If no end is left to report, it first waits for one, at most for WaitMs.
 func (r *Runner) hold(w http.ResponseWriter, q *http.Request) {
 	o, ok := r.decodeAndLock(w, q)
 	if !ok {
--- a/standin/deployment/store.go
+++ b/standin/deployment/store.go
@@ -17,7 +17,8 @@
 	"github.com/pkg/errors"
 )
 
-// Row is a row of a table; Value is base64 on the wire.
+// Row is a row of a table; Value is base64 on the wire. Version is the store's version at the row's
+// last change.
 type Row struct {
 	Table   string `json:"table"`
 	Part    string `json:"part"`
@@ -42,15 +43,17 @@
 	listener net.Listener
 	server   *http.Server
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// version is increased by each transaction and by each Put, PutRaw and Remove.
 	version uint64
 	rows    map[rowKey]Row
 	// history holds the changes that the feed can return: all those after droppedVersion.
 	history        []Row
 	droppedVersion uint64
-	changed        chan struct{}
-	faults         StoreFaults
-	writes         int
+	// changed is closed, and replaced, when a row changes.
+	changed chan struct{}
+	faults  StoreFaults
+	writes  int
 }
 
 type rowKey struct{ table, part, key string }
@@ -161,6 +164,8 @@
 	})
 }
 
+// transact applies a transaction if each row of its conditions has the expected version (0 if it
+// doesn't exist), and otherwise answers with status 412.
 func (s *Store) transact(w http.ResponseWriter, r *http.Request) {
 	var t struct {
 		Conditions []Row `json:"expectedRev"`
@@ -237,6 +242,9 @@
 // maxFeedRows bounds the changes in one answer of the feed.
 const maxFeedRows = 500
 
+// feed returns the changes of a table after a version (dependsOn). If there are none, it waits for one,
+// at most for waitMs. It answers with status 410 if the history no longer has all changes after that
+// version.
 func (s *Store) feed(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	since, _ := strconv.ParseUint(q.Get("dependsOn"), 10, 64)
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -19,7 +19,9 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// Costs of the table service: about 330 transactions and 2,000 reads a second.
+// DefaultWriteCost and DefaultReadCost are the times that one call takes at the table service, which
+// allows about 330 transactions and 2,000 reads a second. DefaultListLag is the time after which a
+// change of the list of VMs is published.
 const (
 	DefaultWriteCost = 3 * time.Millisecond
 	DefaultReadCost  = 500 * time.Microsecond
@@ -47,6 +49,7 @@
 	Rows    int `json:"rows"`
 }
 
+// memberList is a list of VMs with the time at which it was set.
 type memberList struct {
 	at      time.Time
 	members []*platformv1.Member
@@ -58,6 +61,7 @@
 	readCost  time.Duration
 	lag       time.Duration
 
+	// writeMu and readMu serialize writes and reads; see occupy.
 	writeMu sync.Mutex
 	readMu  sync.Mutex
 
@@ -165,7 +169,8 @@
 	}
 }
 
-// occupy serializes calls through a mutex that each of them holds for d.
+// occupy serializes calls through a mutex that each of them holds for d, so that at most 1/d of them are
+// served per unit of time.
 func occupy(m *sync.Mutex, d time.Duration) {
 	m.Lock()
 	defer m.Unlock()
@@ -211,7 +216,8 @@
 	return connect.NewResponse(res), nil
 }
 
-// liveRow returns a row unless it has expired.
+// liveRow returns a row, or nil if there is none. A row that has expired is deleted. The caller holds
+// the lock.
 func (p *Platform) liveRow(key string) *platformv1.Row {
 	if at, hasTTL := p.expires[key]; hasTTL && time.Now().After(at) {
 		delete(p.rows, key)
@@ -220,6 +226,8 @@
 	return p.rows[key]
 }
 
+// commit applies the writes if all rows have the expected versions, and otherwise returns the current
+// rows that don't. The second result reports whether the reply is to be lost.
 func (p *Platform) commit(writes []*platformv1.Write) (*platformv1.CommitResponse, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/runner/runner.go
+++ b/standin/runner/runner.go
@@ -32,10 +32,13 @@
 
 // The modes of a runner.
 const (
-	Normal  Mode = "normal"
-	Hang    Mode = "hang"
+	Normal Mode = "normal"
+	// Hang starts tasks, which run until they are stopped.
+	Hang Mode = "hang"
+	// FailAll lets every task fail at once.
 	FailAll Mode = "fail"
-	Refuse  Mode = "refuse"
+	// Refuse refuses new tasks.
+	Refuse Mode = "refuse"
 	// Leave refuses new tasks and announces in each answer that the runner is leaving.
 	Leave Mode = "leave"
 )
@@ -50,7 +53,9 @@
 // connContextKey is the context key of a request's connection.
 type connContextKey struct{}
 
+// taskRecord is the state of a task, by its name.
 type taskRecord struct {
+	// started is false for a task that was settled before any start; it is never run.
 	started  bool
 	starts   int
 	done     chan struct{}
@@ -240,6 +245,7 @@
 	return upstream.VerdictFinished, []byte(p.Output)
 }
 
+// settle answers a settle call, or a stop call if stop is set; see upstream.PathSettle.
 func (r *Runner) settle(w http.ResponseWriter, q *http.Request, stop bool) {
 	name := q.URL.Query().Get(upstream.ParamTask)
 	r.mu.Lock()
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -30,7 +30,8 @@
 // Headers of the answers.
 const (
 	HeaderVerdict = "Sapphirepoint-Verdict"
-	HeaderRun     = "Sapphirepoint-Run"
+	// HeaderRun carries the run of the upstream process; see the package comment.
+	HeaderRun = "Sapphirepoint-Run"
 	// HeaderLeaving is set, to any value, by an upstream that is about to stop
 	// and should not be sent new tasks.
 	HeaderLeaving = "Sapphirepoint-Leaving"
