--- a/bench/clock.go
+++ b/bench/clock.go
@@ -24,6 +24,7 @@
 	run func()
 }
 
+// eventHeap has the next event first.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -43,10 +44,12 @@
 	return last
 }
 
+// after schedules an action after a delay.
 func (c *clock) after(delay time.Duration, run func()) {
 	c.at(c.now+delay, run)
 }
 
+// at schedules an action at a time.
 func (c *clock) at(at time.Duration, run func()) {
 	c.seq++
 	heap.Push(&c.events, event{at, c.seq, run})
--- a/bench/overload.go
+++ b/bench/overload.go
@@ -105,6 +105,7 @@
 	ended bool
 }
 
+// scenarioEntry is one entry process: the real decision code, whose commands the Run carries out.
 type scenarioEntry struct {
 	run        *Run
 	core       *dispatch.Core
@@ -114,6 +115,7 @@
 	ids        idSource
 }
 
+// scenarioRunner is a fake upstream.
 type scenarioRunner struct {
 	domain  string
 	slots   int
@@ -122,6 +124,7 @@
 	running map[string]*runningTask
 }
 
+// runningTask is a task at a scenarioRunner; stop ends it as failed.
 type runningTask struct{ stop func() }
 
 // NewRun prepares a run of a scenario.
@@ -292,6 +295,7 @@
 	}
 }
 
+// answered counts an answer, or submits a refused job again if its caller hasn't given up.
 func (r *Run) answered(n uint64, a *pb.Answer) {
 	c := r.calls[n]
 	delete(r.calls, n)
@@ -394,6 +398,7 @@
 	r.after(delay, func() { u.begin(r, cmd, respond) })
 }
 
+// begin starts a task according to the upstream's fault, and calls respond at its end or refusal.
 func (u *scenarioRunner) begin(r *Run, cmd dispatch.StartTask, respond func(task.Result)) {
 	switch {
 	case u.fault == Unreachable:
--- a/bench/overload_test.go
+++ b/bench/overload_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// All callers cancel at once. This may cost at most one message for each running task and none for
-// each waiting task.
+// All callers cancel at once, as after a power cut. The cancellations may cost at most one message for
+// each running task and none for each waiting task.
 func TestCancellationWaveCostsOneMessageATask(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := smallSite().scenario("", 1.3, nil)
--- a/bench/reference.go
+++ b/bench/reference.go
@@ -8,12 +8,16 @@
 
 // queuedTask is a task in the ideal queue.
 type queuedTask struct {
+	// priority is the arrival time of the task's job. Tasks with equal priority are served in the
+	// order of seq.
 	priority time.Duration
 	seq      int
-	job      int
-	task     int
+	// job is an index in reference.jobs, task one in the job's tasks.
+	job  int
+	task int
 }
 
+// taskHeap has the tasks of the job with the earliest arrival first.
 type taskHeap []queuedTask
 
 func (h taskHeap) Len() int { return len(h) }
@@ -35,9 +39,10 @@
 // reference is the state that the reference policies share.
 type reference struct {
 	clock
-	site       Site
-	limit      time.Duration
-	jobs       []Job
+	site  Site
+	limit time.Duration
+	jobs  []Job
+	// unfinished is the number of tasks of each job that have not ended.
 	unfinished []int
 	missed     []bool
 	result     *Result
@@ -72,8 +77,8 @@
 	r.result.complete(response, r.site.ideal(j))
 }
 
-// IdealQueue is the lower bound: one first-come queue over all slots that learns of each arrival and
-// each end at once and without messages.
+// IdealQueue is the lower bound: one first-come queue over all slots in which each arrival and each end
+// takes effect at once and without messages.
 func IdealQueue(site Site, workload Workload, limit time.Duration, jobs []Job) *Result {
 	r := newReference("one ideal first-come queue", site, workload, limit, jobs)
 	var queue taskHeap
@@ -112,11 +117,15 @@
 	*reference
 	rng  *rand.Rand
 	busy []int
-	// knownLoad is the load of each upstream that each entry last learned.
+	// knownLoad is the load of each upstream at each entry: as last reported, plus one for each
+	// task sent since.
 	knownLoad [][]int
-	pick      func(entry int) int
+	// pick returns the upstream to which an entry sends a task.
+	pick func(entry int) int
 }
 
+// The backoff after a refusal starts at retryBase, doubles with each attempt up to retryMax, and is
+// reduced by a random part of at most half.
 const (
 	retryBase = 2 * time.Millisecond
 	retryMax  = 500 * time.Millisecond
--- a/bench/scenarios.go
+++ b/bench/scenarios.go
@@ -36,14 +36,15 @@
 	c.AdmissionPolicy.StartInfeasible = true
 }
 
-// longQueueing applies the usual wait limit during overload too.
+// longQueueing applies the same limit on the expected wait also while overload lasts.
 func longQueueing(c *dispatch.Config) {
 	c.AdmissionPolicy.OverloadWaitPercent = c.AdmissionPolicy.WaitPercent
 }
 
-// ownHealthOnly lets each process judge upstreams without the reports of its peers.
+// ownHealthOnly ignores the ejections of upstreams that peers report.
 func ownHealthOnly(c *dispatch.Config) { c.Health.IgnorePeers = true }
 
+// withoutHealth gives every upstream its full weight, whatever its failures.
 func withoutHealth(c *dispatch.Config) { c.Health.Disabled = true }
 
 // runAll runs scenarios concurrently.
--- a/bench/simulate.go
+++ b/bench/simulate.go
@@ -48,7 +48,7 @@
 	coreTicker coreTicker
 }
 
-// runner is one upstream.
+// runner is one fake upstream.
 type runner struct {
 	domain string
 	slots  int
@@ -89,6 +89,8 @@
 	}
 }
 
+// crossesPartition reports whether a partition separates two entry processes: just one of them is in the
+// first domain.
 func (f *fleet) crossesPartition(a, b *entry) bool {
 	first := f.site.Domains[0]
 	return (a.domain == first) != (b.domain == first)
@@ -130,6 +132,7 @@
 	return f
 }
 
+// settingsOf returns the settings of a site with one institution.
 func settingsOf(site Site, p Policy, limit time.Duration) *pb.Settings {
 	return &pb.Settings{Version: 1, Institutions: []*pb.Institution{{
 		Name:              site.Name,
--- a/bench/site.go
+++ b/bench/site.go
@@ -14,7 +14,8 @@
 	// Entries is the number of entry processes in all domains.
 	Entries   int
 	Upstreams int
-	Slots     int
+	// Slots is the number of slots of each upstream.
+	Slots int
 	// ByDomain: jobs arrive at each domain in proportion to its slots. Otherwise each entry process
 	// gets the same share.
 	ByDomain bool
@@ -41,6 +42,7 @@
 func (s Site) entryDomain(i int) string    { return s.Domains[i%len(s.Domains)] }
 func (s Site) upstreamDomain(i int) string { return s.Domains[i%len(s.Domains)] }
 
+// delay returns the one-way delay between two domains, or within one.
 func (s Site) delay(a, b string) time.Duration {
 	if a == b {
 		return s.IntraDomainDelay
--- a/bench/slopes/main.go
+++ b/bench/slopes/main.go
@@ -20,6 +20,7 @@
 
 // series is a measurement over several sizes.
 type series struct {
+	// name says what is measured, per what the size x counts, and unit the unit of the cost y.
 	name, per, unit string
 	points          []point
 }
@@ -31,6 +32,7 @@
 	maxDeviation float64
 }
 
+// fit fits a straight line with the smallest relative errors.
 func (s series) fit() fittedLine {
 	xs := make([]float64, len(s.points))
 	ys := make([]float64, len(s.points))
@@ -53,6 +55,7 @@
 	return l
 }
 
+// print prints the fitted line and the points as a row of a Markdown table.
 func (s series) print() {
 	l := s.fit()
 	var points string
--- a/bench/slopes/measure.go
+++ b/bench/slopes/measure.go
@@ -30,6 +30,8 @@
 
 var self = task.Incarnation{Node: "entry-0", Run: 1}
 
+// declaredSettings returns settings with the given number of institutions, each with the given number of
+// teams.
 func declaredSettings(institutions, teams int) *pb.Settings {
 	s := &pb.Settings{Version: 1}
 	for i := range institutions {
--- a/bench/stream.go
+++ b/bench/stream.go
@@ -31,6 +31,7 @@
 
 // Job is one job of a stream.
 type Job struct {
+	// At is the time of arrival, Entry the index of the entry process to which it is submitted.
 	At    time.Duration
 	Entry int
 	Tasks []Task
--- a/config/process.go
+++ b/config/process.go
@@ -85,6 +85,7 @@
 	OperatorConnections int `yaml:"operator_connections"`
 }
 
+// defaults returns the values of settings that the file leaves out.
 func defaults() *Process {
 	return &Process{
 		LogLevel: zerolog.InfoLevel.String(),
@@ -160,6 +161,7 @@
 	required bool
 }
 
+// files lists the settings that name files. A certificate requires its key and the reverse.
 func (p *Process) files() []fileField {
 	return []fileField{
 		{"peer_tls.ca", &p.PeerTLS.CA, true},
@@ -213,6 +215,7 @@
 	}
 }
 
+// check checks that each address is an IP address with a port, and that none is used twice.
 func (l Listen) check(d *document) {
 	fields := make(map[string]string)
 	for _, f := range []struct{ name, address string }{
--- a/config/units.go
+++ b/config/units.go
@@ -95,6 +95,7 @@
 	return n, nil
 }
 
+// parseMilliCores returns a CPU share in thousandths of a core.
 func parseMilliCores(text string) (uint64, error) {
 	digits, ok := strings.CutSuffix(text, "m")
 	n, err := strconv.ParseUint(digits, 10, 32)
--- a/e2e/harness_test.go
+++ b/e2e/harness_test.go
@@ -56,6 +56,8 @@
 	done chan struct{}
 }
 
+// launch starts a program, which is killed at the end of the spec. If the spec failed, its log is added
+// to the report.
 func launch(program string, args ...string) *process {
 	p := &process{cmd: exec.Command(filepath.Join(programDir, program), args...), log: &bytes.Buffer{}, done: make(chan struct{})}
 	p.cmd.Stdout = p.log
--- a/e2e/holders_test.go
+++ b/e2e/holders_test.go
@@ -78,6 +78,8 @@
 	d.expectNoSecondStart()
 }
 
+// A claim is the right to start the tasks of a submission. Its holder is the entry process that issued
+// the submission's id, or whose claim row for a caller's own key is stored at the platform.
 var _ = Describe("the holder of a claim", func() {
 	var d *deployment
 	BeforeEach(func() { d = deploy([]string{"hinckley", "melton"}, 2, 2) })
--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -62,6 +62,7 @@
 	ideal      time.Duration
 }
 
+// drawJob draws a job's number of tasks and their run times.
 func drawJob(rng *rand.Rand, slots int) loadJob {
 	n := 1 + rng.IntN(19)
 	if rng.IntN(largeJobInterval) == 0 {
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -53,7 +53,7 @@
 	})
 
 	// Calls to the platform are accepted and never answered. Jobs under issued ids must not depend on
-	// them.
+	// these calls.
 	It("hangs, and jobs under issued ids complete", func() {
 		d.setFaults(platform.Faults{Hang: true})
 		for _, e := range d.entries {
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -139,6 +139,7 @@
 	return ok
 }
 
+// byFingerprint returns the registered process with a fingerprint. The caller holds the lock.
 func (m *Mesh) byFingerprint(fingerprint string) (Member, bool) {
 	for _, p := range m.members {
 		if p.Fingerprint == fingerprint {
@@ -310,6 +311,7 @@
 	return conn, stream, nil
 }
 
+// accept accepts connections until the listener is closed or the context ends.
 func (m *Mesh) accept(ctx context.Context) {
 	for {
 		conn, err := m.listener.Accept(ctx)
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -18,7 +18,9 @@
 
 // recorder records the calls of a mesh to its handler.
 type recorder struct {
-	mu          sync.Mutex
+	mu sync.Mutex
+	// up and down count the calls by the peer's id. stopped is whether the last PeerDown reported a
+	// planned stop.
 	up          map[string]int
 	down        map[string]int
 	stopped     map[string]bool
@@ -56,6 +58,8 @@
 	return r.up[id]
 }
 
+// process is a mesh with what it registers and a recorder as its handler. Its id is a letter: a for the
+// first process.
 type process struct {
 	mesh     *Mesh
 	recorder *recorder
--- a/soak/checker_test.go
+++ b/soak/checker_test.go
@@ -82,6 +82,7 @@
 	return fmt.Sprint(c.answers)
 }
 
+// jobOfTask returns the id of a task's job, which the task's name begins with, up to the first dot.
 func jobOfTask(task string) string {
 	job, _, _ := strings.Cut(task, ".")
 	return job
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -57,6 +57,8 @@
 	}
 }
 
+// runSoak submits jobs while faults are injected, and afterwards checks that jobs are answered again, that
+// all accepted jobs end, and that no guarantee was violated.
 func runSoak(t *testing.T, program string, seed uint64) {
 	g := NewWithT(t)
 	w, err := newWorld(program, t.TempDir(), seed)
@@ -108,6 +110,7 @@
 	return time.Duration(minMs+w.rng.IntN(maxMs-minMs)) * time.Millisecond
 }
 
+// fault is a kind of fault. inject injects one and, if it lasts for a time, schedules its end.
 type fault struct {
 	name   string
 	inject func(*world)
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -44,8 +44,9 @@
 	mu             sync.Mutex
 	configVersion  int
 	runnersStarted int
-	closed         chan struct{}
-	timers         sync.WaitGroup
+	// closed is closed when the run ends. timers counts the calls of runAfter that are pending.
+	closed chan struct{}
+	timers sync.WaitGroup
 }
 
 // proxiedRunner is a runner behind a proxy.
@@ -112,6 +113,7 @@
 	return w, nil
 }
 
+// newRunner starts a runner and registers its proxy's address in place of its own.
 func (w *world) newRunner() (*proxiedRunner, error) {
 	w.runnersStarted++
 	id := fmt.Sprintf("i-%d", w.runnersStarted)
@@ -178,6 +180,7 @@
 	w.putConfiguration()
 }
 
+// addNode writes a node's settings file and starts its process.
 func (w *world) addNode(dir, name string) error {
 	d, err := deployment.NewNode(name, "a")
 	if err != nil {
--- a/standin/deployment/store.go
+++ b/standin/deployment/store.go
@@ -132,6 +132,8 @@
 	s.notifyReaders()
 }
 
+// apply stores or deletes a row at the present version and adds the change to the history. The caller
+// holds the lock.
 func (s *Store) apply(r Row) {
 	r.Version = s.version
 	k := rowKey{r.Table, r.Part, r.Key}
@@ -206,6 +208,7 @@
 	writeJSON(w, http.StatusOK, map[string]any{"tableVersion": version, "nowMs": time.Now().UnixMilli()})
 }
 
+// get returns the rows of one part of a table in the order of their keys, beginning at the key from.
 func (s *Store) get(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	limit, err := strconv.Atoi(q.Get("limit"))
@@ -226,6 +229,7 @@
 	writeJSON(w, http.StatusOK, map[string]any{"rows": rows, "hasMore": more, "tableVersion": s.version, "nowMs": time.Now().UnixMilli()})
 }
 
+// parts lists the parts of a table that have rows.
 func (s *Store) parts(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/faults/listener.go
+++ b/standin/faults/listener.go
@@ -57,6 +57,7 @@
 	return n
 }
 
+// conn is a connection of a Listener. closed is closed by Close, which ends a Read of a silent connection.
 type conn struct {
 	net.Conn
 	listener  *Listener
--- a/standin/faults/proxy.go
+++ b/standin/faults/proxy.go
@@ -23,6 +23,7 @@
 	dropToTarget, dropFromTarget bool
 }
 
+// proxyConn is a client's connection with the proxy and the one that the proxy dialed to the target.
 type proxyConn struct {
 	inbound, outbound net.Conn
 	// silent connections drop all data, for good.
