--- a/bench/overload_test.go
+++ b/bench/overload_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// One runner fails everything at once. Only its first few tasks and the later trial tasks may fail, not a
-// share of all jobs.
+// One runner fails every task at once. Only its first few tasks and the later probes (tasks sent to it to
+// find out whether it works again) may fail, not a share of all jobs.
 func TestFailingUpstreamCostsFewJobs(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := smallSite().scenario("", 0.8, nil)
--- a/bench/placement_test.go
+++ b/bench/placement_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// A short run with a fixed seed that detects policy changes which lose jobs, response time or
-// messages. The same seed must give the same run.
+// A short run with a fixed seed that detects changes of policy by which jobs are lost, or response
+// times or the number of messages increase. The same seed must give the same run.
 func TestLendingKeepsResponseNearTheIdealQueue(t *testing.T) {
 	g := NewWithT(t)
 	workload := Workload{Load: 0.8, Stragglers: DefaultStragglers, Length: 8 * time.Second, Warmup: time.Second, Seed: 3}
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -85,7 +85,8 @@
 	self Member
 	// The keys of the maps below are the ids of members. desired has the peers to be
 	// connected with, and whether this process dials them. members are the registered
-	// processes but this one. dialing has the peers that are being dialed.
+	// processes but this one. links has the connections that are up, and dialing the peers that are
+	// being dialed.
 	desired map[string]bool
 	members map[string]Member
 	links   map[string]*link
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -290,7 +290,8 @@
 
 type membershipService struct{ p *Platform }
 
-// List implements MembershipService. It returns the list as of the lag ago.
+// List implements MembershipService. It returns the list as it was before the lag; the first list is
+// published without lag.
 func (m membershipService) List(ctx context.Context, req *connect.Request[platformv1.ListRequest]) (*connect.Response[platformv1.ListResponse], error) {
 	if err := m.p.applyFaults(ctx); err != nil {
 		return nil, err
