--- a/standin/deployment/runner.go
+++ b/standin/deployment/runner.go
@@ -224,7 +224,7 @@
 	return o, true
 }
 
-// reject answers that a call has no effect. The caller holds the lock.
+// reject answers a call with status 409 and a reason. The caller holds the lock.
 func (r *Runner) reject(w http.ResponseWriter, reason string) {
 	writeJSON(w, http.StatusConflict, map[string]any{"clockMs": r.clock(), "born": r.Info.Born, "reason": reason})
 }
