--- a/bench/clock.go
+++ b/bench/clock.go
@@ -17,12 +17,14 @@
 	events eventHeap
 }
 
+// event is an action at a time. Events at the same time run in the order of seq.
 type event struct {
 	at  time.Duration
 	seq uint64
 	run func()
 }
 
+// eventHeap has the next event first.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -42,10 +44,12 @@
 	return last
 }
 
+// after schedules an action after a delay.
 func (c *clock) after(delay time.Duration, run func()) {
 	c.at(c.now+delay, run)
 }
 
+// at schedules an action at a time.
 func (c *clock) at(at time.Duration, run func()) {
 	c.seq++
 	heap.Push(&c.events, event{at, c.seq, run})
@@ -60,7 +64,8 @@
 	}
 }
 
-// coreTicker calls a core's Tick when its next timer is due.
+// coreTicker calls Tick of a dispatch.Core, the decision code of one entry process, when the core's
+// next timer is due.
 type coreTicker struct {
 	// at is when the next tick is scheduled; 0 if none is.
 	at time.Duration
--- a/bench/overload.go
+++ b/bench/overload.go
@@ -34,8 +34,8 @@
 	callerTimeout = 30 * time.Second
 )
 
-// Scenario is a run of the real decision code under load and faults. Callers that are refused submit
-// their jobs again when the answer tells them to.
+// Scenario is a run of the real decision code under load and faults. Callers submit refused jobs again
+// after the delay that the answer gives (retry_after_ms).
 type Scenario struct {
 	Policy   string
 	Site     Site
@@ -59,9 +59,10 @@
 type Run struct {
 	clock
 	Scenario
-	rng         *rand.Rand
-	entries     []*scenarioEntry
-	runners     map[string]*scenarioRunner
+	rng     *rand.Rand
+	entries []*scenarioEntry
+	runners map[string]*scenarioRunner
+	// calls holds the unanswered requests by their numbers.
 	calls       map[uint64]*callerJob
 	jobs        []*callerJob
 	lastRequest uint64
@@ -70,7 +71,8 @@
 	// arrived in each second.
 	Total     JobCounts
 	PerSecond []JobCounts
-	// Stops, Forwards and Control count messages since the start of the run.
+	// Stops, Forwards and Control count messages since the start of the run, Starts the starts sent
+	// and Refusals those that weren't accepted, also by an unreachable upstream.
 	Stops, Forwards, Control, Refusals, Starts int
 	ratios                                     *Result
 	// heldSlots is the number of slots of running tasks, maxHeldSlots its maximum, and heldSlotTime
@@ -103,6 +105,7 @@
 	ended bool
 }
 
+// scenarioEntry is one entry process: the real decision code, whose commands the Run carries out.
 type scenarioEntry struct {
 	run        *Run
 	core       *dispatch.Core
@@ -112,6 +115,7 @@
 	ids        idSource
 }
 
+// scenarioRunner is a fake upstream.
 type scenarioRunner struct {
 	domain  string
 	slots   int
@@ -120,6 +124,7 @@
 	running map[string]*runningTask
 }
 
+// runningTask is a task at a scenarioRunner; stop ends it as failed.
 type runningTask struct{ stop func() }
 
 // NewRun prepares a run of a scenario.
@@ -290,6 +295,7 @@
 	}
 }
 
+// answered counts an answer, or submits a refused job again if its caller hasn't given up.
 func (r *Run) answered(n uint64, a *pb.Answer) {
 	c := r.calls[n]
 	delete(r.calls, n)
@@ -392,6 +398,7 @@
 	r.after(delay, func() { u.begin(r, cmd, respond) })
 }
 
+// begin starts a task according to the upstream's fault, and calls respond at its end or refusal.
 func (u *scenarioRunner) begin(r *Run, cmd dispatch.StartTask, respond func(task.Result)) {
 	switch {
 	case u.fault == Unreachable:
--- a/bench/overload_test.go
+++ b/bench/overload_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// One runner fails everything at once. Only its first few tasks and the later trial tasks may fail, not a
-// share of all jobs.
+// One runner fails every task at once. Only its first few tasks and the later probes (tasks sent to it to
+// find out whether it works again) may fail, not a share of all jobs.
 func TestFailingUpstreamCostsFewJobs(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := smallSite().scenario("", 0.8, nil)
@@ -59,8 +59,8 @@
 	}
 }
 
-// All callers cancel at once. This may cost at most one message for each running task and none for
-// each waiting task.
+// All callers cancel at once, as after a power cut. The cancellations may cost at most one message for
+// each running task and none for each waiting task.
 func TestCancellationWaveCostsOneMessageATask(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := smallSite().scenario("", 1.3, nil)
--- a/bench/scenarios.go
+++ b/bench/scenarios.go
@@ -30,17 +30,21 @@
 	}
 }
 
+// admitAll disables admission control, and starts tasks even if they can't end before their deadline.
 func admitAll(c *dispatch.Config) {
 	c.AdmissionPolicy.AdmitAll = true
 	c.AdmissionPolicy.StartInfeasible = true
 }
 
+// longQueueing applies the same limit on the expected wait also while overload lasts.
 func longQueueing(c *dispatch.Config) {
 	c.AdmissionPolicy.OverloadWaitPercent = c.AdmissionPolicy.WaitPercent
 }
 
+// ownHealthOnly ignores the ejections of upstreams that peers report.
 func ownHealthOnly(c *dispatch.Config) { c.Health.IgnorePeers = true }
 
+// withoutHealth gives every upstream its full weight, whatever its failures.
 func withoutHealth(c *dispatch.Config) { c.Health.Disabled = true }
 
 // runAll runs scenarios concurrently.
--- a/bench/simulate.go
+++ b/bench/simulate.go
@@ -16,7 +16,8 @@
 // Policy is a configuration of the real decision code.
 type Policy struct {
 	Name string
-	// Tolerance is borrow_tolerance_ms in the institution's terms.
+	// Tolerance is the institution's borrow_tolerance_ms: how long a task waits for an own slot
+	// before one is borrowed.
 	Tolerance time.Duration
 	// ChangeConfig changes the configuration of each process.
 	ChangeConfig func(*dispatch.Config)
@@ -47,7 +48,7 @@
 	coreTicker coreTicker
 }
 
-// runner is one upstream.
+// runner is one fake upstream.
 type runner struct {
 	domain string
 	slots  int
@@ -88,6 +89,8 @@
 	}
 }
 
+// crossesPartition reports whether a partition separates two entry processes: just one of them is in the
+// first domain.
 func (f *fleet) crossesPartition(a, b *entry) bool {
 	first := f.site.Domains[0]
 	return (a.domain == first) != (b.domain == first)
@@ -129,6 +132,7 @@
 	return f
 }
 
+// settingsOf returns the settings of a site with one institution.
 func settingsOf(site Site, p Policy, limit time.Duration) *pb.Settings {
 	return &pb.Settings{Version: 1, Institutions: []*pb.Institution{{
 		Name:              site.Name,
--- a/e2e/harness_test.go
+++ b/e2e/harness_test.go
@@ -37,6 +37,7 @@
 	operatorToken   = "e2e-operator"
 )
 
+// programDir holds the programs, which are built before the specs run.
 var programDir string
 
 var _ = BeforeSuite(func() {
@@ -55,6 +56,8 @@
 	done chan struct{}
 }
 
+// launch starts a program, which is killed at the end of the spec. If the spec failed, its log is added
+// to the report.
 func launch(program string, args ...string) *process {
 	p := &process{cmd: exec.Command(filepath.Join(programDir, program), args...), log: &bytes.Buffer{}, done: make(chan struct{})}
 	p.cmd.Stdout = p.log
@@ -82,7 +85,8 @@
 	*process
 	name, domain                                string
 	callerAddress, operatorAddress, peerAddress string
-	settings                                    string
+	// settings is the path of the settings file.
+	settings string
 }
 
 func (e *entry) client() *client.Client {
@@ -148,7 +152,8 @@
 	return len(list)
 }
 
-// deployment is a set of processes: a platform stand-in, runners and entries.
+// deployment is a set of processes: a platform stand-in, runners and entries. platform and runners
+// are addresses.
 type deployment struct {
 	dir      string
 	ca       keys.Pair
--- a/e2e/holders_test.go
+++ b/e2e/holders_test.go
@@ -13,8 +13,8 @@
 	pb "sapphirepoint.example/sapphirepoint/gen/sapphirepointv1"
 )
 
-// submitTimeout bounds one request through one entry. The entry that holds the claim may be paused or
-// gone.
+// submitTimeout bounds one request through one entry. The entry that holds the job's claim, and so is
+// the only one that may start its tasks, may be paused or gone.
 const submitTimeout = 4 * time.Second
 
 // settlementJob returns a job of n tasks that aren't idempotent, under a key of the caller's own.
@@ -78,6 +78,8 @@
 	d.expectNoSecondStart()
 }
 
+// A claim is the right to start the tasks of a submission. Its holder is the entry process that issued
+// the submission's id, or whose claim row for a caller's own key is stored at the platform.
 var _ = Describe("the holder of a claim", func() {
 	var d *deployment
 	BeforeEach(func() { d = deploy([]string{"hinckley", "melton"}, 2, 2) })
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -26,7 +26,7 @@
 	handshakeTimeout = 500 * time.Millisecond
 	minRedialDelay   = 100 * time.Millisecond
 	// maxRedialDelay bounds the delay between two attempts to connect. It is short since,
-	// after a network partition heals, both sides have a scheduler until they are
+	// after a network partition heals, each side has a scheduler of its own until they are
 	// connected.
 	maxRedialDelay = 250 * time.Millisecond
 	// sendQueueLength bounds the messages queued for one peer.
@@ -46,8 +46,8 @@
 
 	// unneededTimeout is the age at which a connection that is no longer desired is
 	// closed. Each connection costs both sides heartbeats. The timeout must be longer
-	// than a disturbance in which VMs connect to more peers to find a scheduler, or
-	// they would have to connect to them again.
+	// than a disturbance in which VMs connect to more peers to find a scheduler;
+	// otherwise they would close these connections and then have to dial them again.
 	unneededTimeout = 10 * time.Second
 )
 
@@ -61,10 +61,13 @@
 // Handler receives the events of a Mesh. Calls come from several goroutines, but those
 // about one connection come in order.
 type Handler interface {
+	// PeerUp reports a new connection. It may replace an earlier one with the same process,
+	// whose loss isn't reported by PeerDown.
 	PeerUp(id string)
 	// PeerDown reports a lost connection; stopping is set if the peer closed it because
 	// it is stopping.
 	PeerDown(id string, stopping bool, cause error)
+	// PeerMessage passes a received message.
 	PeerMessage(id string, m *pb.FleetMessage)
 }
 
@@ -82,7 +85,8 @@
 	self Member
 	// The keys of the maps below are the ids of members. desired has the peers to be
 	// connected with, and whether this process dials them. members are the registered
-	// processes but this one. dialing has the peers that are being dialed.
+	// processes but this one. links has the connections that are up, and dialing the peers that are
+	// being dialed.
 	desired map[string]bool
 	members map[string]Member
 	links   map[string]*link
@@ -136,6 +140,7 @@
 	return ok
 }
 
+// byFingerprint returns the registered process with a fingerprint. The caller holds the lock.
 func (m *Mesh) byFingerprint(fingerprint string) (Member, bool) {
 	for _, p := range m.members {
 		if p.Fingerprint == fingerprint {
@@ -203,7 +208,7 @@
 	}
 }
 
-// close closes all connections as a stopping process, and the listener.
+// close closes all connections with the code closeStopping, and the listener.
 func (m *Mesh) close() {
 	m.mu.Lock()
 	links := make([]*link, 0, len(m.links))
@@ -307,6 +312,7 @@
 	return conn, stream, nil
 }
 
+// accept accepts connections until the listener is closed or the context ends.
 func (m *Mesh) accept(ctx context.Context) {
 	for {
 		conn, err := m.listener.Accept(ctx)
@@ -412,8 +418,9 @@
 	m.handler.PeerDown(l.id, stopping, cause)
 }
 
-// Send queues a message and reports whether there is a connection. The connection with a
-// peer whose queue is full is closed, so that Send never blocks.
+// Send queues a message for a peer and reports whether it was queued. It isn't if there is no
+// connection, or if the peer's queue is full: that connection is closed, so that Send never
+// blocks.
 func (m *Mesh) Send(id string, msg *pb.FleetMessage) bool {
 	m.mu.Lock()
 	l := m.links[id]
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -18,7 +18,9 @@
 
 // recorder records the calls of a mesh to its handler.
 type recorder struct {
-	mu          sync.Mutex
+	mu sync.Mutex
+	// up and down count the calls by the peer's id. stopped is whether the last PeerDown reported a
+	// planned stop.
 	up          map[string]int
 	down        map[string]int
 	stopped     map[string]bool
@@ -56,6 +58,8 @@
 	return r.up[id]
 }
 
+// process is a mesh with what it registers and a recorder as its handler. Its id is a letter: a for the
+// first process.
 type process struct {
 	mesh     *Mesh
 	recorder *recorder
@@ -95,7 +99,8 @@
 	}
 }
 
-// setMembers sets the members of a process and the links that its node would set.
+// setMembers sets the members of a process and the links that its node would set after the given
+// number of doublings of the seats, the members that may schedule; see package topology.
 func (p *process) setMembers(list []Member, seatDoublings int) {
 	var members []topology.Member
 	for _, m := range list {
@@ -167,7 +172,7 @@
 	g.Eventually(func() int { return a.recorder.ups("b") }, testTimeout, 10*time.Millisecond).Should(Equal(2))
 }
 
-// A process stops as planned. Its peers must distinguish that from a lost connection.
+// A process stops as planned. Its peers must distinguish the stop from a lost connection.
 func TestPlannedStopIsReported(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newProcess(t, 1, 400), newProcess(t, 2, 400)
@@ -219,8 +224,8 @@
 }
 
 // The settings don't declare the VMs' CPU capacity. Each process leads on its own and
-// therefore doesn't double the number of seats, as one without a scheduler would. The
-// processes must connect all the same.
+// therefore doesn't double the number of seats (the members that may schedule), as one
+// without a scheduler would. The processes must connect all the same.
 func TestUnknownProcessorsConnect(t *testing.T) {
 	g := NewWithT(t)
 	a, b := newProcess(t, 1, 0), newProcess(t, 2, 0)
