--- a/core/fleet/checker_test.go
+++ b/core/fleet/checker_test.go
@@ -95,8 +95,8 @@
 		return
 	}
 	// A process that was frozen sends its answers when it is resumed.
-	if t.w.now > j.sent+j.patience+200*time.Millisecond && t.w.now > t.w.lastWakeAt+200*time.Millisecond {
-		t.report("job %s is answered %v after its caller has left", j.work.ID, t.w.now-j.sent-j.patience)
+	if t.w.now > j.sent+j.timeout+200*time.Millisecond && t.w.now > t.w.lastWakeAt+200*time.Millisecond {
+		t.report("job %s is answered %v after its caller has left", j.work.ID, t.w.now-j.sent-j.timeout)
 	}
 }
 
--- a/core/fleet/early.go
+++ b/core/fleet/early.go
@@ -15,21 +15,21 @@
 
 // earlyRequest is a request that arrived before the shards were known.
 type earlyRequest struct {
-	request  uint64
-	job      *workload.Job
-	arrived  Time
-	patience time.Duration
+	request          uint64
+	job              *workload.Job
+	arrived          Time
+	remainingTimeout time.Duration
 }
 
 // queueEarly queues a request until the shards are known.
-func (n *Node) queueEarly(now Time, request uint64, job *workload.Job, patience time.Duration) {
-	n.earlyRequests = append(n.earlyRequests, earlyRequest{request: request, job: job, arrived: now, patience: patience})
+func (n *Node) queueEarly(now Time, request uint64, job *workload.Job, remainingTimeout time.Duration) {
+	n.earlyRequests = append(n.earlyRequests, earlyRequest{request: request, job: job, arrived: now, remainingTimeout: remainingTimeout})
 }
 
 // admitEarly passes the queued requests to the gateway once the shards are known.
 func (n *Node) admitEarly(now Time) {
 	for _, e := range n.earlyRequests {
-		n.gateway.Submit(now, e.request, n.shardOfJob(e.job), e.job, e.patience-(now-e.arrived))
+		n.gateway.Submit(now, e.request, n.shardOfJob(e.job), e.job, e.remainingTimeout-(now-e.arrived))
 	}
 	n.earlyRequests = nil
 }
@@ -38,7 +38,7 @@
 // submitted the same jobs to another entry VM before, so the outcome isn't NotRun.
 func (n *Node) expireEarly(now Time) {
 	n.earlyRequests = slices.DeleteFunc(n.earlyRequests, func(e earlyRequest) bool {
-		if now-e.arrived < min(earlyTimeout, e.patience) {
+		if now-e.arrived < min(earlyTimeout, e.remainingTimeout) {
 			return false
 		}
 		n.emit(Answer{gateway.Reply{
--- a/core/fleet/evacuation_test.go
+++ b/core/fleet/evacuation_test.go
@@ -88,7 +88,7 @@
 func (w *world) unanswered() int {
 	n := 0
 	for _, j := range w.jobs {
-		if !j.answered && w.now > j.sent+j.patience+resendInterval {
+		if !j.answered && w.now > j.sent+j.timeout+resendInterval {
 			n++
 		}
 	}
--- a/core/fleet/jobs.go
+++ b/core/fleet/jobs.go
@@ -12,8 +12,8 @@
 // The path of a job: from a caller to the gateway of its entry process, from there to a
 // scheduler in this or another process, and the answer back.
 
-// Submit handles a caller's request. patience is how long the caller waits for an answer.
-func (n *Node) Submit(now Time, request uint64, job *workload.Job, patience time.Duration) {
+// Submit handles a caller's request. remainingTimeout is how long the caller waits for an answer.
+func (n *Node) Submit(now Time, request uint64, job *workload.Job, remainingTimeout time.Duration) {
 	n.detectStall(now)
 	n.lastArrival = now
 	if job.Stored {
@@ -29,10 +29,10 @@
 		return
 	}
 	if len(n.shards) == 0 {
-		n.queueEarly(now, request, job, patience)
+		n.queueEarly(now, request, job, remainingTimeout)
 		return
 	}
-	n.gateway.Submit(now, request, n.shardOfJob(job), job, patience)
+	n.gateway.Submit(now, request, n.shardOfJob(job), job, remainingTimeout)
 }
 
 // CallerLeft handles the disconnect of a caller.
@@ -105,10 +105,10 @@
 	s.schedule.Submit(now, schedule.Submission{
 		Job:                c.Job,
 		Entry:              schedule.EntryID(from),
-		RemainingObjective: c.Due,
-		RemainingTimeout:   c.Patience,
-		PriorSubmissions:   c.Handed,
-		PriorRunsTTL:       c.Unknown,
+		RemainingObjective: c.RemainingObjective,
+		RemainingTimeout:   c.RemainingTimeout,
+		PriorSubmissions:   c.PriorSubmissions,
+		PriorRunsTTL:       c.PriorRunsTTL,
 		Domain:             c.Domain,
 		Foreign:            c.Shard != c.Home,
 	})
--- a/core/fleet/world_test.go
+++ b/core/fleet/world_test.go
@@ -136,7 +136,7 @@
 	duration time.Duration
 	domain   string
 	sent     time.Duration
-	patience time.Duration
+	timeout  time.Duration
 	starts   int
 	answered bool
 	refused  bool
@@ -372,14 +372,14 @@
 }
 
 // submit sends a new job from a domain.
-func (w *world) submit(domain string, tasks int, work, patience time.Duration) *fakeJob {
-	j := w.newJob(domain, tasks, work, patience)
+func (w *world) submit(domain string, tasks int, work, timeout time.Duration) *fakeJob {
+	j := w.newJob(domain, tasks, work, timeout)
 	w.sendJob(j)
 	return j
 }
 
 // newJob returns a job that hasn't been sent yet.
-func (w *world) newJob(domain string, tasks int, work, patience time.Duration) *fakeJob {
+func (w *world) newJob(domain string, tasks int, work, timeout time.Duration) *fakeJob {
 	id := workload.JobID(fmt.Sprintf("%016x", len(w.jobs)+1))
 	estimate := time.Duration(float64(work) * (0.7 + w.rng.Float64()*0.6))
 	j := &fakeJob{
@@ -387,7 +387,7 @@
 			ID: id, Queue: queue, Service: service, MaxAttempts: 3, Objective: estimate*8/5 + 60*time.Millisecond,
 			Steps: []workload.Step{{Tasks: tasks, Need: workload.Resources{MilliCPU: 27000, MemoryMB: 64}, Estimate: estimate}},
 		},
-		duration: work, domain: domain, sent: w.now, patience: patience,
+		duration: work, domain: domain, sent: w.now, timeout: timeout,
 	}
 	if w.storedShare > 0 && w.rng.Float64() < w.storedShare {
 		j.work.Stored = true
@@ -401,7 +401,7 @@
 
 // sendJob sends a job to a serving process, preferably of the job's domain.
 func (w *world) sendJob(j *fakeJob) {
-	if j.answered || w.now >= j.sent+j.patience {
+	if j.answered || w.now >= j.sent+j.timeout {
 		return
 	}
 	n := w.serving(j.domain)
@@ -412,7 +412,7 @@
 	n.lastID++
 	request := n.lastID
 	n.requests[request] = j
-	w.do(n, func() { n.node.Submit(w.now, request, j.work, j.sent+j.patience-w.now) })
+	w.do(n, func() { n.node.Submit(w.now, request, j.work, j.sent+j.timeout-w.now) })
 }
 
 // serving returns a random process that serves callers, preferably of the domain.
--- a/core/gateway/gateway.go
+++ b/core/gateway/gateway.go
@@ -50,14 +50,14 @@
 	Shard, Home int
 	Wait        time.Duration
 	Job         *workload.Job
-	// Due is the time left to the job's latency objective, and Patience to the caller's
-	// timeout.
-	Due      time.Duration
-	Patience time.Duration
-	// Handed counts the schedulers that had the job before, and Unknown is how long runs
-	// that they started may still be alive.
-	Handed  int
-	Unknown time.Duration
+	// RemainingObjective and RemainingTimeout are what is left of the job's latency objective
+	// and of the caller's timeout.
+	RemainingObjective time.Duration
+	RemainingTimeout   time.Duration
+	// PriorSubmissions counts the schedulers that had the job before, and PriorRunsTTL is how
+	// much longer runs that they started may be alive.
+	PriorSubmissions int
+	PriorRunsTTL     time.Duration
 	// Domain is the failure domain of the entry VM.
 	Domain string
 }
@@ -79,11 +79,11 @@
 	Outcome    workload.Outcome
 	RetryAfter time.Duration
 	Reason     string
-	// Scheduler decided the outcome, Handed counts the schedulers before it, and Elapsed is
-	// the time from the job's arrival in this process.
-	Scheduler leader.ID
-	Handed    int
-	Elapsed   time.Duration
+	// Scheduler decided the outcome, PriorSubmissions counts the schedulers before it, and
+	// Elapsed is the time from the job's arrival in this process.
+	Scheduler        leader.ID
+	PriorSubmissions int
+	Elapsed          time.Duration
 }
 
 func (HandIn) command() {}
@@ -121,9 +121,9 @@
 	due        Time
 	deadline   Time
 	requests   []uint64
-	// scheduler has the job; "" if none has. handed counts the schedulers before it.
-	scheduler leader.ID
-	handed    int
+	// scheduler has the job; "" if none has. priorSubmissions counts the schedulers before it.
+	scheduler        leader.ID
+	priorSubmissions int
 	// uncertainUntil is when all runs of earlier schedulers have certainly ended.
 	uncertainUntil Time
 }
@@ -191,17 +191,17 @@
 // InFlight is the number of jobs that wait for an answer.
 func (g *Gateway) InFlight() int { return len(g.jobs) }
 
-// Submit takes a caller's request for a job of a shard; patience is the time until the caller's
-// timeout. A second request with the same job ID gets the same answer.
-func (g *Gateway) Submit(now Time, request uint64, shard int, job *workload.Job, patience time.Duration) {
+// Submit takes a caller's request for a job of a shard; remainingTimeout is the time until
+// the caller's timeout. A second request with the same job ID gets the same answer.
+func (g *Gateway) Submit(now Time, request uint64, shard int, job *workload.Job, remainingTimeout time.Duration) {
 	g.now = now
 	if j := g.jobs[job.ID]; j != nil {
 		j.requests = append(j.requests, request)
-		j.deadline = max(j.deadline, now+patience)
+		j.deadline = max(j.deadline, now+remainingTimeout)
 		g.byRequest[request] = job.ID
 		return
 	}
-	j := &inFlightJob{job: job, shard: shard, home: shard, arrived: now, due: now + job.Objective, deadline: now + patience, requests: []uint64{request}}
+	j := &inFlightJob{job: job, shard: shard, home: shard, arrived: now, due: now + job.Objective, deadline: now + remainingTimeout, requests: []uint64{request}}
 	g.jobs[job.ID] = j
 	g.byRequest[request] = job.ID
 	g.handIn(j)
@@ -268,7 +268,7 @@
 // withdraw records that no scheduler has the job.
 func (g *Gateway) withdraw(j *inFlightJob) {
 	j.scheduler = ""
-	j.handed++
+	j.priorSubmissions++
 	j.uncertainUntil = g.now + orphanRunLifetime
 }
 
@@ -276,7 +276,7 @@
 // an earlier scheduler started may be alive, it is the shard that the job was in, since only
 // the runners of that shard list them.
 func (g *Gateway) chooseShard(j *inFlightJob) (int, bool) {
-	if j.handed > 0 && g.now < j.uncertainUntil || j.job.Stored {
+	if j.priorSubmissions > 0 && g.now < j.uncertainUntil || j.job.Stored {
 		return j.shard, g.hasReachableLeader(j.shard)
 	}
 	if g.hasReachableLeader(j.home) {
@@ -316,17 +316,17 @@
 	j.shard = shard
 	j.scheduler = g.choices[shard].Leader
 	g.out = append(g.out, HandIn{
-		At:       g.now,
-		To:       j.scheduler,
-		Shard:    shard,
-		Home:     j.home,
-		Wait:     g.expectedWaits[shard],
-		Job:      j.job,
-		Due:      j.due - g.now,
-		Patience: j.deadline - g.now,
-		Handed:   j.handed,
-		Unknown:  max(0, j.uncertainUntil-g.now),
-		Domain:   g.domain,
+		At:                 g.now,
+		To:                 j.scheduler,
+		Shard:              shard,
+		Home:               j.home,
+		Wait:               g.expectedWaits[shard],
+		Job:                j.job,
+		RemainingObjective: j.due - g.now,
+		RemainingTimeout:   j.deadline - g.now,
+		PriorSubmissions:   j.priorSubmissions,
+		PriorRunsTTL:       max(0, j.uncertainUntil-g.now),
+		Domain:             g.domain,
 	})
 }
 
@@ -343,7 +343,7 @@
 		j.mayHaveRun = v.Outcome != workload.NotRun
 		return
 	}
-	if v.Outcome == workload.NotRun && (j.handed > 0 || j.mayHaveRun) {
+	if v.Outcome == workload.NotRun && (j.priorSubmissions > 0 || j.mayHaveRun) {
 		v.Outcome = workload.GaveUp
 	}
 	g.reply(j, v)
@@ -352,7 +352,7 @@
 // redirect hands a job that was refused for lack of room to a shard with no expected wait. It
 // does so once per job: after a second refusal the other shards are short of room as well.
 func (g *Gateway) redirect(j *inFlightJob) bool {
-	if len(j.refusedBy) > 0 || j.handed > 0 || j.job.Stored {
+	if len(j.refusedBy) > 0 || j.priorSubmissions > 0 || j.job.Stored {
 		return false
 	}
 	j.refusedBy = append(j.refusedBy, j.shard)
@@ -370,14 +370,14 @@
 	for _, r := range j.requests {
 		delete(g.byRequest, r)
 		g.out = append(g.out, Reply{
-			Request:    r,
-			Job:        j.job,
-			Outcome:    v.Outcome,
-			RetryAfter: v.RetryAfter,
-			Reason:     v.Reason,
-			Scheduler:  v.From,
-			Handed:     j.handed,
-			Elapsed:    g.now - j.arrived,
+			Request:          r,
+			Job:              j.job,
+			Outcome:          v.Outcome,
+			RetryAfter:       v.RetryAfter,
+			Reason:           v.Reason,
+			Scheduler:        v.From,
+			PriorSubmissions: j.priorSubmissions,
+			Elapsed:          g.now - j.arrived,
 		})
 	}
 }
@@ -412,7 +412,7 @@
 		case now > j.deadline+answerGrace:
 			g.giveUp(j, "no answer from the scheduler in time")
 		case j.scheduler == "" && now > j.arrived+noLeaderTimeout:
-			if j.handed > 0 && now < j.deadline {
+			if j.priorSubmissions > 0 && now < j.deadline {
 				continue
 			}
 			// The former scheduler may have had the job from another entry VM, so the
--- a/core/gateway/gateway_test.go
+++ b/core/gateway/gateway_test.go
@@ -65,9 +65,9 @@
 	again := handIns(out)
 	g.Expect(again).To(HaveLen(1))
 	g.Expect(again[0].To).To(Equal(leader.ID("b")))
-	g.Expect(again[0].Handed).To(Equal(1))
-	g.Expect(again[0].Unknown).To(Equal(orphanRunLifetime))
-	g.Expect(again[0].Patience).To(Equal(1900 * ms))
+	g.Expect(again[0].PriorSubmissions).To(Equal(1))
+	g.Expect(again[0].PriorRunsTTL).To(Equal(orphanRunLifetime))
+	g.Expect(again[0].RemainingTimeout).To(Equal(1900 * ms))
 
 	w.HandleVerdict(200*ms, Verdict{From: "a", Job: "j", Outcome: workload.GaveUp})
 	g.Expect(replies(w.Ready())).To(BeEmpty(), "only the scheduler that has the job may give it up")
--- a/core/gateway/redirect_test.go
+++ b/core/gateway/redirect_test.go
@@ -37,8 +37,8 @@
 	again := handIns(gw.Ready())
 	g.Expect(again).To(HaveLen(1))
 	g.Expect(again[0].Shard).To(Equal(2), "shard 1 has waiting jobs, shard 3 has no leader")
-	g.Expect(again[0].Handed).To(BeZero(), "nothing has run")
-	g.Expect(again[0].Patience).To(Equal(995 * ms))
+	g.Expect(again[0].PriorSubmissions).To(BeZero(), "nothing has run")
+	g.Expect(again[0].RemainingTimeout).To(Equal(995 * ms))
 	gw.HandleVerdict(10*ms, noRoom("c", "j", workload.NotRun))
 	answers := replies(gw.Ready())
 	g.Expect(answers).To(HaveLen(1))
@@ -93,7 +93,7 @@
 	list = handIns(gw.Ready())
 	g.Expect(list).To(HaveLen(1))
 	g.Expect(list[0].Shard).To(Equal(2))
-	g.Expect(list[0].Unknown).To(BeZero())
+	g.Expect(list[0].PriorRunsTTL).To(BeZero())
 }
 
 // A stored job belongs to one shard, and only the owner of its rows may accept it.
--- a/core/schedule/harness_test.go
+++ b/core/schedule/harness_test.go
@@ -146,8 +146,8 @@
 	}
 }
 
-func (b *harness) submit(j *workload.Job, patience time.Duration) {
-	b.s.Submit(b.now, Submission{Job: j, Entry: entryA, RemainingObjective: j.Objective, RemainingTimeout: patience})
+func (b *harness) submit(j *workload.Job, timeout time.Duration) {
+	b.s.Submit(b.now, Submission{Job: j, Entry: entryA, RemainingObjective: j.Objective, RemainingTimeout: timeout})
 }
 
 // one takes the only command of a type.
--- a/entry/requests.go
+++ b/entry/requests.go
@@ -71,7 +71,7 @@
 	p.metrics.requestSeconds.WithLabelValues(c.Outcome.String()).Observe(c.Elapsed.Seconds())
 	p.log.Info().Str("job", string(c.Job.ID)).Str("queue", c.Job.Queue).Uint64("configuration", c.Job.Version).
 		Stringer("outcome", c.Outcome).Dur("took", c.Elapsed).Dur("objective", c.Job.Objective).
-		Str("scheduler", string(c.Scheduler)).Int("handed", c.Handed).Dur("retry-after", c.RetryAfter).
+		Str("scheduler", string(c.Scheduler)).Int("handed", c.PriorSubmissions).Dur("retry-after", c.RetryAfter).
 		Str("reason", c.Reason).Msg("request-answered")
 	done := p.replies[c.Request]
 	delete(p.replies, c.Request)
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -105,10 +105,10 @@
 func handInMessage(c fleet.HandIn) *pb.FleetMessage {
 	return &pb.FleetMessage{Body: &pb.FleetMessage_HandIn{HandIn: &pb.HandIn{
 		Job:        jobMessage(c.Job),
-		DueMs:      c.Due.Milliseconds(),
-		PatienceMs: c.Patience.Milliseconds(),
-		Handed:     uint32(c.Handed),
-		UnknownMs:  c.Unknown.Milliseconds(),
+		DueMs:      c.RemainingObjective.Milliseconds(),
+		PatienceMs: c.RemainingTimeout.Milliseconds(),
+		Handed:     uint32(c.PriorSubmissions),
+		UnknownMs:  c.PriorRunsTTL.Milliseconds(),
 		Domain:     c.Domain,
 		Shard:      uint32(c.Shard),
 		Home:       uint32(c.Home),
@@ -117,14 +117,14 @@
 
 func handInOf(m *pb.HandIn) fleet.HandIn {
 	return fleet.HandIn{HandIn: gateway.HandIn{
-		Job:      jobOf(m.GetJob()),
-		Due:      milliseconds(m.GetDueMs()),
-		Patience: milliseconds(m.GetPatienceMs()),
-		Handed:   int(m.GetHanded()),
-		Unknown:  milliseconds(m.GetUnknownMs()),
-		Domain:   m.GetDomain(),
-		Shard:    int(m.GetShard()),
-		Home:     int(m.GetHome()),
+		Job:                jobOf(m.GetJob()),
+		RemainingObjective: milliseconds(m.GetDueMs()),
+		RemainingTimeout:   milliseconds(m.GetPatienceMs()),
+		PriorSubmissions:   int(m.GetHanded()),
+		PriorRunsTTL:       milliseconds(m.GetUnknownMs()),
+		Domain:             m.GetDomain(),
+		Shard:              int(m.GetShard()),
+		Home:               int(m.GetHome()),
 	}}
 }
 
