--- a/core/fleet/runner_test.go
+++ b/core/fleet/runner_test.go
@@ -25,8 +25,8 @@
 	// unansweredShare of the orders are carried out, but not answered.
 	unansweredShare float64
 	down            bool
-	// born is the start of the runner's incarnation, in milliseconds.
-	born int64
+	// incarnationStart is the start of the runner's incarnation, in milliseconds.
+	incarnationStart int64
 	// started counts the runs started.
 	started int
 
@@ -90,9 +90,9 @@
 		return
 	}
 	r.leaseEnd = leaseEnd
-	born := r.born
+	start := r.incarnationStart
 	r.w.after(r.timeUntil(leaseEnd), func() {
-		if r.clock() < r.leaseEnd || r.born != born {
+		if r.clock() < r.leaseEnd || r.incarnationStart != start {
 			return
 		}
 		for i := range r.ends {
@@ -219,7 +219,7 @@
 func (r *fakeRunner) restart() {
 	r.crash()
 	r.down = false
-	r.born = int64(worldStartMs + r.w.now/time.Millisecond)
+	r.incarnationStart = int64(worldStartMs + r.w.now/time.Millisecond)
 	r.offset = 1 - int64(float64(r.w.now.Milliseconds())*r.rate)
 	r.token, r.leaseEnd, r.lastEnd, r.ends, r.waitingHolds = 0, 0, 0, nil, nil
 	r.runs, r.sealed = make(map[workload.RunKey]*fakeRun), make(map[workload.TaskName]int)
--- a/core/fleet/runners.go
+++ b/core/fleet/runners.go
@@ -143,7 +143,7 @@
 	h := xxhash.New()
 	for _, r := range list {
 		// Writing to a hash never fails.
-		_, _ = fmt.Fprintf(h, "%s %s %t %t %d %v\n", r.ID, r.Service, r.Draining, r.Lapsed, r.Born, r.Capacity)
+		_, _ = fmt.Fprintf(h, "%s %s %t %t %d %v\n", r.ID, r.Service, r.Draining, r.Lapsed, r.IncarnationStart, r.Capacity)
 	}
 	return h.Sum64()
 }
--- a/core/fleet/world_test.go
+++ b/core/fleet/world_test.go
@@ -223,12 +223,12 @@
 			ID: workload.RunnerID(id), Service: service, Address: id, Domain: domain,
 			Capacity: workload.Resources{MilliCPU: 64000, MemoryMB: 1000},
 		},
-		rate:       0.98 + w.rng.Float64()*0.04,
-		offset:     int64(w.rng.IntN(1 << 20)),
-		workFactor: 1,
-		born:       worldStartMs,
-		runs:       make(map[workload.RunKey]*fakeRun),
-		sealed:     make(map[workload.TaskName]int),
+		rate:             0.98 + w.rng.Float64()*0.04,
+		offset:           int64(w.rng.IntN(1 << 20)),
+		workFactor:       1,
+		incarnationStart: worldStartMs,
+		runs:             make(map[workload.RunKey]*fakeRun),
+		sealed:           make(map[workload.TaskName]int),
 	}
 	w.runners = append(w.runners, r)
 	w.byRunner[r.info.ID] = r
@@ -279,12 +279,12 @@
 func (w *world) call(n *fakeNode, id workload.RunnerID, timeout time.Duration, order func(*fakeRunner, func(schedule.CallOutcome, *schedule.HoldResult)), done func(schedule.CallOutcome, schedule.ClockReading, *schedule.HoldResult)) {
 	sent, incarnation := w.now, n.incarnation
 	var finished bool
-	finish := func(o schedule.CallOutcome, clock, born int64, h *schedule.HoldResult) {
+	finish := func(o schedule.CallOutcome, clock, incarnationStart int64, h *schedule.HoldResult) {
 		if finished || n.incarnation != incarnation {
 			return
 		}
 		finished = true
-		reading := schedule.ClockReading{Milliseconds: clock, ReceivedAt: w.now, SentAt: sent, Born: born}
+		reading := schedule.ClockReading{Milliseconds: clock, ReceivedAt: w.now, SentAt: sent, IncarnationStart: incarnationStart}
 		w.do(n, func() { done(o, reading, h) })
 	}
 	w.after(timeout, func() { finish(schedule.Unanswered, 0, 0, nil) })
@@ -298,19 +298,19 @@
 		travel = 2*time.Second + time.Duration(w.rng.IntN(10000))*time.Millisecond
 	}
 	// Orders in flight are lost with the connections when the runner restarts.
-	sentTo := r.born
+	sentTo := r.incarnationStart
 	w.after(travel, func() {
-		if r.down || r.born != sentTo || !w.domainsConnected(n.domain, r.info.Domain) {
+		if r.down || r.incarnationStart != sentTo || !w.domainsConnected(n.domain, r.info.Domain) {
 			return
 		}
 		order(r, func(o schedule.CallOutcome, h *schedule.HoldResult) {
-			clock, born := r.clock(), r.born
+			clock, incarnationStart := r.clock(), r.incarnationStart
 			if late || w.rng.Float64() < r.unansweredShare {
 				return
 			}
 			w.after(messageDelay, func() {
 				if w.domainsConnected(n.domain, r.info.Domain) {
-					finish(o, clock, born, h)
+					finish(o, clock, incarnationStart, h)
 				}
 			})
 		})
--- a/core/schedule/command.go
+++ b/core/schedule/command.go
@@ -168,9 +168,9 @@
 	ReceivedAt Time
 	// SentAt is when the order was sent.
 	SentAt Time
-	// Born is when the runner's incarnation began, in milliseconds since 1970; 0 if the
-	// answer had no such time.
-	Born int64
+	// IncarnationStart is when the runner's incarnation began, in milliseconds since 1970; 0 if
+	// the answer had no such time.
+	IncarnationStart int64
 }
 
 // StartResult reports the outcome of a Start.
--- a/core/schedule/incarnation.go
+++ b/core/schedule/incarnation.go
@@ -9,15 +9,15 @@
 // checkIncarnation reports whether an answer comes from the known incarnation of a runner. An
 // answer of a later one begins that incarnation; an answer of an earlier one is late. Nothing
 // else in either may be used.
-func (s *Scheduler) checkIncarnation(r *runner, born int64) bool {
+func (s *Scheduler) checkIncarnation(r *runner, start int64) bool {
 	switch {
-	case born == 0 || born == r.born:
+	case start == 0 || start == r.incarnationStart:
 		return true
-	case r.born == 0:
-		r.born = born
+	case r.incarnationStart == 0:
+		r.incarnationStart = start
 		return true
-	case born > r.born:
-		s.beginIncarnation(r, born)
+	case start > r.incarnationStart:
+		s.beginIncarnation(r, start)
 	}
 	return false
 }
@@ -41,12 +41,12 @@
 // still arrive at the new incarnation, so its task waits until the runner lists its runs or the
 // lease must have expired. The runner is acquired again under a higher token, so it refuses orders
 // from before the restart that arrive even later.
-func (s *Scheduler) beginIncarnation(r *runner, born int64) {
+func (s *Scheduler) beginIncarnation(r *runner, start int64) {
 	s.emit(Decision{Event: "runner-restarted", Runner: r.info.ID, Token: r.token, Age: s.now - r.clockAt})
 	runs := r.sortedRuns()
 	held := r.token != 0
 	r.release()
-	r.born = born
+	r.incarnationStart = start
 	r.clock, r.clockAt, r.aliveUntil, r.noLeaseUntil = 0, 0, 0, 0
 	r.health = newHealth()
 	for _, u := range runs {
--- a/core/schedule/incarnation_test.go
+++ b/core/schedule/incarnation_test.go
@@ -15,18 +15,18 @@
 )
 
 // incarnationClock is a clock reading of an incarnation whose clock began at the time since.
-func (b *harness) incarnationClock(born int64, since Time) ClockReading {
-	return ClockReading{Milliseconds: (b.now - since).Milliseconds() + 1, ReceivedAt: b.now, SentAt: b.now, Born: born}
+func (b *harness) incarnationClock(start int64, since Time) ClockReading {
+	return ClockReading{Milliseconds: (b.now - since).Milliseconds() + 1, ReceivedAt: b.now, SentAt: b.now, IncarnationStart: start}
 }
 
 // answerAll answers the Holds, those of the given runner for the given incarnation.
-func (b *harness) answerAll(id workload.RunnerID, born int64, since Time, running ...workload.RunKey) {
+func (b *harness) answerAll(id workload.RunnerID, start int64, since Time, running ...workload.RunKey) {
 	for _, h := range take[Hold](b) {
 		if h.Runner != id {
 			b.held(h)
 			continue
 		}
-		b.s.Held(b.now, HoldResult{Runner: id, Token: h.Token, ListOnly: h.ListOnly, Outcome: Accepted, Running: running, Clock: b.incarnationClock(born, since)})
+		b.s.Held(b.now, HoldResult{Runner: id, Token: h.Token, ListOnly: h.ListOnly, Outcome: Accepted, Running: running, Clock: b.incarnationClock(start, since)})
 	}
 }
 
@@ -34,7 +34,7 @@
 // restart.
 func restartedHarness(t *testing.T, confirmed bool) (*harness, Start, Time) {
 	b := leading(t, testRunner("r1"))
-	b.s.runners["r1"].born = firstIncarnation
+	b.s.runners["r1"].incarnationStart = firstIncarnation
 	b.submit(testJob(1, 400*ms), 4*time.Second)
 	c := one[Start](b)
 	if confirmed {
@@ -87,11 +87,11 @@
 	b.answerAll("r1", secondIncarnation, since)
 	again := one[Start](b)
 	old := testRunner("r1")
-	old.Born = firstIncarnation
+	old.IncarnationStart = firstIncarnation
 	b.s.SetRunners(b.now, []workload.Runner{old})
 	b.s.Started(b.now, StartResult{Runner: "r1", Run: c.Run, Outcome: Accepted, Clock: b.incarnationClock(firstIncarnation, 0)})
 	r := b.s.runners["r1"]
-	b.g.Expect(r.born).To(BeEquivalentTo(secondIncarnation))
+	b.g.Expect(r.incarnationStart).To(BeEquivalentTo(secondIncarnation))
 	b.g.Expect(r.runs).To(HaveKey(again.Run))
 	b.g.Expect(r.clock).To(BeNumerically("<", 1000))
 }
@@ -100,9 +100,9 @@
 // show it.
 func TestRunnerListShowsANewIncarnation(t *testing.T) {
 	b, c, since := restartedHarness(t, true)
-	reborn := testRunner("r1")
-	reborn.Born = secondIncarnation
-	b.s.SetRunners(b.now, []workload.Runner{reborn})
+	restarted := testRunner("r1")
+	restarted.IncarnationStart = secondIncarnation
+	b.s.SetRunners(b.now, []workload.Runner{restarted})
 	b.answerAll("r1", secondIncarnation, since)
 	b.g.Expect(one[Start](b).Run.Task).To(Equal(c.Run.Task))
 }
--- a/core/schedule/listing.go
+++ b/core/schedule/listing.go
@@ -46,7 +46,7 @@
 		if lapsed {
 			s.requestList(r)
 		}
-		s.checkIncarnation(r, info.Born)
+		s.checkIncarnation(r, info.IncarnationStart)
 	}
 	for _, r := range s.runnerList {
 		if !listed[r.info.ID] && !r.unlisted {
--- a/core/schedule/results.go
+++ b/core/schedule/results.go
@@ -31,7 +31,7 @@
 	if res.Token != r.token {
 		return
 	}
-	if !s.checkIncarnation(r, res.Clock.Born) {
+	if !s.checkIncarnation(r, res.Clock.IncarnationStart) {
 		s.dispatch()
 		return
 	}
@@ -261,7 +261,7 @@
 	if r == nil || r.gone || !s.leading {
 		return
 	}
-	if !s.checkIncarnation(r, res.Clock.Born) {
+	if !s.checkIncarnation(r, res.Clock.IncarnationStart) {
 		s.dispatch()
 		return
 	}
@@ -375,7 +375,7 @@
 	if r == nil || r.gone || !s.leading {
 		return
 	}
-	if !s.checkIncarnation(r, res.Clock.Born) {
+	if !s.checkIncarnation(r, res.Clock.IncarnationStart) {
 		s.dispatch()
 		return
 	}
--- a/core/schedule/runner.go
+++ b/core/schedule/runner.go
@@ -19,8 +19,8 @@
 	assumedPresentUntil Time
 	// gone: another incarnation answers at the runner's address, so this one has ended.
 	gone bool
-	// born is when its incarnation began, in milliseconds since 1970; 0 if unknown.
-	born int64
+	// incarnationStart is when its incarnation began, in milliseconds since 1970; 0 if unknown.
+	incarnationStart int64
 	// evacuated: its failure domain gets no new tasks.
 	evacuated bool
 	// token is the fencing token under which the runner was acquired, 0 while it is left to
@@ -113,7 +113,7 @@
 func (u *run) ofStoredJob() bool { return u.task != nil && u.task.job.stored != nil }
 
 func newRunner(info workload.Runner, now Time) *runner {
-	return &runner{info: info, born: info.Born, runs: make(map[workload.RunKey]*run), health: newHealth(), holdSentAt: now}
+	return &runner{info: info, incarnationStart: info.IncarnationStart, runs: make(map[workload.RunKey]*run), health: newHealth(), holdSentAt: now}
 }
 
 // release clears the ownership and all runs.
--- a/core/workload/workload.go
+++ b/core/workload/workload.go
@@ -215,9 +215,9 @@
 	Lapsed bool
 	// Revision grows with each change of the entry.
 	Revision uint64
-	// Born is when the incarnation began, in milliseconds since 1970; 0 if unknown. It
-	// distinguishes incarnations of a runner that restarted under the same ID.
-	Born int64
+	// IncarnationStart is when the incarnation began, in milliseconds since 1970; 0 if unknown.
+	// It distinguishes incarnations of a runner that restarted under the same ID.
+	IncarnationStart int64
 }
 
 // CompareRunners orders runners by their ids.
--- a/entry/calls.go
+++ b/entry/calls.go
@@ -59,7 +59,7 @@
 // clockReading returns the runner's clock and, on the process's clock, the times at which
 // the order was sent and the answer was received.
 func (p *Process) clockReading(sent time.Time, a CallAnswer) schedule.ClockReading {
-	return schedule.ClockReading{Milliseconds: a.Clock, ReceivedAt: p.clock.now(), SentAt: p.clock.at(sent), Born: a.Born}
+	return schedule.ClockReading{Milliseconds: a.Clock, ReceivedAt: p.clock.now(), SentAt: p.clock.at(sent), IncarnationStart: a.IncarnationStart}
 }
 
 // recordCall counts an order by kind and outcome, and logs why there is no usable answer.
--- a/entry/ports.go
+++ b/entry/ports.go
@@ -33,9 +33,9 @@
 	Outcome schedule.CallOutcome
 	// Clock is the runner's clock in milliseconds; 0 if the answer doesn't contain it.
 	Clock int64
-	// Born is the start of the runner's lifetime in milliseconds since 1970; 0 if the
-	// answer doesn't contain it.
-	Born int64
+	// IncarnationStart is when the runner's incarnation began, in milliseconds since 1970; 0
+	// if the answer doesn't contain it.
+	IncarnationStart int64
 	// Cause is the error if there is no usable answer.
 	Cause error
 }
@@ -119,7 +119,7 @@
 	Grace time.Duration
 }
 
-// MemberID returns the id of one lifetime of a process on a VM.
+// MemberID returns the id of one incarnation of a process on a VM.
 func MemberID(node string, number uint64) string {
 	return node + "#" + strconv.FormatUint(number, 10)
 }
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -129,7 +129,7 @@
 // A write of this process whose answer was lost was repeated, and the store has applied
 // both. The row has this process's fingerprint, and the process takes over its number.
 //
-// A late write of an earlier lifetime on this VM has replaced the row. Neither the id nor
+// A late write of an earlier incarnation on this VM has replaced the row. Neither the id nor
 // the fingerprint of this process is in the list any more, and the other processes would
 // close their connections to it, so it registers again.
 func (p *Process) checkOwnRow(ctx context.Context, list []peer.Member) {
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -419,7 +419,7 @@
 			Draining: r.Draining,
 			Lapsed:   r.Lapsed,
 			Revision: r.Revision,
-			Born:     r.Born,
+			Born:     r.IncarnationStart,
 		})
 	}
 	return &pb.FleetMessage{Body: &pb.FleetMessage_Runners{Runners: m}}
@@ -440,10 +440,10 @@
 				MemoryMB: int(r.GetMemoryMb()),
 				GPU:      int(r.GetGpu()),
 			},
-			Draining: r.GetDraining(),
-			Lapsed:   r.GetLapsed(),
-			Revision: r.GetRevision(),
-			Born:     r.GetBorn(),
+			Draining:         r.GetDraining(),
+			Lapsed:           r.GetLapsed(),
+			Revision:         r.GetRevision(),
+			IncarnationStart: r.GetBorn(),
 		})
 	}
 	return l
--- a/standin/deployment/runner.go
+++ b/standin/deployment/runner.go
@@ -13,16 +13,16 @@
 
 // RunnerInfo is a runner's row in the store.
 type RunnerInfo struct {
-	Service  string         `json:"service"`
-	Address  string         `json:"address"`
-	Zone     string         `json:"zone"`
-	Version  string         `json:"version"`
-	Slots    int            `json:"slots"`
-	State    string         `json:"state"`
-	Capacity map[string]int `json:"capacity"`
-	Labels   []string       `json:"labels"`
-	Seq      int            `json:"seq"`
-	Born     int64          `json:"born"`
+	Service          string         `json:"service"`
+	Address          string         `json:"address"`
+	Zone             string         `json:"zone"`
+	Version          string         `json:"version"`
+	Slots            int            `json:"slots"`
+	State            string         `json:"state"`
+	Capacity         map[string]int `json:"capacity"`
+	Labels           []string       `json:"labels"`
+	Seq              int            `json:"seq"`
+	IncarnationStart int64          `json:"born"`
 }
 
 // RunID identifies a run of a task.
@@ -70,7 +70,7 @@
 	starts       []RunID
 	silent       bool
 	observer     Observer
-	// clockStart is the zero of the runner's clock in its present lifetime.
+	// clockStart is the zero of the runner's clock in its present incarnation.
 	clockStart time.Time
 }
 
@@ -88,7 +88,7 @@
 		Info: RunnerInfo{
 			Service: service, Address: l.Addr().String(), Zone: domain, Version: "v1", Slots: 8, State: "ready",
 			Capacity: map[string]int{"cpu": 64000, "memMb": 131072, "gpu": 0}, Labels: []string{"a", "r1-1"}, Seq: 1,
-			Born: time.Now().UnixMilli(),
+			IncarnationStart: time.Now().UnixMilli(),
 		},
 		listener:    l,
 		running:     make(map[RunID]*time.Timer),
@@ -116,14 +116,14 @@
 	}
 }
 
-// Restart simulates a restart of the runner's process: all runs end, and a new lifetime begins
+// Restart simulates a restart of the runner's process: all runs end, and a new incarnation begins
 // under the same id without any state of the last one.
 func (r *Runner) Restart(s *Store) error {
 	r.mu.Lock()
 	for run := range r.running {
 		r.endRun(run, "crashed")
 	}
-	r.Info.Born = max(r.Info.Born+1, time.Now().UnixMilli())
+	r.Info.IncarnationStart = max(r.Info.IncarnationStart+1, time.Now().UnixMilli())
 	r.clockStart = time.Now()
 	r.token, r.leaseEnd, r.lastSequence, r.endedRuns = 0, time.Time{}, 0, nil
 	r.closedRuns = make(map[string]int)
@@ -211,11 +211,11 @@
 }
 
 func (r *Runner) reject(w http.ResponseWriter, reason string) {
-	writeJSON(w, http.StatusConflict, map[string]any{"clockMs": r.clock(), "born": r.Info.Born, "reason": reason})
+	writeJSON(w, http.StatusConflict, map[string]any{"clockMs": r.clock(), "born": r.Info.IncarnationStart, "reason": reason})
 }
 
 func (r *Runner) accept(w http.ResponseWriter) {
-	writeJSON(w, http.StatusOK, map[string]any{"clockMs": r.clock(), "born": r.Info.Born})
+	writeJSON(w, http.StatusOK, map[string]any{"clockMs": r.clock(), "born": r.Info.IncarnationStart})
 }
 
 // extendLease moves the lease's expiry to ms on the runner's clock, but never to an earlier time
@@ -345,5 +345,5 @@
 	for _, e := range r.endedRuns {
 		ended = append(ended, []any{e.sequence, e.Task, e.Run, e.Outcome, ""})
 	}
-	writeJSON(w, http.StatusOK, map[string]any{"clockMs": r.clock(), "born": r.Info.Born, "running": running, "endedRuns": ended})
+	writeJSON(w, http.StatusOK, map[string]any{"clockMs": r.clock(), "born": r.Info.IncarnationStart, "running": running, "endedRuns": ended})
 }
