--- a/core/fleet/message.go
+++ b/core/fleet/message.go
@@ -34,9 +34,9 @@
 	// Pending is, if the sender leads, the number of jobs of each queue of which no task
 	// has started.
 	Pending map[string]int
-	// BacklogTime is, if the sender leads, how long the runners of its shards would need
+	// ExpectedWait is, if the sender leads, how long the runners of its shards would need
 	// for the waiting work.
-	BacklogTime time.Duration
+	ExpectedWait time.Duration
 	// UncertainFor is the remaining time in which the sender assumes that some VM may be
 	// unreachable from all other processes. Callers of that VM may send jobs again, to other
 	// cells, of which tasks have already run; see uncertainty.go.
--- a/core/fleet/moved.go
+++ b/core/fleet/moved.go
@@ -41,7 +41,7 @@
 		}
 		wait := n.gateway.ExpectedWait(o.index)
 		if o.leading() {
-			wait = o.schedule.Wait()
+			wait = o.schedule.ExpectedWait()
 		}
 		if wait < least {
 			best, least = o.index, wait
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -81,9 +81,9 @@
 	becameLeaderAt Time
 	// earlyRequests are callers' requests that arrived before the shards were known.
 	earlyRequests []earlyRequest
-	// backlogTime is how long the runners would need for the work that waits in the
+	// expectedWait is how long the runners would need for the work that waits in the
 	// shards led here; the longest if there are several.
-	backlogTime time.Duration
+	expectedWait time.Duration
 	// pending holds, by leader, the number of jobs of each queue of which no task has
 	// started, as the leader last reported it.
 	pending map[leader.ID]map[string]int
@@ -228,7 +228,7 @@
 	switch c := c.(type) {
 	case gateway.HandIn:
 		if c.Shard != c.Home {
-			n.notice("job-elsewhere", Field{"job", string(c.Job.ID)}, Field{"shard", c.Shard}, Field{"home", c.Home}, Field{"wait", ms(c.Wait)})
+			n.notice("job-elsewhere", Field{"job", string(c.Job.ID)}, Field{"shard", c.Shard}, Field{"home", c.Home}, Field{"wait", ms(c.ExpectedWait)})
 		}
 		if c.To == n.Self() {
 			n.submit(c.At, c.To, c)
@@ -341,7 +341,7 @@
 	// unreachable and may be alive.
 	gone, missing := n.presumedGone(now), n.anyMissing(now)
 	n.updateOthersReachable(now, gone)
-	n.backlogTime = 0
+	n.expectedWait = 0
 	uncertain := n.updateUncertainty(now, missing)
 	for _, s := range n.own {
 		s.schedule.EntryAlive(now, schedule.EntryID(n.Self()))
@@ -358,7 +358,7 @@
 		s.schedule.SetStoreFailingFor(s.ledger.FailingFor(now))
 		s.schedule.Tick(now)
 		if s.schedule.Leading() {
-			n.backlogTime = max(n.backlogTime, s.schedule.Wait())
+			n.expectedWait = max(n.expectedWait, s.schedule.ExpectedWait())
 		}
 		n.tickQueries(now, s)
 	}
--- a/core/fleet/peers.go
+++ b/core/fleet/peers.go
@@ -169,7 +169,7 @@
 	n.pending[from] = h.Pending
 	for _, s := range n.shards {
 		if h.Report.Leader(s.index) == from {
-			n.gateway.SetExpectedWait(s.index, h.BacklogTime)
+			n.gateway.SetExpectedWait(s.index, h.ExpectedWait)
 		}
 	}
 	if now-n.heartbeatSentAt[from] >= leader.HeartbeatInterval/2 {
@@ -247,7 +247,7 @@
 	h.Report.Term = n.term()
 	h.UncertainFor = max(0, n.uncertainUntil-now)
 	if n.Leads() {
-		h.Pending, h.BacklogTime = n.ownPending(), n.backlogTime
+		h.Pending, h.ExpectedWait = n.ownPending(), n.expectedWait
 	}
 	n.emit(Send{To: to, Message: h})
 }
--- a/core/gateway/gateway.go
+++ b/core/gateway/gateway.go
@@ -47,9 +47,9 @@
 	To leader.ID
 	// Shard gets the job, Home is the shard that it belongs to, and Wait is the expected
 	// wait of a new job in Shard as last reported.
-	Shard, Home int
-	Wait        time.Duration
-	Job         *workload.Job
+	Shard, Home  int
+	ExpectedWait time.Duration
+	Job          *workload.Job
 	// RemainingObjective and RemainingTimeout are what is left of the job's latency objective
 	// and of the caller's timeout.
 	RemainingObjective time.Duration
@@ -320,7 +320,7 @@
 		To:                 j.scheduler,
 		Shard:              shard,
 		Home:               j.home,
-		Wait:               g.expectedWaits[shard],
+		ExpectedWait:       g.expectedWaits[shard],
 		Job:                j.job,
 		RemainingObjective: j.due - g.now,
 		RemainingTimeout:   j.deadline - g.now,
--- a/core/schedule/admission.go
+++ b/core/schedule/admission.go
@@ -62,12 +62,12 @@
 	return "", false
 }
 
-// NoRunnersWait is the wait reported by a scheduler without reachable runners.
+// NoRunnersWait is the expected wait reported by a scheduler without reachable runners.
 const NoRunnersWait = time.Minute
 
-// Wait returns how long the runners would take for all waiting work. Other entry VMs choose a
-// shard by it when their own scheduler has no room.
-func (s *Scheduler) Wait() time.Duration {
+// ExpectedWait returns how long the runners would take for all waiting work. Other entry VMs choose
+// a shard by it when their own scheduler has no room.
+func (s *Scheduler) ExpectedWait() time.Duration {
 	capacity, work := 0, time.Duration(0)
 	for _, r := range s.runnerList {
 		if r.usable(s.now) {
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -257,7 +257,7 @@
 		StoredJobs:         uint32(h.StoredJobs),
 		Standby:            h.Report.Standby,
 		Cell:               h.Report.Cell,
-		WaitMs:             uint32(h.BacklogTime.Milliseconds()),
+		WaitMs:             uint32(h.ExpectedWait.Milliseconds()),
 		DoubtMs:            uint32(h.UncertainFor.Milliseconds()),
 		EvacuationsVersion: h.Evacuations.Version,
 		Evacuated:          h.Evacuations.Domains,
@@ -301,7 +301,7 @@
 		RunnersStale:       m.GetRunnersStale(),
 		StoredJobs:         fleet.StoredJobs(min(m.GetStoredJobs(), uint32(fleet.HasStoredJobs))),
 		Pending:            make(map[string]int, len(m.GetPending())),
-		BacklogTime:        milliseconds(int64(m.GetWaitMs())),
+		ExpectedWait:       milliseconds(int64(m.GetWaitMs())),
 		UncertainFor:       milliseconds(int64(m.GetDoubtMs())),
 		Evacuations:        routing.Evacuations{Version: m.GetEvacuationsVersion(), Domains: m.GetEvacuated()},
 	}
