--- a/core/dispatch/dump.go
+++ b/core/dispatch/dump.go
@@ -177,7 +177,7 @@
 	var list []DumpPeer
 	for _, p := range c.sortedPeers() {
 		st := c.peers[p]
-		list = append(list, DumpPeer{p.String(), st.failureDomain, st.status.GetSettingsVersion(), st.lastHeard.Milliseconds(), st.status.GetStopping(), c.pool.Borrowed(p)})
+		list = append(list, DumpPeer{p.String(), st.failureDomain, st.status.GetSettingsVersion(), st.lastContact.Milliseconds(), st.status.GetStopping(), c.pool.Borrowed(p)})
 	}
 	return list
 }
@@ -197,7 +197,7 @@
 			Incarnation:   p.Proto(),
 			FailureDomain: st.failureDomain,
 			Version:       st.status.GetSettingsVersion(),
-			AgeMs:         uint64((c.now - st.lastHeard).Milliseconds()),
+			AgeMs:         uint64((c.now - st.lastContact).Milliseconds()),
 			Connected:     true,
 		})
 	}
--- a/core/dispatch/handover.go
+++ b/core/dispatch/handover.go
@@ -133,8 +133,8 @@
 	return uint32(max(until-c.now, 0).Milliseconds())
 }
 
-func handedHolder(holder task.Incarnation, blocks []claim.Block, keepMs uint32) *pb.HandedHolder {
-	h := &pb.HandedHolder{Holder: holder.Proto(), KeepMs: keepMs}
+func handedHolder(holder task.Incarnation, blocks []claim.Block, retentionMs uint32) *pb.HandedHolder {
+	h := &pb.HandedHolder{Holder: holder.Proto(), KeepMs: retentionMs}
 	for _, b := range blocks {
 		h.Blocks = append(h.Blocks, &pb.HandedBlock{First: b.First, Count: b.Count, Used: b.Used})
 	}
--- a/core/dispatch/holder_gone.go
+++ b/core/dispatch/holder_gone.go
@@ -68,7 +68,7 @@
 // the holder. Runs are random numbers without an order: the run known here may be an earlier
 // one whose end has not been detected yet. The first request for the holder shows that the
 // holder existed by then, in place of any earlier run. So another run counts as later only if
-// it has been heard from predecessorGoneAfter after that request.
+// a message of it arrived predecessorGoneAfter after that request or later.
 func (c *Core) hasLaterRun(holder task.Incarnation) bool {
 	requested, requestedBefore := c.succession.requested[holder]
 	if !requestedBefore && len(c.succession.requested) < maxRequestedHolders {
@@ -84,7 +84,7 @@
 		return false
 	}
 	other := c.peers[task.Incarnation{Node: holder.Node, Run: known.run}]
-	return other != nil && other.lastHeard >= requested+predecessorGoneAfter
+	return other != nil && other.lastContact >= requested+predecessorGoneAfter
 }
 
 func (c *Core) expireRequested() {
--- a/core/dispatch/members.go
+++ b/core/dispatch/members.go
@@ -94,19 +94,19 @@
 type absence struct {
 	incarnation task.Incarnation
 	version     uint64
-	heard       task.Time
+	lastContact task.Time
 }
 
 // recordAbsence records for operators which settings a disconnected node had, and
 // when.
 func (c *Core) recordAbsence(p task.Incarnation) {
 	if lostPeer := c.peers[p]; lostPeer != nil {
-		c.absent[p.Node] = absence{p, lostPeer.status.GetSettingsVersion(), lostPeer.lastHeard}
+		c.absent[p.Node] = absence{p, lostPeer.status.GetSettingsVersion(), lostPeer.lastContact}
 	}
 }
 
 // absentVersions returns the listed nodes that are not connected, each with its
-// settings version when it was last heard from; 0 if never.
+// settings version at the last contact; 0 if there was none.
 func (c *Core) absentVersions() []*pb.NodeVersion {
 	connected := make(map[string]bool, len(c.peers))
 	for p := range c.peers {
@@ -121,7 +121,7 @@
 		if last, known := c.absent[n.Name]; known {
 			v.Incarnation = last.incarnation.Proto()
 			v.Version = last.version
-			v.AgeMs = uint64((c.now - last.heard).Milliseconds())
+			v.AgeMs = uint64((c.now - last.lastContact).Milliseconds())
 		}
 		list = append(list, v)
 	}
--- a/core/dispatch/peers.go
+++ b/core/dispatch/peers.go
@@ -14,8 +14,8 @@
 	failureDomain string
 	// status is the latest status received, nil before the first.
 	status *pb.PeerStatus
-	// lastHeard is when the last message was received, lastSent when the last was sent.
-	lastHeard    task.Time
+	// lastContact is when the last message was received, lastSent when the last was sent.
+	lastContact  task.Time
 	lastSent     task.Time
 	settingsPull pull
 	membersPull  pull
@@ -52,7 +52,7 @@
 }
 
 func (c *Core) peerUp(e PeerUp) {
-	c.peers[e.Peer] = &peer{failureDomain: e.FailureDomain, lastHeard: c.now}
+	c.peers[e.Peer] = &peer{failureDomain: e.FailureDomain, lastContact: c.now}
 	c.recordRun(e.Peer)
 	c.view.PeerUp(c.now, e.Peer)
 	c.refreshMembers()
@@ -81,7 +81,7 @@
 		c.recordDropped(from, m)
 		return
 	}
-	p.lastHeard = c.now
+	p.lastContact = c.now
 	c.receiveStatus(from, p, m.GetStatus())
 	returned := c.reclaimReturned(m.GetReturns())
 	switch b := m.GetBody().(type) {
--- a/core/schedule/entries.go
+++ b/core/schedule/entries.go
@@ -45,7 +45,7 @@
 // runs here; so they are stopped at once.
 func (s *Scheduler) EntryLost(now Time, entry EntryID, ended bool) {
 	s.now = now
-	delete(s.lastHeard, entry)
+	delete(s.lastContact, entry)
 	if entry == s.progressFrom {
 		s.stopAwaiting()
 	}
@@ -93,7 +93,7 @@
 }
 
 // EntryAlive records a message of an entry process.
-func (s *Scheduler) EntryAlive(now Time, entry EntryID) { s.lastHeard[entry] = now }
+func (s *Scheduler) EntryAlive(now Time, entry EntryID) { s.lastContact[entry] = now }
 
 // EntryReachable records that an entry VM is reachable again, perhaps with a new process.
 func (s *Scheduler) EntryReachable(now Time, entry EntryID) {
--- a/core/schedule/schedule.go
+++ b/core/schedule/schedule.go
@@ -157,8 +157,8 @@
 	// three, counted from one heartbeat earlier at most.
 	maxHeartbeatAge = 300 * time.Millisecond
 	// entryRecoveryDelay is how long a task waits whose run lapses when the last heartbeat of
-	// its entry VM is older than maxHeartbeatAge. In that time the entry VM is heard again or
-	// counts as lost. After a partition a run lapses 502 ms after the last heartbeat or later.
+	// its entry VM is older than maxHeartbeatAge. In that time a message of the entry VM
+	// arrives or it counts as lost. After a partition a run lapses 502 ms after the last heartbeat or later.
 	entryRecoveryDelay = 300 * time.Millisecond
 	// ranRetention is how long the scheduler remembers that a task of a job has run: longer
 	// than callers go on sending the job again.
@@ -221,8 +221,8 @@
 	// contested is set while another process is about to become leader.
 	contested         bool
 	allReachableSince Time
-	// lastHeard is when each entry process last sent a message.
-	lastHeard map[EntryID]Time
+	// lastContact is when each entry process last sent a message.
+	lastContact map[EntryID]Time
 	// ranJobs are jobs without an outcome of which tasks have run, or may have run under an
 	// earlier scheduler, and when that was last recorded.
 	ranJobs map[workload.JobID]Time
@@ -283,7 +283,7 @@
 		offered:        make(map[string]*offeredLoad),
 		results:        make(map[workload.JobID]result),
 		cancelled:      make(map[workload.JobID]Time),
-		lastHeard:      make(map[EntryID]Time),
+		lastContact:    make(map[EntryID]Time),
 		unreachable:    make(map[string]Time),
 		ranJobs:        make(map[workload.JobID]Time),
 		unstored:       make(map[workload.JobID]Time),
--- a/core/schedule/submit.go
+++ b/core/schedule/submit.go
@@ -36,7 +36,7 @@
 // Submit handles the submission of a job, which may be a copy of a known one.
 func (s *Scheduler) Submit(now Time, sub Submission) {
 	s.now = now
-	s.lastHeard[sub.Entry] = now
+	s.lastContact[sub.Entry] = now
 	if sub.Job.Stored {
 		s.submitStored(sub)
 		return
--- a/core/schedule/tick.go
+++ b/core/schedule/tick.go
@@ -91,7 +91,7 @@
 		}
 		s.ctr.Lapsed++
 		s.emit(Decision{Event: "run-lapsed", Job: u.key.Task.Job, Run: u.key, Runner: r.info.ID, Reason: "runner is silent", Age: s.now - r.clockAt})
-		if s.now-s.lastHeard[u.task.job.entry] > maxHeartbeatAge {
+		if s.now-s.lastContact[u.task.job.entry] > maxHeartbeatAge {
 			// The entry VM may be cut off together with the runner. Then the scheduler on that
 			// side may have adopted the run, and the job will shortly be dropped here.
 			u.task.notBefore = s.now + entryRecoveryDelay
