--- a/cli/settings.go
+++ b/cli/settings.go
@@ -115,12 +115,12 @@
 	w := tabwriter.NewWriter(a.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ENTRY VM\tRUN\tFAILURE DOMAIN\tVERSION\tHEARD\tCONNECTED")
 	for _, n := range res.GetNodes() {
-		heard := (time.Duration(n.GetAgeMs()) * time.Millisecond).String() + " ago"
+		lastContact := (time.Duration(n.GetAgeMs()) * time.Millisecond).String() + " ago"
 		connected := "yes"
 		if !n.GetConnected() {
 			connected = "no"
 		}
-		fmt.Fprintf(w, "%s\t%016x\t%s\t%d\t%s\t%s\n", n.GetIncarnation().GetNode(), n.GetIncarnation().GetRun(), n.GetFailureDomain(), n.GetVersion(), heard, connected)
+		fmt.Fprintf(w, "%s\t%016x\t%s\t%d\t%s\t%s\n", n.GetIncarnation().GetNode(), n.GetIncarnation().GetRun(), n.GetFailureDomain(), n.GetVersion(), lastContact, connected)
 	}
 	fmt.Fprintln(w, "\nINSTITUTION\tCAPACITY\tCEILING\tPRIORITY\tRESPONSE\tBORROW AFTER\tTEAMS\tSERVICES")
 	for _, i := range s.GetInstitutions() {
--- a/core/gateway/gateway.go
+++ b/core/gateway/gateway.go
@@ -45,8 +45,8 @@
 type HandIn struct {
 	At Time
 	To leader.ID
-	// Shard gets the job, Home is the shard that it belongs to, and Wait is the expected
-	// wait of a new job in Shard as last reported.
+	// Shard gets the job, Home is the shard that it belongs to, and ExpectedWait is that of a
+	// new job in Shard as last reported.
 	Shard, Home  int
 	ExpectedWait time.Duration
 	Job          *workload.Job
--- a/core/health/health.go
+++ b/core/health/health.go
@@ -181,9 +181,9 @@
 	GroupEjections uint64 `json:"group_ejections"`
 	// CeilingHits counts ejections that MaxEjectedPercent prevented.
 	CeilingHits uint64 `json:"ceiling_hits"`
-	// Away counts how often an upstream became unavailable, or failed again while it was or while it
-	// was being probed.
-	Away uint64 `json:"away"`
+	// Unavailable counts how often an upstream became unavailable, or failed again while it was or
+	// while it was being probed.
+	Unavailable uint64 `json:"away"`
 	// Probes counts single slots opened after an ejection, Returns the probes that succeeded.
 	Probes  uint64 `json:"probes"`
 	Returns uint64 `json:"returns"`
@@ -372,7 +372,7 @@
 	if u.state == ejected || u.state == unavailable && now < u.until {
 		return
 	}
-	t.stats.Away++
+	t.stats.Unavailable++
 	switch u.state {
 	case probing:
 		t.countEjected(u, -1)
--- a/core/schedule/listing.go
+++ b/core/schedule/listing.go
@@ -97,13 +97,13 @@
 
 // forgetRunners drops unlisted runners without runs.
 func (s *Scheduler) forgetRunners() {
-	kept := s.runnerList[:0]
+	remaining := s.runnerList[:0]
 	for _, r := range s.runnerList {
 		if r.unlisted && len(r.runs) == 0 && s.now >= max(r.retainUntil, r.assumedPresentUntil) {
 			delete(s.runners, r.info.ID)
 			continue
 		}
-		kept = append(kept, r)
+		remaining = append(remaining, r)
 	}
-	s.runnerList = kept
+	s.runnerList = remaining
 }
