--- a/core/fleet/checker_test.go
+++ b/core/fleet/checker_test.go
@@ -123,7 +123,7 @@
 // ignored.
 func (t *checker) acknowledged(e fakeEnd) {
 	task := e.Run.Task
-	if j := t.w.jobs[task.Job]; !j.work.Stored || e.lapsed {
+	if j := t.w.jobs[task.Job]; !j.work.Stored || e.leaseExpired {
 		return
 	}
 	switch e.Kind {
--- a/core/fleet/lapsed.go
+++ b/core/fleet/expired.go
@@ -8,25 +8,25 @@
 )
 
 // While the store is unavailable runners can't renew their entries on the platform's list, and
-// some entries lapse (expire) although the runners are healthy. They are renewed within two
-// seconds of the store's return; without them jobs would be refused until then for lack of
-// capacity. Therefore entries that disappear around an outage are retained and marked as lapsed:
+// some entries expire although the runners are healthy. They are renewed within two seconds of
+// the store's return; without them jobs would be refused until then for lack of capacity.
+// Therefore entries that disappear around an outage are retained and marked as expired:
 //
 //	the entry                                     | retained
 //	----------------------------------------------|-----------------------------------------
 //	disappears while the store is available       | no
-//	disappears around an outage of the store      | for lapsedRetention, while the runner answers
+//	disappears around an outage of the store      | for expiredRetention, while the runner answers
 //	had marked its runner as draining             | no
 //	exists, but names no usable runner            | no
 //	reappears                                     | it becomes a normal entry again
 
 const (
-	// lapsedRetention is how long a lapsed entry is retained. Healthy runners renew
+	// expiredRetention is how long an expired entry is retained. Healthy runners renew
 	// theirs within two seconds of the store's return, and processes that need the list
 	// read it every 0.6 s.
-	lapsedRetention = 2500 * time.Millisecond
+	expiredRetention = 2500 * time.Millisecond
 	// recentStoreFailure is how long after a failed call to the store an entry that
-	// disappears counts as lapsed. An unanswered call is given up after 2 s, by which time
+	// disappears counts as expired. An unanswered call is given up after 2 s, by which time
 	// the store may be available again.
 	recentStoreFailure = 2500 * time.Millisecond
 )
@@ -34,9 +34,9 @@
 // StoreFailed records that a call to the store failed.
 func (n *Node) StoreFailed(now Time) { n.storeFailedAt = now }
 
-// retainLapsed adds to a list read from the store the runners that are missing from it
+// retainExpired adds to a list read from the store the runners that are missing from it
 // because of a store outage.
-func (n *Node) retainLapsed(now Time, list RunnerList) RunnerList {
+func (n *Node) retainExpired(now Time, list RunnerList) RunnerList {
 	present := make(map[workload.RunnerID]bool, len(list.Runners))
 	for _, r := range list.Runners {
 		present[r.ID] = true
@@ -47,33 +47,33 @@
 	storeFailedRecently := n.storeFailedAt > 0 && now-n.storeFailedAt < recentStoreFailure
 	since := make(map[workload.RunnerID]Time)
 	for _, r := range n.runners.Runners {
-		at, lapsed := n.lapsedSince[r.ID]
-		if !lapsed {
+		at, expired := n.expiredSince[r.ID]
+		if !expired {
 			at = now
 		}
-		if present[r.ID] || r.Draining || !lapsed && !storeFailedRecently || now-at >= lapsedRetention {
+		if present[r.ID] || r.Draining || !expired && !storeFailedRecently || now-at >= expiredRetention {
 			continue
 		}
 		since[r.ID] = at
-		r.Lapsed = true
+		r.EntryExpired = true
 		list.Runners = append(list.Runners, r)
 	}
-	n.lapsedSince = since
+	n.expiredSince = since
 	slices.SortFunc(list.Runners, workload.CompareRunners)
 	return list
 }
 
-// recordLapsed records which runners of a list from another process are retained as lapsed.
-func (n *Node) recordLapsed(now Time, list RunnerList) {
+// recordExpired records which runners of a list from another process are retained as expired.
+func (n *Node) recordExpired(now Time, list RunnerList) {
 	since := make(map[workload.RunnerID]Time)
 	for _, r := range list.Runners {
-		if !r.Lapsed {
+		if !r.EntryExpired {
 			continue
 		}
 		since[r.ID] = now
-		if at, known := n.lapsedSince[r.ID]; known {
+		if at, known := n.expiredSince[r.ID]; known {
 			since[r.ID] = at
 		}
 	}
-	n.lapsedSince = since
+	n.expiredSince = since
 }
--- a/core/fleet/lapsed_test.go
+++ b/core/fleet/expired_test.go
@@ -54,12 +54,12 @@
 }
 
 // sentList is the list that is sent to another process on a new connection, with the runners'
-// Lapsed fields.
+// EntryExpired fields.
 func (n *runnerListNode) sentList() map[workload.RunnerID]bool {
 	n.Ready()
 	n.PeerUp(n.now, "b#2")
 	n.Receive(n.now, "b#2", fleet.Heartbeat{Report: leader.Report{Number: 2, Shards: 1}})
-	lapsed := make(map[workload.RunnerID]bool)
+	expired := make(map[workload.RunnerID]bool)
 	for _, c := range n.Ready() {
 		send, ok := c.(fleet.Send)
 		if !ok {
@@ -67,23 +67,23 @@
 		}
 		if l, ok := send.Message.(fleet.RunnerList); ok {
 			for _, r := range l.Runners {
-				lapsed[r.ID] = r.Lapsed
+				expired[r.ID] = r.EntryExpired
 			}
 		}
 	}
-	return lapsed
+	return expired
 }
 
-// Entries lapse during a store outage. Those of runners that weren't draining must be
-// retained for a while, and be sent to other processes as lapsed.
-func TestEntriesThatLapseDuringAStoreOutageAreRetained(t *testing.T) {
+// Entries expire during a store outage. Those of runners that weren't draining must be
+// retained for a while, and be sent to other processes as expired.
+func TestEntriesThatExpireDuringAStoreOutageAreRetained(t *testing.T) {
 	g := NewWithT(t)
 	n := newRunnerListNode()
 	n.advanceTo(5 * s).StoreFailed(5 * s)
 	n.advanceTo(6*s).RunnersRead(6*s, listOf(2, "a"))
 	g.Expect(n.sentList()).To(Equal(map[workload.RunnerID]bool{"a": false, "b": true}))
 	n.advanceTo(8*s).RunnersRead(8*s, listOf(3, "a"))
-	g.Expect(n.sentList()).To(HaveKey(workload.RunnerID("b")), "within lapsedRetention")
+	g.Expect(n.sentList()).To(HaveKey(workload.RunnerID("b")), "within expiredRetention")
 	n.advanceTo(9*s).RunnersRead(9*s, listOf(4, "a"))
 	g.Expect(n.sentList()).NotTo(HaveKey(workload.RunnerID("b")))
 }
@@ -116,13 +116,13 @@
 	g.Expect(n.sentList()).To(HaveLen(1))
 }
 
-// A process has retained a lapsed entry and is lost. Its successor received the entry and
+// A process has retained an expired entry and is lost. Its successor received the entry and
 // must retain it for as long.
-func TestNextLeaderRetainsLapsedEntries(t *testing.T) {
+func TestNextLeaderRetainsExpiredEntries(t *testing.T) {
 	g := NewWithT(t)
 	n := newRunnerListNode()
 	l := listOf(2, "a", "b")
-	l.Runners[1].Lapsed = true
+	l.Runners[1].EntryExpired = true
 	n.advanceTo(6*s).PeerUp(6*s, "b#2")
 	n.Receive(6*s, "b#2", l)
 	n.advanceTo(7*s).RunnersRead(7*s, listOf(3, "a"))
--- a/core/fleet/node.go
+++ b/core/fleet/node.go
@@ -89,7 +89,7 @@
 	pending map[leader.ID]map[string]int
 
 	// runners is the list of runners in use: those of the cell that are registered in the
-	// store, and those that are retained on it as lapsed; see lapsed.go.
+	// store, and those that are retained on it as expired; see expired.go.
 	runners RunnerList
 	// listKnown: a list of runners was read from the store or received from another
 	// process.
@@ -109,9 +109,9 @@
 	staleLeaders map[leader.ID]bool
 	// storeFailedAt is when a call to the store last failed; 0 if none has failed.
 	storeFailedAt Time
-	// lapsedSince holds the runners that are retained on the list although their entries
-	// lapsed, with the time at which this was noticed; see lapsed.go.
-	lapsedSince map[workload.RunnerID]Time
+	// expiredSince holds the runners that are retained on the list although their entries
+	// expired, with the time at which this was noticed; see expired.go.
+	expiredSince map[workload.RunnerID]Time
 	// removedRunners are the runners that left the list recently; see removedRetention.
 	removedRunners []removedRunner
 	// queries are the queries of this process's callers that were sent to a leader.
--- a/core/fleet/peers.go
+++ b/core/fleet/peers.go
@@ -139,7 +139,7 @@
 		if n.LayoutKnown() && !n.inCell(from) {
 			return
 		}
-		n.recordLapsed(now, m)
+		n.recordExpired(now, m)
 		n.takeRunners(now, m, string(from))
 	}
 }
--- a/core/fleet/processes_test.go
+++ b/core/fleet/processes_test.go
@@ -209,7 +209,7 @@
 	w.after(400*time.Millisecond, func() { w.storeLoop(n, incarnation) })
 }
 
-// list is the platform's list; the entries of an isolated domain lapse.
+// list is the platform's list; the entries of an isolated domain expire.
 func (w *world) list() fleet.RunnerList {
 	w.revision++
 	l := fleet.RunnerList{Revision: w.revision}
--- a/core/fleet/runner_test.go
+++ b/core/fleet/runner_test.go
@@ -48,8 +48,8 @@
 type fakeEnd struct {
 	workload.End
 	at time.Duration
-	// lapsed: the runner's lease has expired since the end.
-	lapsed bool
+	// leaseExpired: the runner's lease has expired since the end.
+	leaseExpired bool
 }
 
 type fakeRun struct {
@@ -96,7 +96,7 @@
 			return
 		}
 		for i := range r.ends {
-			r.ends[i].lapsed = true
+			r.ends[i].leaseExpired = true
 		}
 		for _, k := range r.w.sortedRuns(r) {
 			r.end(k, workload.LeaseExpired)
--- a/core/fleet/runners.go
+++ b/core/fleet/runners.go
@@ -32,7 +32,7 @@
 	n.listReadAt = now
 	n.setListKnown()
 	list.Runners = n.runnersOfCell(list.Runners)
-	n.takeRunners(now, n.retainLapsed(now, list), "store")
+	n.takeRunners(now, n.retainExpired(now, list), "store")
 	for _, id := range n.peers() {
 		if n.staleLeaders[id] {
 			n.emit(Send{To: id, Message: n.runners})
@@ -98,7 +98,7 @@
 	digest := digestOf(list.Runners)
 	changed := digest != n.digest
 	if changed {
-		n.notice("runners-listed", Field{"runners", len(list.Runners)}, Field{"lapsed", len(n.lapsedSince)}, Field{"before", len(n.runners.Runners)},
+		n.notice("runners-listed", Field{"runners", len(list.Runners)}, Field{"lapsed", len(n.expiredSince)}, Field{"before", len(n.runners.Runners)},
 			Field{"revision", list.Revision}, Field{"source", source})
 	}
 	n.recordRemoved(now, list)
@@ -143,7 +143,7 @@
 	h := xxhash.New()
 	for _, r := range list {
 		// Writing to a hash never fails.
-		_, _ = fmt.Fprintf(h, "%s %s %t %t %d %v\n", r.ID, r.Service, r.Draining, r.Lapsed, r.IncarnationStart, r.Capacity)
+		_, _ = fmt.Fprintf(h, "%s %s %t %t %d %v\n", r.ID, r.Service, r.Draining, r.EntryExpired, r.IncarnationStart, r.Capacity)
 	}
 	return h.Sum64()
 }
--- a/core/schedule/acknowledge.go
+++ b/core/schedule/acknowledge.go
@@ -19,11 +19,11 @@
 	// is none.
 	job      workload.JobID
 	sequence uint64
-	// afterLapse: the runner's lease must expire first, since the task was started again
+	// afterLeaseExpiry: the runner's lease must expire first, since the task was started again
 	// elsewhere while contact with this run was lost. A runner whose lease has expired
 	// guarantees nothing about its earlier runs; an end listed under a lease that is still
 	// held would show that the task ran twice.
-	afterLapse bool
+	afterLeaseExpiry bool
 }
 
 // noted reports whether an end that a runner lists has been processed before.
@@ -42,8 +42,8 @@
 // noteEnd processes an end and records the conditions for its acknowledgement.
 func (s *Scheduler) noteEnd(r *runner, e workload.End) {
 	l := listedEnd{end: e}
-	l.afterLapse = s.mayHaveRestarted(e)
-	if l.afterLapse {
+	l.afterLeaseExpiry = s.mayHaveRestarted(e)
+	if l.afterLeaseExpiry {
 		r.noLeaseUntil = max(r.noLeaseUntil, r.aliveUntil)
 	}
 	l.unknown, l.unknownSince = s.unknown(e.Run.Task.Job), s.now
@@ -154,7 +154,7 @@
 // canAcknowledge reports whether an end meets the conditions in listedEnd. An end that has a record
 // also waits until a previous owner can't restart the task any more.
 func (s *Scheduler) canAcknowledge(r *runner, l listedEnd) bool {
-	if l.unknown && !(s.rows.loaded && s.rows.verifiedAt >= l.unknownSince) || l.afterLapse && s.now <= r.noLeaseUntil {
+	if l.unknown && !(s.rows.loaded && s.rows.verifiedAt >= l.unknownSince) || l.afterLeaseExpiry && s.now <= r.noLeaseUntil {
 		return false
 	}
 	if l.sequence > 0 && s.now < s.priorOwnerInactiveAt() {
--- a/core/schedule/listing.go
+++ b/core/schedule/listing.go
@@ -15,9 +15,9 @@
 	unlistedGrace = 2500 * time.Millisecond
 	// longSilence is the length of such a silence: less than an entry takes to expire.
 	longSilence = time.Second
-	// lapsedCheckInterval is how often an idle runner with an expired entry is checked, so that its
+	// expiredCheckInterval is how often an idle runner with an expired entry is checked, so that its
 	// loss is noticed before a job is placed on it.
-	lapsedCheckInterval = 200 * time.Millisecond
+	expiredCheckInterval = 200 * time.Millisecond
 )
 
 // noteAnswerAfterSilence handles an answer of a runner that was silent for some time.
@@ -41,9 +41,9 @@
 			s.addRunner(newRunner(info, now))
 			continue
 		}
-		lapsed := info.Lapsed && !r.info.Lapsed
+		expired := info.EntryExpired && !r.info.EntryExpired
 		r.unlisted, r.assumedPresentUntil, r.info = false, 0, info
-		if lapsed {
+		if expired {
 			s.requestList(r)
 		}
 		s.checkIncarnation(r, info.IncarnationStart)
--- a/core/schedule/listing_test.go
+++ b/core/schedule/listing_test.go
@@ -9,12 +9,12 @@
 	"sapphirepoint.example/sapphirepoint/core/workload"
 )
 
-// lapsedHarness returns a harness that owns two runners; then the entry of the second expires.
-func lapsedHarness(t *testing.T) *harness {
-	stays, lapsed := testRunner("stays"), testRunner("lapsed")
-	b := leading(t, stays, lapsed)
-	lapsed.Lapsed = true
-	b.s.SetRunners(b.now, []workload.Runner{lapsed, stays})
+// expiredEntryHarness returns a harness that owns two runners; then the entry of the second expires.
+func expiredEntryHarness(t *testing.T) *harness {
+	stays, expired := testRunner("stays"), testRunner("lapsed")
+	b := leading(t, stays, expired)
+	expired.EntryExpired = true
+	b.s.SetRunners(b.now, []workload.Runner{expired, stays})
 	return b
 }
 
@@ -27,16 +27,16 @@
 
 // After an outage of the store of some seconds most entries of runners have expired. The runners
 // are healthy and answer: jobs are started on them, and none is refused for lack of room.
-func TestLapsedRunnersThatAnswerAreUsed(t *testing.T) {
-	b := lapsedHarness(t)
+func TestRunnersWithExpiredEntriesThatAnswerAreUsed(t *testing.T) {
+	b := expiredEntryHarness(t)
 	b.g.Expect(one[Hold](b).Runner).To(BeEquivalentTo("lapsed"), "it is checked at once")
 	b.g.Expect(b.wideJob()).To(Equal(4))
 }
 
 // A runner has crashed during an outage of the store. It doesn't answer, and once that is noticed
 // nothing is started there.
-func TestLapsedRunnersThatAreSilentAreNotUsed(t *testing.T) {
-	b := lapsedHarness(t)
+func TestRunnersWithExpiredEntriesThatAreSilentAreNotUsed(t *testing.T) {
+	b := expiredEntryHarness(t)
 	b.answerHold(one[Hold](b), Unanswered)
 	b.g.Expect(b.wideJob()).To(Equal(2))
 }
--- a/core/schedule/move_test.go
+++ b/core/schedule/move_test.go
@@ -166,7 +166,7 @@
 
 // Guards against an end on a runner that was unreachable which counts as final although the job
 // has moved and the task runs again.
-func TestEndOfAMovedJobIsAcknowledgedAfterLapse(t *testing.T) {
+func TestEndOfAMovedJobIsAcknowledgedAfterLeaseExpiry(t *testing.T) {
 	for _, kind := range []workload.EndKind{workload.Done, workload.Failed} {
 		b, j, save := stalledHarness(t)
 		b.saved(save)
@@ -175,9 +175,9 @@
 		r := b.s.runners["r1"]
 		r.noteLease(b.now, b.s.cfg.Lease)
 		b.end("r1", 2, runOf(j, 1, 1), kind)
-		lapse := r.aliveUntil
-		b.g.Expect(r.noLeaseUntil).To(Equal(lapse))
-		b.wait(lapse - b.now - 40*ms)
+		leaseExpiry := r.aliveUntil
+		b.g.Expect(r.noLeaseUntil).To(Equal(leaseExpiry))
+		b.wait(leaseExpiry - b.now - 40*ms)
 		b.g.Expect(r.acknowledged).To(BeZero())
 		b.wait(200 * ms)
 		b.g.Expect(r.acknowledged).To(BeEquivalentTo(2))
--- a/core/schedule/ownership.go
+++ b/core/schedule/ownership.go
@@ -98,8 +98,8 @@
 		r.nextHoldAt = s.now + unsavedEndsInterval
 	case len(r.runs) > 0:
 		s.hold(r)
-	case r.info.Lapsed || r.unlisted:
-		r.nextHoldAt = s.now + lapsedCheckInterval
+	case r.info.EntryExpired || r.unlisted:
+		r.nextHoldAt = s.now + expiredCheckInterval
 	default:
 		r.nextHoldAt = s.now + idleCheckInterval
 	}
--- a/core/schedule/restore_test.go
+++ b/core/schedule/restore_test.go
@@ -137,12 +137,12 @@
 	r := b.s.runners[first.Runner]
 	r.noteLease(b.now, b.s.cfg.Lease) // as for another run there
 	b.end(first.Runner, 1, first.Run, workload.Done)
-	lapse := r.aliveUntil
-	b.g.Expect(r.noLeaseUntil).To(Equal(lapse))
+	leaseExpiry := r.aliveUntil
+	b.g.Expect(r.noLeaseUntil).To(Equal(leaseExpiry))
 	b.saved(take[Save](b)...)
 	b.g.Expect(r.acknowledged).To(BeZero())
-	b.wait(lapse - b.now + 60*ms)
-	b.g.Expect(r.aliveUntil).To(Equal(lapse), "no lease meanwhile")
+	b.wait(leaseExpiry - b.now + 60*ms)
+	b.g.Expect(r.aliveUntil).To(Equal(leaseExpiry), "no lease meanwhile")
 	b.g.Expect(r.acknowledged).To(BeEquivalentTo(1))
 }
 
--- a/core/schedule/runner.go
+++ b/core/schedule/runner.go
@@ -66,7 +66,7 @@
 	acknowledged uint64
 	ends         []listedEnd
 	// noLeaseUntil is the time until which no lease is granted. The last lease has certainly
-	// expired by then, see listedEnd.afterLapse.
+	// expired by then, see listedEnd.afterLeaseExpiry.
 	noLeaseUntil Time
 	runs         map[workload.RunKey]*run
 	// orphanCount is the number of runs without a task, foreignOrphanCount that of those
--- a/core/schedule/safety_test.go
+++ b/core/schedule/safety_test.go
@@ -18,8 +18,8 @@
 	cfg := DefaultConfig()
 	const tick, network = 20 * ms, 10 * ms
 	dropped := leader.HeartbeatTimeout + 2*tick
-	lapsed := maxRunLife(cfg.Lease) - cfg.HoldWait - network
-	g.Expect(lapsed).To(BeNumerically(">", dropped))
+	leaseExpiry := maxRunLife(cfg.Lease) - cfg.HoldWait - network
+	g.Expect(leaseExpiry).To(BeNumerically(">", dropped))
 	g.Expect(cfg.Lease).To(BeNumerically(">", cfg.HoldWait+CallTimeout+network), "a renewal fits before the lease ends")
 	g.Expect(abandonedGrace + tick + cfg.StopTimeout + network).To(BeNumerically("<", cfg.Resend))
 	g.Expect(dropped+maxRunLife(cfg.Lease)).To(BeNumerically("<", cfg.Resend), "runs of an unreachable entry VM are over before its callers send their jobs again")
@@ -87,7 +87,7 @@
 // A failure domain is cut off with the entry VM of a job and a runner on which it runs. The
 // scheduler on that side may continue the run, so the task isn't restarted here while the entry
 // VM is unreachable.
-func TestLapseWithASilentEntryVM(t *testing.T) {
+func TestLeaseExpiryWithASilentEntryVM(t *testing.T) {
 	b := leading(t, testRunner("r1"), testRunner("r2"))
 	b.submit(testJob(1, 300*ms), 3*time.Second)
 	start := one[Start](b)
--- a/core/schedule/schedule.go
+++ b/core/schedule/schedule.go
@@ -158,7 +158,8 @@
 	maxHeartbeatAge = 300 * time.Millisecond
 	// entryRecoveryDelay is how long a task waits whose run lapses when the last heartbeat of
 	// its entry VM is older than maxHeartbeatAge. In that time a message of the entry VM
-	// arrives or it counts as lost. After a partition a run lapses 502 ms after the last heartbeat or later.
+	// arrives or it counts as lost. After a partition a run lapses 502 ms after the last heartbeat
+	// or later.
 	entryRecoveryDelay = 300 * time.Millisecond
 	// ranRetention is how long the scheduler remembers that a task of a job has run: longer
 	// than callers go on sending the job again.
--- a/core/workload/workload.go
+++ b/core/workload/workload.go
@@ -210,9 +210,9 @@
 	Capacity Resources
 	// Draining: the runner finishes its tasks and gets no new ones.
 	Draining bool
-	// Lapsed: the entry disappeared from the list while the store was unavailable, and may reappear.
-	// The runner is used while it answers.
-	Lapsed bool
+	// EntryExpired: the entry disappeared from the list while the store was unavailable, and may
+	// reappear. The runner is used while it answers.
+	EntryExpired bool
 	// Revision grows with each change of the entry.
 	Revision uint64
 	// IncarnationStart is when the incarnation began, in milliseconds since 1970; 0 if unknown.
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -417,7 +417,7 @@
 			MemoryMb: int64(r.Capacity.MemoryMB),
 			Gpu:      int64(r.Capacity.GPU),
 			Draining: r.Draining,
-			Lapsed:   r.Lapsed,
+			Lapsed:   r.EntryExpired,
 			Revision: r.Revision,
 			Born:     r.IncarnationStart,
 		})
@@ -441,7 +441,7 @@
 				GPU:      int(r.GetGpu()),
 			},
 			Draining:         r.GetDraining(),
-			Lapsed:           r.GetLapsed(),
+			EntryExpired:     r.GetLapsed(),
 			Revision:         r.GetRevision(),
 			IncarnationStart: r.GetBorn(),
 		})
