--- a/core/fleet/checker_test.go
+++ b/core/fleet/checker_test.go
@@ -143,7 +143,7 @@
 func (t *checker) checkShownState(j *fakeJob, cancel bool, a fleet.StateAnswer) {
 	s := a.State
 	switch {
-	case a.Unreachable || s.Unsure || j.ended:
+	case a.Unreachable || s.Uncertain || j.ended:
 		return
 	case !s.Known:
 		t.report("job %s was accepted at %v and isn't known", j.work.ID, j.accepted)
@@ -170,7 +170,7 @@
 // checkKnown checks that a process doesn't report an accepted job as unknown, ended or not,
 // unless its caller has cancelled it.
 func (t *checker) checkKnown(j *fakeJob, n *fakeNode, a fleet.StateAnswer) {
-	if !a.Unreachable && !a.State.Unsure && !a.State.Known && j.cancelSent == 0 {
+	if !a.Unreachable && !a.State.Uncertain && !a.State.Known && j.cancelSent == 0 {
 		t.report("job %s was accepted at %v and isn't known to %s", j.work.ID, j.accepted, n.id)
 	}
 }
--- a/core/fleet/moved.go
+++ b/core/fleet/moved.go
@@ -113,7 +113,7 @@
 	case !arrived && !q.cancel:
 		n.answerQuery(q, id, schedule.JobState{Known: true, Begun: true})
 	case !arrived || q.hops > maxHops || owner == "":
-		n.answerQuery(q, id, schedule.JobState{Unsure: true})
+		n.answerQuery(q, id, schedule.JobState{Uncertain: true})
 	case owner == n.Self():
 		n.handleQuery(now, q, id)
 	default:
@@ -128,7 +128,7 @@
 	for _, request := range slices.Sorted(maps.Keys(n.relays)) {
 		if r := n.relays[request]; now-r.at >= relayTimeout {
 			delete(n.relays, request)
-			n.answerQuery(r.pendingQuery, r.job, schedule.JobState{Unsure: true})
+			n.answerQuery(r.pendingQuery, r.job, schedule.JobState{Uncertain: true})
 		}
 	}
 }
--- a/core/fleet/queries.go
+++ b/core/fleet/queries.go
@@ -83,7 +83,7 @@
 	n.noteStoredJob(now)
 	s := n.ownShard(q.shard)
 	if s == nil {
-		n.answerQuery(q, id, schedule.JobState{Unsure: true})
+		n.answerQuery(q, id, schedule.JobState{Uncertain: true})
 		return
 	}
 	if to, arrived, moved := s.schedule.MovedTo(id); moved {
@@ -109,10 +109,10 @@
 	case !done:
 		q.until = 0
 		return false
-	case state.Unsure && now < q.until:
+	case state.Uncertain && now < q.until:
 		return false
 	}
-	n.notice("job-cancelled", Field{"job", string(id)}, Field{"known", state.Known}, Field{"unsure", state.Unsure})
+	n.notice("job-cancelled", Field{"job", string(id)}, Field{"known", state.Known}, Field{"unsure", state.Uncertain})
 	n.answerQuery(*q, id, state)
 	return true
 }
@@ -121,7 +121,7 @@
 	q.askedAt = now
 	state := s.schedule.State(id, now)
 	switch {
-	case state.Ending, state.Unsure:
+	case state.Ending, state.Uncertain:
 		q.until, q.awaitsSave = now+saveQueryTimeout, true
 	case state.Running:
 		q.until = now + endQueryTimeout
@@ -172,7 +172,7 @@
 	for _, q := range waiting {
 		if q.cancel && !c.State.Ended {
 			// The job moves to another shard, whose owner has to cancel it.
-			n.answerQuery(q, c.Job, schedule.JobState{Unsure: true})
+			n.answerQuery(q, c.Job, schedule.JobState{Uncertain: true})
 			continue
 		}
 		if q.cancel {
@@ -185,7 +185,7 @@
 // answerQuery answers a query. Only an answer that the job is unknown is logged; the
 // progress of known jobs is logged elsewhere.
 func (n *Node) answerQuery(q pendingQuery, id workload.JobID, state schedule.JobState) {
-	if !state.Known && !state.Unsure {
+	if !state.Known && !state.Uncertain {
 		n.notice("job-unknown", Field{"job", string(id)}, Field{"entry", string(q.from)}, Field{"stored-jobs", n.storedJobs.String()})
 	}
 	if q.from == n.Self() {
--- a/core/gateway/gateway_test.go
+++ b/core/gateway/gateway_test.go
@@ -52,7 +52,7 @@
 }
 
 // The scheduler is lost. Its jobs are handed over to the next scheduler, together with the
-// time for which they may still run, and the former scheduler is told to drop them.
+// time for which they may still run, and the former scheduler receives a Drop for each.
 func TestJobsAreHandedOverToNextScheduler(t *testing.T) {
 	g := NewWithT(t)
 	w := New()
--- a/core/schedule/incarnation.go
+++ b/core/schedule/incarnation.go
@@ -25,7 +25,7 @@
 // startConfirmTime is within what time runners usually confirm a start; runs take longer.
 const startConfirmTime = 5 * time.Millisecond
 
-// ackCursor returns the sequence up to which the runner is told to forget ends. It is 0 while a
+// ackCursor returns the sequence up to which ends are acknowledged to the runner. It is 0 while a
 // start has stayed unconfirmed for long: the runner may have restarted, carried the start out, and
 // given the end of that run the sequence of an end recorded before.
 func (r *runner) ackCursor(now Time) uint64 {
--- a/core/schedule/move_test.go
+++ b/core/schedule/move_test.go
@@ -158,10 +158,10 @@
 func TestMovingJobIsntCancelledHere(t *testing.T) {
 	b, j, save := stalledHarness(t)
 	state, done := b.s.Cancel(b.now, j.ID)
-	b.g.Expect([]any{state.Unsure, done}).To(Equal([]any{true, true}))
+	b.g.Expect([]any{state.Uncertain, done}).To(Equal([]any{true, true}))
 	b.saved(save)
 	state, done = b.s.Cancel(b.now, j.ID)
-	b.g.Expect([]any{state.Unsure, done}).To(Equal([]any{true, true}))
+	b.g.Expect([]any{state.Uncertain, done}).To(Equal([]any{true, true}))
 }
 
 // Guards against an end on a runner that was unreachable which counts as final although the job
--- a/core/schedule/records.go
+++ b/core/schedule/records.go
@@ -27,7 +27,7 @@
 		return JobState{Known: true, Begun: true}
 	}
 	if k.saving > 0 {
-		return JobState{Unsure: true}
+		return JobState{Uncertain: true}
 	}
 	return JobState{Known: k.state != ledger.CancelledEarly, Ended: true, Outcome: outcomeOf(k.state)}
 }
--- a/core/schedule/restore_test.go
+++ b/core/schedule/restore_test.go
@@ -86,7 +86,7 @@
 	b.s.SetAllReachable(false, b.now)
 	b.tick(maxProofAge + 40*ms)
 	b.g.Expect(one[Stop](b).Run).To(Equal(runOf(j, 0, 1)))
-	b.g.Expect(b.s.State("00000000000000ff", b.now).Unsure).To(BeTrue())
+	b.g.Expect(b.s.State("00000000000000ff", b.now).Uncertain).To(BeTrue())
 	other := storedJob(1, 100*ms)
 	b.submit(other, 2*time.Second)
 	b.g.Expect(one[Answer](b).Outcome).To(Equal(workload.GaveUp))
@@ -116,7 +116,7 @@
 		b.g.Expect(h.Acknowledged).To(BeZero())
 		b.held(h, workload.End{Sequence: 1, Run: runOf(j, 0, 1), Kind: workload.Done})
 	}
-	b.g.Expect(b.s.State(j.ID, b.now).Unsure).To(BeTrue())
+	b.g.Expect(b.s.State(j.ID, b.now).Uncertain).To(BeTrue())
 	b.ownRows(2, openRecord(j, 1))
 	b.g.Expect(one[Save](b).Record.State).To(Equal(ledger.Completed), "the runner still lists the end")
 }
--- a/core/schedule/stored.go
+++ b/core/schedule/stored.go
@@ -114,18 +114,18 @@
 // in the store.
 func (s *Scheduler) cancelStored(id workload.JobID) (state JobState, done bool) {
 	if !s.ownsRows() {
-		return JobState{Unsure: true}, true
+		return JobState{Uncertain: true}, true
 	}
 	if k, ok := s.rows.retained[id]; ok {
 		if k.move != nil {
 			// The other shard's owner decides once it has the job.
-			return JobState{Unsure: true}, true
+			return JobState{Uncertain: true}, true
 		}
 		return k.jobState(), k.saving == 0
 	}
 	if j := s.jobs[id]; j != nil {
 		if j.stored.state == ledger.Moving {
-			return JobState{Unsure: true}, true
+			return JobState{Uncertain: true}, true
 		}
 		s.finish(j, workload.Cancelled, "cancelled")
 		s.dispatch()
--- a/core/schedule/stored_test.go
+++ b/core/schedule/stored_test.go
@@ -54,7 +54,7 @@
 	b.g.Expect(save.Record.Definition).To(Equal(j))
 	b.g.Expect(take[Answer](b)).To(BeEmpty())
 	b.g.Expect(take[Start](b)).To(BeEmpty())
-	b.g.Expect(b.s.State(j.ID, b.now).Unsure).To(BeTrue())
+	b.g.Expect(b.s.State(j.ID, b.now).Uncertain).To(BeTrue())
 	b.saved(save)
 	b.g.Expect(one[Answer](b).Outcome).To(Equal(workload.Accepted))
 	b.g.Expect(take[Start](b)).To(HaveLen(1))
@@ -296,12 +296,12 @@
 	b := leading(t, testRunner("r1"))
 	asked := b.now
 	b.s.RowOwnershipVerified(asked, asked)
-	b.g.Expect(b.s.State("00000000000000ff", asked).Unsure).To(BeFalse())
-	b.g.Expect(b.s.State("00000000000000ff", asked+ms).Unsure).To(BeTrue(), "that all are reachable proves nothing")
+	b.g.Expect(b.s.State("00000000000000ff", asked).Uncertain).To(BeFalse())
+	b.g.Expect(b.s.State("00000000000000ff", asked+ms).Uncertain).To(BeTrue(), "that all are reachable proves nothing")
 	b.s.SetContested(true)
-	b.g.Expect(b.s.State("00000000000000ff", asked+ms).Unsure).To(BeTrue())
+	b.g.Expect(b.s.State("00000000000000ff", asked+ms).Uncertain).To(BeTrue())
 	b.s.RowOwnershipVerified(asked+10*ms, asked+5*ms)
-	b.g.Expect(b.s.State("00000000000000ff", asked+ms).Unsure).To(BeFalse(), "the store has proved the ownership since")
+	b.g.Expect(b.s.State("00000000000000ff", asked+ms).Uncertain).To(BeFalse(), "the store has proved the ownership since")
 }
 
 // A process was suspended and resumes. Its buffers hold a stored job that was handed in long ago by
--- a/core/schedule/submit.go
+++ b/core/schedule/submit.go
@@ -277,9 +277,9 @@
 
 // JobState is the state of a job as reported to callers.
 type JobState struct {
-	// Unsure: it is not known at present whether there is such a job.
-	Unsure bool
-	Known  bool
+	// Uncertain: it is not known at present whether there is such a job.
+	Uncertain bool
+	Known     bool
 	// Begun: a start of one of its tasks is known to have been ordered.
 	Begun bool
 	// Ending: it has ended, and its outcome is being written to the store.
@@ -292,7 +292,7 @@
 }
 
 // Open reports whether the state may still change: the job hasn't ended, or isn't known for certain.
-func (s JobState) Open() bool { return s.Unsure || s.Known && !s.Ended }
+func (s JobState) Open() bool { return s.Uncertain || s.Known && !s.Ended }
 
 // State returns the state of a job for a caller who asked at the given time.
 func (s *Scheduler) State(id workload.JobID, asked Time) JobState {
@@ -304,10 +304,10 @@
 	}
 	j := s.jobs[id]
 	if j == nil {
-		return JobState{Unsure: !s.ownershipProvedSince(asked)}
+		return JobState{Uncertain: !s.ownershipProvedSince(asked)}
 	}
 	if j.stored != nil && !j.stored.accepted {
-		return JobState{Unsure: true}
+		return JobState{Uncertain: true}
 	}
 	return JobState{Known: true, Begun: j.begun, Ending: j.ended, Running: j.waiting == 0}
 }
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -327,7 +327,7 @@
 func stateMessage(a fleet.JobAnswer) *pb.FleetMessage {
 	return &pb.FleetMessage{Body: &pb.FleetMessage_JobState{JobState: &pb.JobState{
 		Request: a.Request,
-		Unsure:  a.State.Unsure,
+		Unsure:  a.State.Uncertain,
 		Known:   a.State.Known,
 		Begun:   a.State.Begun,
 		Ended:   a.State.Ended,
@@ -337,11 +337,11 @@
 
 func stateOf(m *pb.JobState) fleet.JobAnswer {
 	return fleet.JobAnswer{Request: m.GetRequest(), State: schedule.JobState{
-		Unsure:  m.GetUnsure(),
-		Known:   m.GetKnown(),
-		Begun:   m.GetBegun(),
-		Ended:   m.GetEnded(),
-		Outcome: outcomeOf(m.GetOutcome()),
+		Uncertain: m.GetUnsure(),
+		Known:     m.GetKnown(),
+		Begun:     m.GetBegun(),
+		Ended:     m.GetEnded(),
+		Outcome:   outcomeOf(m.GetOutcome()),
 	}}
 }
 
