--- a/core/fleet/world_test.go
+++ b/core/fleet/world_test.go
@@ -136,7 +136,7 @@
 	duration time.Duration
 	domain   string
 	sent     time.Duration
-	patience time.Duration
+	timeout  time.Duration
 	starts   int
 	answered bool
 	refused  bool
@@ -223,12 +223,12 @@
 			ID: workload.RunnerID(id), Service: service, Address: id, Domain: domain,
 			Capacity: workload.Resources{MilliCPU: 64000, MemoryMB: 1000},
 		},
-		rate:       0.98 + w.rng.Float64()*0.04,
-		offset:     int64(w.rng.IntN(1 << 20)),
-		workFactor: 1,
-		born:       worldStartMs,
-		runs:       make(map[workload.RunKey]*fakeRun),
-		sealed:     make(map[workload.TaskName]int),
+		rate:             0.98 + w.rng.Float64()*0.04,
+		offset:           int64(w.rng.IntN(1 << 20)),
+		workFactor:       1,
+		incarnationStart: worldStartMs,
+		runs:             make(map[workload.RunKey]*fakeRun),
+		sealed:           make(map[workload.TaskName]int),
 	}
 	w.runners = append(w.runners, r)
 	w.byRunner[r.info.ID] = r
@@ -279,12 +279,12 @@
 func (w *world) call(n *fakeNode, id workload.RunnerID, timeout time.Duration, order func(*fakeRunner, func(schedule.CallOutcome, *schedule.HoldResult)), done func(schedule.CallOutcome, schedule.ClockReading, *schedule.HoldResult)) {
 	sent, incarnation := w.now, n.incarnation
 	var finished bool
-	finish := func(o schedule.CallOutcome, clock, born int64, h *schedule.HoldResult) {
+	finish := func(o schedule.CallOutcome, clock, incarnationStart int64, h *schedule.HoldResult) {
 		if finished || n.incarnation != incarnation {
 			return
 		}
 		finished = true
-		reading := schedule.ClockReading{Milliseconds: clock, ReceivedAt: w.now, SentAt: sent, Born: born}
+		reading := schedule.ClockReading{Milliseconds: clock, ReceivedAt: w.now, SentAt: sent, IncarnationStart: incarnationStart}
 		w.do(n, func() { done(o, reading, h) })
 	}
 	w.after(timeout, func() { finish(schedule.Unanswered, 0, 0, nil) })
@@ -298,19 +298,19 @@
 		travel = 2*time.Second + time.Duration(w.rng.IntN(10000))*time.Millisecond
 	}
 	// Orders in flight are lost with the connections when the runner restarts.
-	sentTo := r.born
+	sentTo := r.incarnationStart
 	w.after(travel, func() {
-		if r.down || r.born != sentTo || !w.domainsConnected(n.domain, r.info.Domain) {
+		if r.down || r.incarnationStart != sentTo || !w.domainsConnected(n.domain, r.info.Domain) {
 			return
 		}
 		order(r, func(o schedule.CallOutcome, h *schedule.HoldResult) {
-			clock, born := r.clock(), r.born
+			clock, incarnationStart := r.clock(), r.incarnationStart
 			if late || w.rng.Float64() < r.unansweredShare {
 				return
 			}
 			w.after(messageDelay, func() {
 				if w.domainsConnected(n.domain, r.info.Domain) {
-					finish(o, clock, born, h)
+					finish(o, clock, incarnationStart, h)
 				}
 			})
 		})
@@ -372,14 +372,14 @@
 }
 
 // submit sends a new job from a domain.
-func (w *world) submit(domain string, tasks int, work, patience time.Duration) *fakeJob {
-	j := w.newJob(domain, tasks, work, patience)
+func (w *world) submit(domain string, tasks int, work, timeout time.Duration) *fakeJob {
+	j := w.newJob(domain, tasks, work, timeout)
 	w.sendJob(j)
 	return j
 }
 
 // newJob returns a job that hasn't been sent yet.
-func (w *world) newJob(domain string, tasks int, work, patience time.Duration) *fakeJob {
+func (w *world) newJob(domain string, tasks int, work, timeout time.Duration) *fakeJob {
 	id := workload.JobID(fmt.Sprintf("%016x", len(w.jobs)+1))
 	estimate := time.Duration(float64(work) * (0.7 + w.rng.Float64()*0.6))
 	j := &fakeJob{
@@ -387,7 +387,7 @@
 			ID: id, Queue: queue, Service: service, MaxAttempts: 3, Objective: estimate*8/5 + 60*time.Millisecond,
 			Steps: []workload.Step{{Tasks: tasks, Need: workload.Resources{MilliCPU: 27000, MemoryMB: 64}, Estimate: estimate}},
 		},
-		duration: work, domain: domain, sent: w.now, patience: patience,
+		duration: work, domain: domain, sent: w.now, timeout: timeout,
 	}
 	if w.storedShare > 0 && w.rng.Float64() < w.storedShare {
 		j.work.Stored = true
@@ -401,7 +401,7 @@
 
 // sendJob sends a job to a serving process, preferably of the job's domain.
 func (w *world) sendJob(j *fakeJob) {
-	if j.answered || w.now >= j.sent+j.patience {
+	if j.answered || w.now >= j.sent+j.timeout {
 		return
 	}
 	n := w.serving(j.domain)
@@ -412,7 +412,7 @@
 	n.lastID++
 	request := n.lastID
 	n.requests[request] = j
-	w.do(n, func() { n.node.Submit(w.now, request, j.work, j.sent+j.patience-w.now) })
+	w.do(n, func() { n.node.Submit(w.now, request, j.work, j.sent+j.timeout-w.now) })
 }
 
 // serving returns a random process that serves callers, preferably of the domain.
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -105,10 +105,10 @@
 func handInMessage(c fleet.HandIn) *pb.FleetMessage {
 	return &pb.FleetMessage{Body: &pb.FleetMessage_HandIn{HandIn: &pb.HandIn{
 		Job:        jobMessage(c.Job),
-		DueMs:      c.Due.Milliseconds(),
-		PatienceMs: c.Patience.Milliseconds(),
-		Handed:     uint32(c.Handed),
-		UnknownMs:  c.Unknown.Milliseconds(),
+		DueMs:      c.RemainingObjective.Milliseconds(),
+		PatienceMs: c.RemainingTimeout.Milliseconds(),
+		Handed:     uint32(c.PriorSubmissions),
+		UnknownMs:  c.PriorRunsTTL.Milliseconds(),
 		Domain:     c.Domain,
 		Shard:      uint32(c.Shard),
 		Home:       uint32(c.Home),
@@ -117,14 +117,14 @@
 
 func handInOf(m *pb.HandIn) fleet.HandIn {
 	return fleet.HandIn{HandIn: gateway.HandIn{
-		Job:      jobOf(m.GetJob()),
-		Due:      milliseconds(m.GetDueMs()),
-		Patience: milliseconds(m.GetPatienceMs()),
-		Handed:   int(m.GetHanded()),
-		Unknown:  milliseconds(m.GetUnknownMs()),
-		Domain:   m.GetDomain(),
-		Shard:    int(m.GetShard()),
-		Home:     int(m.GetHome()),
+		Job:                jobOf(m.GetJob()),
+		RemainingObjective: milliseconds(m.GetDueMs()),
+		RemainingTimeout:   milliseconds(m.GetPatienceMs()),
+		PriorSubmissions:   int(m.GetHanded()),
+		PriorRunsTTL:       milliseconds(m.GetUnknownMs()),
+		Domain:             m.GetDomain(),
+		Shard:              int(m.GetShard()),
+		Home:               int(m.GetHome()),
 	}}
 }
 
@@ -257,7 +257,7 @@
 		StoredJobs:         uint32(h.StoredJobs),
 		Standby:            h.Report.Standby,
 		Cell:               h.Report.Cell,
-		WaitMs:             uint32(h.BacklogTime.Milliseconds()),
+		WaitMs:             uint32(h.ExpectedWait.Milliseconds()),
 		DoubtMs:            uint32(h.UncertainFor.Milliseconds()),
 		EvacuationsVersion: h.Evacuations.Version,
 		Evacuated:          h.Evacuations.Domains,
@@ -301,7 +301,7 @@
 		RunnersStale:       m.GetRunnersStale(),
 		StoredJobs:         fleet.StoredJobs(min(m.GetStoredJobs(), uint32(fleet.HasStoredJobs))),
 		Pending:            make(map[string]int, len(m.GetPending())),
-		BacklogTime:        milliseconds(int64(m.GetWaitMs())),
+		ExpectedWait:       milliseconds(int64(m.GetWaitMs())),
 		UncertainFor:       milliseconds(int64(m.GetDoubtMs())),
 		Evacuations:        routing.Evacuations{Version: m.GetEvacuationsVersion(), Domains: m.GetEvacuated()},
 	}
@@ -327,7 +327,7 @@
 func stateMessage(a fleet.JobAnswer) *pb.FleetMessage {
 	return &pb.FleetMessage{Body: &pb.FleetMessage_JobState{JobState: &pb.JobState{
 		Request: a.Request,
-		Unsure:  a.State.Unsure,
+		Unsure:  a.State.Uncertain,
 		Known:   a.State.Known,
 		Begun:   a.State.Begun,
 		Ended:   a.State.Ended,
@@ -337,11 +337,11 @@
 
 func stateOf(m *pb.JobState) fleet.JobAnswer {
 	return fleet.JobAnswer{Request: m.GetRequest(), State: schedule.JobState{
-		Unsure:  m.GetUnsure(),
-		Known:   m.GetKnown(),
-		Begun:   m.GetBegun(),
-		Ended:   m.GetEnded(),
-		Outcome: outcomeOf(m.GetOutcome()),
+		Uncertain: m.GetUnsure(),
+		Known:     m.GetKnown(),
+		Begun:     m.GetBegun(),
+		Ended:     m.GetEnded(),
+		Outcome:   outcomeOf(m.GetOutcome()),
 	}}
 }
 
@@ -417,9 +417,9 @@
 			MemoryMb: int64(r.Capacity.MemoryMB),
 			Gpu:      int64(r.Capacity.GPU),
 			Draining: r.Draining,
-			Lapsed:   r.Lapsed,
+			Lapsed:   r.EntryExpired,
 			Revision: r.Revision,
-			Born:     r.Born,
+			Born:     r.IncarnationStart,
 		})
 	}
 	return &pb.FleetMessage{Body: &pb.FleetMessage_Runners{Runners: m}}
@@ -440,10 +440,10 @@
 				MemoryMB: int(r.GetMemoryMb()),
 				GPU:      int(r.GetGpu()),
 			},
-			Draining: r.GetDraining(),
-			Lapsed:   r.GetLapsed(),
-			Revision: r.GetRevision(),
-			Born:     r.GetBorn(),
+			Draining:         r.GetDraining(),
+			EntryExpired:     r.GetLapsed(),
+			Revision:         r.GetRevision(),
+			IncarnationStart: r.GetBorn(),
 		})
 	}
 	return l
--- a/standin/deployment/runner.go
+++ b/standin/deployment/runner.go
@@ -22,9 +22,9 @@
 	Capacity map[string]int `json:"capacity"`
 	Labels   []string       `json:"labels"`
 	Seq      int            `json:"seq"`
-	// Born is the start of the runner's present lifetime, in Unix milliseconds; each restart
+	// IncarnationStart is the start of the runner's present incarnation, in Unix milliseconds; each restart
 	// increases it.
-	Born int64 `json:"born"`
+	IncarnationStart int64 `json:"born"`
 }
 
 // RunID identifies a run of a task. Later runs of the same task have higher numbers.
@@ -80,7 +80,7 @@
 	starts      []RunID
 	silent      bool
 	observer    Observer
-	// clockStart is the zero of the runner's clock in its present lifetime.
+	// clockStart is the zero of the runner's clock in its present incarnation.
 	clockStart time.Time
 }
 
@@ -98,7 +98,7 @@
 		Info: RunnerInfo{
 			Service: service, Address: l.Addr().String(), Zone: domain, Version: "v1", Slots: 8, State: "ready",
 			Capacity: map[string]int{"cpu": 64000, "memMb": 131072, "gpu": 0}, Labels: []string{"a", "r1-1"}, Seq: 1,
-			Born: time.Now().UnixMilli(),
+			IncarnationStart: time.Now().UnixMilli(),
 		},
 		listener:    l,
 		running:     make(map[RunID]*time.Timer),
@@ -126,14 +126,14 @@
 	}
 }
 
-// Restart simulates a restart of the runner's process: all runs end, and a new lifetime begins
+// Restart simulates a restart of the runner's process: all runs end, and a new incarnation begins
 // under the same id without any state of the last one.
 func (r *Runner) Restart(s *Store) error {
 	r.mu.Lock()
 	for run := range r.running {
 		r.endRun(run, "crashed")
 	}
-	r.Info.Born = max(r.Info.Born+1, time.Now().UnixMilli())
+	r.Info.IncarnationStart = max(r.Info.IncarnationStart+1, time.Now().UnixMilli())
 	r.clockStart = time.Now()
 	r.token, r.leaseEnd, r.lastSequence, r.endedRuns = 0, time.Time{}, 0, nil
 	r.closedRuns = make(map[string]int)
@@ -226,11 +226,11 @@
 
 // reject answers a call with status 409 and a reason. The caller holds the lock.
 func (r *Runner) reject(w http.ResponseWriter, reason string) {
-	writeJSON(w, http.StatusConflict, map[string]any{"clockMs": r.clock(), "born": r.Info.Born, "reason": reason})
+	writeJSON(w, http.StatusConflict, map[string]any{"clockMs": r.clock(), "born": r.Info.IncarnationStart, "reason": reason})
 }
 
 func (r *Runner) accept(w http.ResponseWriter) {
-	writeJSON(w, http.StatusOK, map[string]any{"clockMs": r.clock(), "born": r.Info.Born})
+	writeJSON(w, http.StatusOK, map[string]any{"clockMs": r.clock(), "born": r.Info.IncarnationStart})
 }
 
 // extendLease moves the lease's expiry to ms on the runner's clock, but never to an earlier time
@@ -366,5 +366,5 @@
 	for _, e := range r.endedRuns {
 		ended = append(ended, []any{e.sequence, e.Task, e.Run, e.Outcome, ""})
 	}
-	writeJSON(w, http.StatusOK, map[string]any{"clockMs": r.clock(), "born": r.Info.Born, "running": running, "endedRuns": ended})
+	writeJSON(w, http.StatusOK, map[string]any{"clockMs": r.clock(), "born": r.Info.IncarnationStart, "running": running, "endedRuns": ended})
 }
