--- a/core/schedule/rowownership.go
+++ b/core/schedule/rowownership.go
@@ -18,7 +18,7 @@
 	// they were, see ledger.Ownership.
 	loaded bool
 	epoch  uint64
-	// verifiedAt is the time for which the ownership was last proved.
+	// verifiedAt is the latest time at which this process is proved to have owned the rows.
 	verifiedAt Time
 	// failingFor is how long all calls to the store have failed.
 	failingFor time.Duration
@@ -92,7 +92,8 @@
 	return s.rows.loaded && (s.uncontested() || s.rows.verifiedAt >= since)
 }
 
-// uncontested reports whether all other processes follow this one.
+// uncontested reports whether no other process can lead the shard: all have been reachable since
+// before the last proof of ownership, and none is about to become leader.
 func (s *Scheduler) uncontested() bool {
 	return s.allReachable && s.rows.verifiedAt >= s.allReachableSince && !s.contested
 }
@@ -106,8 +107,8 @@
 // ownershipProvedSince reports whether the store has shown that no other process had accepted,
 // by the given time, a job that isn't known here. That all VMs are reachable doesn't show it: a
 // VM whose process was killed counts as reachable until the missing heartbeats are noticed. Its
-// next process may by then be leader without being heard, and accept a job whose caller
-// queries it here at once.
+// next process may by then lead before this one has received a heartbeat from it, and accept a
+// job whose state the caller queries here at once.
 func (s *Scheduler) ownershipProvedSince(at Time) bool {
 	return s.rows.loaded && s.rows.verifiedAt >= at
 }
--- a/standin/deployment/runner.go
+++ b/standin/deployment/runner.go
@@ -50,7 +50,7 @@
 	// have been started elsewhere, whatever this run's outcome was.
 	LeaseExpired bool
 
-	// sequence numbers the ended runs of a runner's lifetime from 1; the scheduler acknowledges
+	// sequence numbers the ended runs of a runner's incarnation from 1; the scheduler acknowledges
 	// them by request.AckCursor.
 	sequence int
 }
